--- a/embersill/__main__.py
+++ b/quota_gateway/__main__.py
@@ -17,17 +17,17 @@
 
 import uvloop
 
-from embersill.control import Gateway
-from embersill.interface import Charged, ListKind, Settings
-from embersill.net.backends import Pool
-from embersill.net.clients import Front
-from embersill.net.console import Console, Operations
-from embersill.net.counter import Counter
-from embersill.net.discovery import BadList, Discovery, Listing, pace_of, read_address, read_listing
-from embersill.net.driver import Driver
-from embersill.net.handover import Handover
-from embersill.net.listening import bind, inherit
-from embersill.settings import Limits, read_limits, read_settings
+from quota_gateway.control import Gateway
+from quota_gateway.interface import Charged, ListKind, Settings
+from quota_gateway.net.backends import Pool
+from quota_gateway.net.clients import Front
+from quota_gateway.net.console import Console, Operations
+from quota_gateway.net.counter import Counter
+from quota_gateway.net.discovery import BadList, Discovery, Listing, pace_of, read_address, read_listing
+from quota_gateway.net.driver import Driver
+from quota_gateway.net.handover import Handover
+from quota_gateway.net.listening import bind, inherit
+from quota_gateway.settings import Limits, read_limits, read_settings
 
 RESERVE = 64  # descriptors kept for the listener, discovery, the counter, and what the run-time itself needs
 RESERVE_PART = 0.25  # of the descriptors, at most, that this may be
@@ -41,7 +41,7 @@
 LAST_LOOK = 0.02  # seconds for what came just then to be read
 LAST_BYTES = 0.25  # seconds for clients to take what was written to them
 
-log = logging.getLogger("embersill")
+log = logging.getLogger("quota_gateway")
 
 
 class BadConfiguration(Exception):
@@ -276,12 +276,12 @@
     try:
         told = read_configuration(dict(os.environ))
     except BadConfiguration as error:
-        print(f"embersill: {error}", file=sys.stderr)
+        print(f"quota_gateway: {error}", file=sys.stderr)
         return 2
     try:
         uvloop.run(serve(told))
     except OSError as error:
-        print(f"embersill: {error}", file=sys.stderr)
+        print(f"quota_gateway: {error}", file=sys.stderr)
         return 1
     return 0
 
--- a/embersill/adapter.py
+++ b/quota_gateway/adapter.py
@@ -7,12 +7,12 @@
 from collections.abc import Iterable
 from typing import Any, TextIO
 
-from embersill.control import Gateway
-from embersill.interface import (
+from quota_gateway.control import Gateway
+from quota_gateway.interface import (
     Action, AttemptEnded, Backend, BackendList, Cancel, ClientLeft, Count, Counted, Event, Fail, ListKind,
     Outcome, Probed, Refuse, Request, Send, SetTimer, StreamBegun, Subscribe, TimerDue,
 )
-from embersill.settings import STATUSES, read_settings
+from quota_gateway.settings import STATUSES, read_settings
 
 OUTCOMES = {
     "GOOD": Outcome.SERVED, "BAD": Outcome.ERROR, "FULL": Outcome.TURNED_AWAY, "LATE": Outcome.TIMED_OUT,
@@ -194,7 +194,7 @@
     try:
         serve(sys.stdin, sys.stdout)
     except Malformed as error:
-        print(f"embersill: malformed input: {error}", file=sys.stderr)
+        print(f"quota_gateway: malformed input: {error}", file=sys.stderr)
         return 2
     return 0
 
--- a/embersill/control.py
+++ b/quota_gateway/control.py
@@ -1,4 +1,4 @@
-"""Every decision of a gateway. Its types, events and actions stand in embersill/interface.py."""
+"""Every decision of a gateway. Its types, events and actions stand in quota_gateway/interface.py."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 from collections import deque
 from collections.abc import Sequence
 
-from embersill.estate import charge, charged, inherit
-from embersill.interface import (
+from quota_gateway.estate import charge, charged, inherit
+from quota_gateway.interface import (
     Action, AttemptEnded, Backend, BackendList, BodySpent, Cancel, Charged, ClientLeft, Count, Counted,
     Dismiss, Drain, Estate, Event, Fail, ListKind, Maintain, Outcome, Paired, Plan, Refuse, Repeats,
     Request, RequestClass, Scope, Send, SetTimer, Settings, Status, StreamBegun, Subscribe, TimerDue,
     Unwanted, Uploaded,
 )
-from embersill.leaving import client_left, forget, unwanted
-from embersill.ramp import keeps
-from embersill.standing import as_returned, maintain
-from embersill.streams import long_body
-from embersill.subset import subset
-from embersill.throttle import EPS, PERIOD, Throttle
-from embersill.work import (
+from quota_gateway.leaving import client_left, forget, unwanted
+from quota_gateway.ramp import keeps
+from quota_gateway.standing import as_returned, maintain
+from quota_gateway.streams import long_body
+from quota_gateway.subset import subset
+from quota_gateway.throttle import EPS, PERIOD, Throttle
+from quota_gateway.work import (
     LEAST_LIMIT, SHUN, START_LIMIT, Attempt, Job, Server, check, group_of, moved, usual_key, wanted_until,
 )
 
--- a/embersill/estate.py
+++ b/quota_gateway/estate.py
@@ -8,12 +8,12 @@
 
 from typing import TYPE_CHECKING, Any
 
-from embersill.interface import Charged, Dismiss, Estate
-from embersill.standing import as_returned
-from embersill.throttle import Throttle
+from quota_gateway.interface import Charged, Dismiss, Estate
+from quota_gateway.standing import as_returned
+from quota_gateway.throttle import Throttle
 
 if TYPE_CHECKING:
-    from embersill.control import Gateway
+    from quota_gateway.control import Gateway
 
 LEARNED = ("fleet_fails", "retry_credit", "passed", "limit", "quiet_until", "count_fails", "shortest",
            "counted_part", "draining")  # figures of a gateway that go over as they stand
--- a/embersill/leaving.py
+++ b/quota_gateway/leaving.py
@@ -4,12 +4,12 @@
 
 from typing import TYPE_CHECKING
 
-from embersill.estate import charge
-from embersill.throttle import PERIOD
-from embersill.work import Job
+from quota_gateway.estate import charge
+from quota_gateway.throttle import PERIOD
+from quota_gateway.work import Job
 
 if TYPE_CHECKING:
-    from embersill.control import Gateway
+    from quota_gateway.control import Gateway
 
 
 def client_left(gateway: Gateway, request: int) -> None:
--- a/embersill/net/calls.py
+++ b/quota_gateway/net/calls.py
@@ -9,9 +9,9 @@
 import re
 from functools import lru_cache
 
-from embersill.interface import Repeats, Settings
-from embersill.net.bodies import Upload
-from embersill.net.driver import Call
+from quota_gateway.interface import Repeats, Settings
+from quota_gateway.net.bodies import Upload
+from quota_gateway.net.driver import Call
 
 CALL_ID = re.compile(rb"[0-9A-Za-z_.-]{1,64}")
 CLIENT = re.compile(rb"[?&]client=([^&]*)")
--- a/embersill/net/clients.py
+++ b/quota_gateway/net/clients.py
@@ -13,13 +13,13 @@
 
 import httptools
 
-from embersill.interface import Settings
-from embersill.net.bodies import HELD, MOST_BODY, READ_AT_ONCE, Upload
-from embersill.net.calls import BadRequest, CallReader
-from embersill.net.descriptors import AGAIN, LACKING
-from embersill.net.driver import Call, Driver
-from embersill.net.exchange import Exchange
-from embersill.net.hangups import HangUps
+from quota_gateway.interface import Settings
+from quota_gateway.net.bodies import HELD, MOST_BODY, READ_AT_ONCE, Upload
+from quota_gateway.net.calls import BadRequest, CallReader
+from quota_gateway.net.descriptors import AGAIN, LACKING
+from quota_gateway.net.driver import Call, Driver
+from quota_gateway.net.exchange import Exchange
+from quota_gateway.net.hangups import HangUps
 
 MOST_HEAD = 32 * 1024  # bytes of request line and headers: a generous browser sends a quarter of it
 MOST_PIPELINED = 16  # requests under way on one connection: further ones stay unread
@@ -49,7 +49,7 @@
 
 TOO_LONG = "the body is over 32 MiB"
 
-log = logging.getLogger("embersill")
+log = logging.getLogger("quota_gateway")
 
 
 class ClientConnection(asyncio.BufferedProtocol):
--- a/embersill/net/discovery.py
+++ b/quota_gateway/net/discovery.py
@@ -13,9 +13,9 @@
 
 import httptools
 
-from embersill.interface import Backend, ListKind, Status
-from embersill.net.descriptors import dial, nothing_makes_way
-from embersill.settings import STATUSES
+from quota_gateway.interface import Backend, ListKind, Status
+from quota_gateway.net.descriptors import dial, nothing_makes_way
+from quota_gateway.settings import STATUSES
 
 TOLD_WITHIN = 6.0  # seconds after discovery has a change and can be reached from which it counts as told
 PUSHED_WAIT, ASKED_WAIT = 1.0, 2.0  # seconds of a watch: one that has fallen silent shows only after it
@@ -30,7 +30,7 @@
 MOST_WORDS = 200  # characters of a reason in the log: it may quote what came
 MOST_LIST = 4 * 1024 * 1024  # bytes: a fleet of thousands fits
 
-log = logging.getLogger("embersill")
+log = logging.getLogger("quota_gateway")
 
 
 class BadList(Exception):
--- a/embersill/net/driver.py
+++ b/quota_gateway/net/driver.py
@@ -13,19 +13,19 @@
 from dataclasses import dataclass, replace
 from typing import Protocol
 
-from embersill.control import Gateway
-from embersill.estate import estate_of
-from embersill.interface import (
+from quota_gateway.control import Gateway
+from quota_gateway.estate import estate_of
+from quota_gateway.interface import (
     Action, AttemptEnded, Backend, BackendList, BodySpent, Cancel, Charged, ClientLeft, Count, Counted,
     Dismiss, Drain, Estate, Event, Fail, Maintain, Outcome, Refuse, Request, Rest, Send, SetTimer, Status,
     StreamBegun, TimerDue, Unwanted, Uploaded,
 )
-from embersill.net.backends import Answer, Attempt, Pool
-from embersill.net.bodies import Head, Sink, Source, Upload
-from embersill.net.counter import Counter
-from embersill.net.discovery import Listing
-from embersill.net.figures import Figures
-from embersill.standing import avoided, knows
+from quota_gateway.net.backends import Answer, Attempt, Pool
+from quota_gateway.net.bodies import Head, Sink, Source, Upload
+from quota_gateway.net.counter import Counter
+from quota_gateway.net.discovery import Listing
+from quota_gateway.net.figures import Figures
+from quota_gateway.standing import avoided, knows
 
 EARLY = 0.1  # seconds before the client's end at which the module takes a request to be over: the budget
 # runs from the client's send, the answer has its way back, and the core may be busy with another gateway
@@ -34,7 +34,7 @@
 FRESH = 0.01  # seconds after its last byte in which a request is sent on without a look for its client
 SCANT = 0.25  # of the budget, at most, that these two may take
 
-log = logging.getLogger("embersill")
+log = logging.getLogger("quota_gateway")
 
 
 @dataclass(slots=True)
--- a/embersill/net/handover.py
+++ b/quota_gateway/net/handover.py
@@ -14,16 +14,16 @@
 from collections.abc import Callable
 from typing import Any, cast
 
-from embersill.interface import Backend, Charged, Estate, ListKind, Paired, Status
-from embersill.net.discovery import Entry, Listing
-from embersill.net.driver import Driver
+from quota_gateway.interface import Backend, Charged, Estate, ListKind, Paired, Status
+from quota_gateway.net.discovery import Entry, Listing
+from quota_gateway.net.driver import Driver
 
-NAME = "embersill.handover"
+NAME = "embersill.handover"  # of the socket: processes of older versions look for it
 ESTATE_WITHIN = 2.0  # seconds for the older process to give its estate: it may be slow, or hang
 MOST_MESSAGE = 16 * 1024 * 1024  # bytes: an estate of a hundred thousand customers
 SHARED = 0.5  # of the connections to backends that each may have while both live
 
-log = logging.getLogger("embersill")
+log = logging.getLogger("quota_gateway")
 Message = dict[str, Any]
 
 
--- a/embersill/settings.py
+++ b/quota_gateway/settings.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from embersill.interface import Plan, Repeats, RequestClass, Scope, Settings, Status
+from quota_gateway.interface import Plan, Repeats, RequestClass, Scope, Settings, Status
 
 REPEATS = {"repeatable": Repeats.SAFE, "by_key": Repeats.BY_KEY, "once": Repeats.ONCE}
 SCOPES = {"all": Scope.ALL, "zone": Scope.ZONE, "cell": Scope.CELL}
--- a/embersill/standing.py
+++ b/quota_gateway/standing.py
@@ -5,13 +5,13 @@
 from dataclasses import replace
 from typing import TYPE_CHECKING
 
-from embersill.interface import Backend, Maintain, Rest
-from embersill.work import SHUN
+from quota_gateway.interface import Backend, Maintain, Rest
+from quota_gateway.work import SHUN
 
 UNUSED_FOR = 1.5  # seconds from which a backend that is shunned counts as avoided
 
 if TYPE_CHECKING:
-    from embersill.control import Gateway
+    from quota_gateway.control import Gateway
 
 
 def maintain(gateway: Gateway, event: Maintain) -> None:
--- a/embersill/streams.py
+++ b/quota_gateway/streams.py
@@ -5,10 +5,10 @@
 from dataclasses import replace
 from typing import TYPE_CHECKING
 
-from embersill.interface import AttemptEnded, BodySpent, Outcome, StreamBegun, Uploaded
+from quota_gateway.interface import AttemptEnded, BodySpent, Outcome, StreamBegun, Uploaded
 
 if TYPE_CHECKING:
-    from embersill.control import Gateway
+    from quota_gateway.control import Gateway
 
 
 def long_body(gateway: Gateway, event: StreamBegun | Uploaded | BodySpent) -> None:
--- a/embersill/throttle.py
+++ b/quota_gateway/throttle.py
@@ -4,8 +4,8 @@
 
 from collections import deque
 
-from embersill.interface import Plan
-from embersill.work import Job
+from quota_gateway.interface import Plan
+from quota_gateway.work import Job
 
 PERIOD = 1.0  # seconds a demand count covers; the design's own, and short against a client's patience
 EPS = 1e-9  # float slack where levels are compared
--- a/tests/bed.py
+++ b/tests/bed.py
@@ -11,7 +11,7 @@
 
 import uvloop
 
-from embersill.__main__ import Program, build_configuration
+from quota_gateway.__main__ import Program, build_configuration
 from tests.peers import (
     HOST, SOON, Asked, BackendPeer, CounterPeer, DiscoveryPeer, read_message, settings_text,
 )
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -14,8 +14,8 @@
 from multiprocessing import Pool
 from typing import Any
 
-from embersill.control import Gateway
-from embersill.interface import (
+from quota_gateway.control import Gateway
+from quota_gateway.interface import (
     AttemptEnded, Backend, BackendList, Event, Fail, ListKind, Maintain, Outcome, Plan, Refuse, Repeats,
     Request, RequestClass, Scope, Send, SetTimer, Settings, Status, TimerDue,
 )
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -4,8 +4,8 @@
 
 from dataclasses import replace
 
-from embersill.control import Gateway
-from embersill.interface import (
+from quota_gateway.control import Gateway
+from quota_gateway.interface import (
     Action,
     AttemptEnded,
     Backend,
--- a/tests/recorder.py
+++ b/tests/recorder.py
@@ -14,14 +14,14 @@
 from dataclasses import replace
 from typing import Any
 
-from embersill.control import Gateway
-from embersill.estate import estate_of
-from embersill.interface import (
+from quota_gateway.control import Gateway
+from quota_gateway.estate import estate_of
+from quota_gateway.interface import (
     Action, AttemptEnded, Backend, BackendList, BodySpent, Cancel, Charged, ClientLeft, Count, Counted,
     Dismiss, Drain, Estate, Event, Fail, ListKind, Maintain, Outcome, Paired, Plan, Probed, Refuse, Request,
     Rest, Send, SetTimer, Settings, Status, StreamBegun, Subscribe, TimerDue, Unwanted, Uploaded,
 )
-from embersill.standing import avoided
+from quota_gateway.standing import avoided
 from tests.helpers import CAPPED, OPEN, PLAN, SETTINGS
 
 FOLDER = pathlib.Path(__file__).parent / "recorded"
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -11,10 +11,10 @@
 
 import pytest
 
-from embersill.interface import Outcome
-from embersill.net import backends
-from embersill.net.backends import MOST_HEAD, RESTED, Answer, Attempt, Pool
-from embersill.net.bodies import HELD
+from quota_gateway.interface import Outcome
+from quota_gateway.net import backends
+from quota_gateway.net.backends import MOST_HEAD, RESTED, Answer, Attempt, Pool
+from quota_gateway.net.bodies import HELD
 from tests.bed import run
 from tests.peers import HOST, SOON, Asked, BackendPeer, Step, message
 
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -9,11 +9,11 @@
 
 import pytest
 
-from embersill.interface import (
+from quota_gateway.interface import (
     BodySpent, Outcome, Refuse, Send, SetTimer, StreamBegun, TimerDue, Uploaded,
 )
-from embersill.net.bodies import HELD, READ_AT_ONCE
-from embersill.net.clients import BODY_STALLED, LONG_STALLED
+from quota_gateway.net.bodies import HELD, READ_AT_ONCE
+from quota_gateway.net.clients import BODY_STALLED, LONG_STALLED
 from tests.bed import READY, Bed, Client, request, run, running
 from tests.helpers import ended, gateway
 from tests.helpers import request as asked_for
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from embersill.net.backends import RESTED
-from embersill.net.bodies import HELD, MOST_BODY
-from embersill.net.clients import MOST_ERRORS, MOST_HEAD, SETTLED
+from quota_gateway.net.backends import RESTED
+from quota_gateway.net.bodies import HELD, MOST_BODY
+from quota_gateway.net.clients import MOST_ERRORS, MOST_HEAD, SETTLED
 from tests.bed import READY, Bed, Client, request, roomy_settings, run, running
 from tests.peers import SOON, Asked, message, serve, serve_after
 
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -6,10 +6,10 @@
 
 import pytest
 
-from embersill.control import Gateway
-from embersill.interface import Maintain, Send
-from embersill.ramp import PART, budget, cold_chance
-from embersill.work import SHUN
+from quota_gateway.control import Gateway
+from quota_gateway.interface import Maintain, Send
+from quota_gateway.ramp import PART, budget, cold_chance
+from quota_gateway.work import SHUN
 from tests.fleet import Result, cases, play
 from tests.helpers import SETTINGS, backend, backends, gateway, request
 
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from embersill.net import console
-from embersill.net.console import MOST_CALLS, MOST_SIZE
+from quota_gateway.net import console
+from quota_gateway.net.console import MOST_CALLS, MOST_SIZE
 from tests.bed import READY, Bed, Client, request, run, running
 from tests.peers import SOON, Asked, message, serve_after
 
--- a/tests/test_counter.py
+++ b/tests/test_counter.py
@@ -8,9 +8,9 @@
 
 import pytest
 
-from embersill.interface import Counted, Outcome
-from embersill.net.counter import IDLE_LIMIT, SILENT_AFTER, Counter
-from embersill.net.discovery import read_address
+from quota_gateway.interface import Counted, Outcome
+from quota_gateway.net.counter import IDLE_LIMIT, SILENT_AFTER, Counter
+from quota_gateway.net.discovery import read_address
 from tests.bed import run
 from tests.clock import run_clocked
 from tests.peers import HOST, SOON, CounterPeer
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from embersill.interface import ListKind, Status
-from embersill.net import discovery
-from embersill.net.discovery import (
+from quota_gateway.interface import ListKind, Status
+from quota_gateway.net import discovery
+from quota_gateway.net.discovery import (
     BadList, Discovery, Listing, pace_of, read_address, read_listing, read_seconds,
 )
 from tests.bed import Bed, request, roomy_settings, run, running
@@ -88,7 +88,7 @@
         async def refuse(agent: discovery.Agent) -> Listing:
             raise BadList("status 503", 3.0 if len(slept) == 7 else 0.0)
 
-        monkeypatch.setattr("embersill.net.discovery.asyncio.sleep", sleep)
+        monkeypatch.setattr("quota_gateway.net.discovery.asyncio.sleep", sleep)
         monkeypatch.setattr(discovery.Agent, "call", refuse)
         agent = discovery.Agent(("127.0.0.1", 9), 1.0, lambda agent, listing: None)
         await done.wait()
@@ -185,7 +185,7 @@
         peer.trickles = trickles
         with monkeypatch.context() as patch:
             patch.setattr(discovery, "asyncio", time)
-            patch.setattr("embersill.net.discovery.random.uniform", lambda least, most: most)
+            patch.setattr("quota_gateway.net.discovery.random.uniform", lambda least, most: most)
             made = Discovery(read_address(peer.address), DIAL, told.put_nowait,
                              pace=pace_of(gateways, pushed, 2.0))
             made.start()
@@ -259,7 +259,7 @@
                 waits.append(seconds)
                 return timeout(seconds)
 
-            patch.setattr("embersill.__main__.asyncio.timeout", listen)
+            patch.setattr("quota_gateway.__main__.asyncio.timeout", listen)
             await bed.start(roomy_settings(dial_timeout=40.0), 1024)
         assert 0.04 in waits and 1.0 not in waits
         client = await bed.client()
--- a/tests/test_driver.py
+++ b/tests/test_driver.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from embersill.control import Gateway
-from embersill.interface import Action, Event, Fail, Request, Send
+from quota_gateway.control import Gateway
+from quota_gateway.interface import Action, Event, Fail, Request, Send
 from tests.bed import Bed, request, roomy_settings, run, running
 from tests.peers import Asked, Step, message, serve
 
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -13,9 +13,9 @@
 
 import pytest
 
-from embersill.net.bodies import HELD
-from embersill.net.clients import MOST_PIPELINED, ClientConnection
-from embersill.net.driver import Driver
+from quota_gateway.net.bodies import HELD
+from quota_gateway.net.clients import MOST_PIPELINED, ClientConnection
+from quota_gateway.net.driver import Driver
 from tests.bed import Bed, Client, request, roomy_settings, running
 from tests.clock import run_clocked, start_clock, this_loop
 from tests.peers import Asked, BackendPeer, message, serve, settings_text
@@ -29,7 +29,7 @@
 
 @pytest.fixture(autouse=True)
 def on_this_clock(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("embersill.__main__.start_clock", start_clock)
+    monkeypatch.setattr("quota_gateway.__main__.start_clock", start_clock)
 
 
 class Timed(list[Asked]):
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from embersill.interface import Dismiss, Drain, Maintain, Rest, Send, Status
-from embersill.standing import avoided, knows
+from quota_gateway.interface import Dismiss, Drain, Maintain, Rest, Send, Status
+from quota_gateway.standing import avoided, knows
 from tests.helpers import backend, backends, gateway, request
 
 
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -25,7 +25,7 @@
 
 ROOT = pathlib.Path(__file__).parent.parent
 # the deploy file's command where .ci/run names it, so that what is deployed is what is tested
-RUN = os.environ.get("EMBERSILL_RUN") or f"exec {shlex.quote(sys.executable)} -m embersill"
+RUN = os.environ.get("GATEWAY_RUN") or f"exec {shlex.quote(sys.executable)} -m quota_gateway"
 
 
 def start(path: str | None) -> subprocess.CompletedProcess[str]:
@@ -203,8 +203,9 @@
 
 def test_the_build_leaves_bytecode_that_a_run_could_not_write(tmp_path: pathlib.Path) -> None:
     (tmp_path / ".venv").symlink_to(ROOT / ".venv")
-    shutil.copytree(ROOT / "embersill", tmp_path / "embersill", ignore=shutil.ignore_patterns("__pycache__"))
+    copied = tmp_path / "quota_gateway"
+    shutil.copytree(ROOT / "quota_gateway", copied, ignore=shutil.ignore_patterns("__pycache__"))
     build = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["build"]
     subprocess.run(["sh", "-c", build], cwd=tmp_path, check=True)
-    sources = sorted((tmp_path / "embersill").rglob("*.py"))
+    sources = sorted((tmp_path / "quota_gateway").rglob("*.py"))
     assert sources and all(list((s.parent / "__pycache__").glob(f"{s.stem}.*.pyc")) for s in sources)
--- a/tests/test_ready.py
+++ b/tests/test_ready.py
@@ -82,7 +82,7 @@
     async def test() -> None:
         beds, discovery = await beds_of(FLEET, fault)
         with pytest.MonkeyPatch.context() as patch:
-            patch.setattr("embersill.__main__.start_clock", start_clock)
+            patch.setattr("quota_gateway.__main__.start_clock", start_clock)
             fleet = [Restarted(bed, number) for number, bed in enumerate(beds)]
 
             async def start(restarted: Restarted) -> None:
@@ -143,7 +143,7 @@
         bed = Bed(1)
         peer = bed.discovery = Discoverer()
         with pytest.MonkeyPatch.context() as patch:
-            patch.setattr("embersill.__main__.start_clock", start_clock)
+            patch.setattr("quota_gateway.__main__.start_clock", start_clock)
             for each in (*bed.backends, peer, bed.counter):
                 await each.start()
             await peer.begin("busy")
--- a/tests/test_recorded_messages.py
+++ b/tests/test_recorded_messages.py
@@ -9,9 +9,9 @@
 
 import pytest
 
-from embersill.estate import estate_of
-from embersill.interface import Charged, Estate
-from embersill.net.handover import Handover, Link
+from quota_gateway.estate import estate_of
+from quota_gateway.interface import Charged, Estate
+from quota_gateway.net.handover import Handover, Link
 from tests.bed import Bed, run, running
 from tests.helpers import gateway
 
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from embersill.control import Gateway
-from embersill.interface import Action, Event, Refuse, Request, Send
+from quota_gateway.control import Gateway
+from quota_gateway.interface import Action, Event, Refuse, Request, Send
 from tests.bed import request as http_request
 from tests.bed import run, running
 from tests.helpers import SAFE, gateway, request
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -9,8 +9,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from embersill.control import Gateway
-from embersill.interface import (
+from quota_gateway.control import Gateway
+from quota_gateway.interface import (
     ClientLeft, Fail, ListKind, Outcome, Refuse, Send, SetTimer, Status, TimerDue,
 )
 from tests.helpers import CAPPED, SETTINGS, Watch, backend, backends, ended, gateway, request
--- a/tests/test_stop.py
+++ b/tests/test_stop.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from embersill.__main__ import LAST_BYTES, Program, build_configuration
+from quota_gateway.__main__ import LAST_BYTES, Program, build_configuration
 from tests.bed import Bed, Client, request, roomy_settings, run, running
 from tests.peers import Asked, serve_after
 
@@ -14,7 +14,7 @@
 @pytest.fixture(autouse=True)
 def at_once(monkeypatch: pytest.MonkeyPatch) -> None:
     for name in ("LAST_READ", "LAST_LOOK"):
-        monkeypatch.setattr(f"embersill.__main__.{name}", 0.0)
+        monkeypatch.setattr(f"quota_gateway.__main__.{name}", 0.0)
 
 
 @pytest.mark.parametrize("deadline", [0.8, 1.5, 2.5, 3.0, 8.0])
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -6,9 +6,9 @@
 from collections.abc import Iterable
 from dataclasses import replace
 
-from embersill.interface import Backend, ListKind, Send, Status
-from embersill.subset import LEAST_SIZE, size_of, subset
-from embersill.work import Server
+from quota_gateway.interface import Backend, ListKind, Send, Status
+from quota_gateway.subset import LEAST_SIZE, size_of, subset
+from quota_gateway.work import Server
 from tests.helpers import backends, gateway, request
 
 ZONES = ("a", "b", "c")
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from embersill.interface import Outcome
-from embersill.net.clients import MOST_ERRORS
+from quota_gateway.interface import Outcome
+from quota_gateway.net.clients import MOST_ERRORS
 from tests.bed import Bed, request, roomy_settings, run, running
 from tests.clock import run_clocked, start_clock, this_loop
 from tests.test_backends import sending
@@ -78,7 +78,7 @@
 def test_a_connection_that_comes_up_too_late_carries_nothing(
     late: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("embersill.__main__.start_clock", start_clock)
+    monkeypatch.setattr("quota_gateway.__main__.start_clock", start_clock)
 
     async def test() -> None:
         async with running(backends=1, env=roomy_settings(dial_timeout=250.0)) as bed:
--- a/tests/test_throttle.py
+++ b/tests/test_throttle.py
@@ -6,10 +6,10 @@
 
 import pytest
 
-from embersill.control import Gateway
-from embersill.interface import Count, Counted, Outcome, Refuse, Send, SetTimer, TimerDue
-from embersill.ramp import cold_chance
-from embersill.throttle import EPS, Throttle
+from quota_gateway.control import Gateway
+from quota_gateway.interface import Count, Counted, Outcome, Refuse, Send, SetTimer, TimerDue
+from quota_gateway.ramp import cold_chance
+from quota_gateway.throttle import EPS, Throttle
 from tests.helpers import CAPPED, PLAN, SETTINGS, Watch, backend, backends, ended, gateway, request
 
 
--- a/tests/test_together.py
+++ b/tests/test_together.py
@@ -9,8 +9,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from embersill.control import Gateway
-from embersill.interface import (
+from quota_gateway.control import Gateway
+from quota_gateway.interface import (
     Action, BackendList, Count, Counted, ListKind, Outcome, Plan, Probed, Refuse, Request, Send, SetTimer,
     TimerDue,
 )
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -13,9 +13,9 @@
 
 import pytest
 
-from embersill.interface import Status
-from embersill.net import discovery
-from embersill.net.discovery import TOLD_WITHIN, Discovery, Listing, Pace, pace_of, read_address
+from quota_gateway.interface import Status
+from quota_gateway.net import discovery
+from quota_gateway.net.discovery import TOLD_WITHIN, Discovery, Listing, Pace, pace_of, read_address
 from tests.bed import Bed, request, roomy_settings
 from tests.clock import run_clocked, start_clock
 from tests.peers import HOST, DiscoveryPeer, message, read_message
@@ -311,7 +311,7 @@
         env = roomy_settings(dial_timeout=250.0)
         env["membership_mode"], env["balancers"] = "on_request", 200
         with pytest.MonkeyPatch.context() as patch:
-            patch.setattr("embersill.__main__.start_clock", start_clock)
+            patch.setattr("quota_gateway.__main__.start_clock", start_clock)
             await bed.start(env, 1024)
         await peer.begin("busy")
         await asyncio.sleep(9.0)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -14,10 +14,10 @@
 
 import pytest
 
-from embersill.estate import estate_of
-from embersill.interface import Charged, Drain, Estate, Maintain, Outcome, Paired, Send
-from embersill.net import handover
-from embersill.net.handover import NAME
+from quota_gateway.estate import estate_of
+from quota_gateway.interface import Charged, Drain, Estate, Maintain, Outcome, Paired, Send
+from quota_gateway.net import handover
+from quota_gateway.net.handover import NAME
 from tests.bed import READY, Bed, Client, request, roomy_settings, run, running
 from tests.helpers import ended, gateway
 from tests.helpers import request as asked_for
