--- a/quota_gateway/__main__.py
+++ b/quota_gateway/__main__.py
@@ -17,17 +17,19 @@
 
 import uvloop
 
-from quota_gateway.control import Gateway
-from quota_gateway.interface import Charged, ListKind, Settings
-from quota_gateway.net.backends import Pool
-from quota_gateway.net.clients import Front
-from quota_gateway.net.console import Console, Operations
-from quota_gateway.net.counter import Counter
-from quota_gateway.net.discovery import BadList, Discovery, Listing, pace_of, read_address, read_listing
-from quota_gateway.net.driver import Driver
-from quota_gateway.net.handover import Handover
-from quota_gateway.net.listening import bind, inherit
-from quota_gateway.settings import Limits, read_limits, read_settings
+from quota_gateway.policy.engine import Gateway
+from quota_gateway.model.charges import Charged
+from quota_gateway.model.endpoints import ListKind
+from quota_gateway.model.settings import Settings
+from quota_gateway.upstream.connection_pool import Pool
+from quota_gateway.downstream.client_connection import Front
+from quota_gateway.admin.server import Console, Operations
+from quota_gateway.counter.client import Counter
+from quota_gateway.discovery.client import BadList, Discovery, Listing, pace_of, read_address, read_listing
+from quota_gateway.dispatch.dispatcher import Driver
+from quota_gateway.hot_restart.coordinator import Handover
+from quota_gateway.sockets.listening import bind, inherit
+from quota_gateway.configuration.settings_reader import Limits, read_limits, read_settings
 
 RESERVE = 64  # descriptors kept for the listener, discovery, the counter, and what the run-time itself needs
 RESERVE_PART = 0.25  # of the descriptors, at most, that this may be
--- a/quota_gateway/net/console.py
+++ b/quota_gateway/admin/server.py
@@ -11,7 +11,7 @@
 
 import httptools
 
-from quota_gateway.net.listening import bind
+from quota_gateway.sockets.listening import bind
 
 MOST_CALLS = 16  # connections at once: with more, the one that has gone longest without a call makes way
 MOST_SIZE = 8 * 1024  # bytes of one call, head and body
--- /dev/null
+++ b/quota_gateway/configuration/__init__.py
@@ -0,0 +1,1 @@
+"""Reads the configuration file, its settings and the environment."""
--- a/quota_gateway/settings.py
+++ b/quota_gateway/configuration/settings_reader.py
@@ -5,7 +5,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from quota_gateway.interface import Plan, Repeats, RequestClass, Scope, Settings, Status
+from quota_gateway.model.endpoints import Status
+from quota_gateway.model.settings import Plan, Repeats, RequestClass, Scope, Settings
 
 REPEATS = {"repeatable": Repeats.SAFE, "by_key": Repeats.BY_KEY, "once": Repeats.ONCE}
 SCOPES = {"all": Scope.ALL, "zone": Scope.ZONE, "cell": Scope.CELL}
--- /dev/null
+++ b/quota_gateway/counter/__init__.py
@@ -0,0 +1,1 @@
+"""Client of the quota counter."""
--- a/quota_gateway/net/counter.py
+++ b/quota_gateway/counter/client.py
@@ -11,8 +11,9 @@
 
 import hiredis
 
-from quota_gateway.interface import Counted, Outcome
-from quota_gateway.net.descriptors import dial, nothing_makes_way
+from quota_gateway.model.events import Counted
+from quota_gateway.model.outcomes import Outcome
+from quota_gateway.sockets.dialing import dial, nothing_makes_way
 
 LINES = 4  # connections: names are dealt out over them, so that one slow part holds up fewer of the others
 SILENT_AFTER = 10.0  # times the patience that the first in line may wait before its connection is given up
--- /dev/null
+++ b/quota_gateway/discovery/__init__.py
@@ -0,0 +1,1 @@
+"""Follows the list of endpoints."""
--- a/quota_gateway/net/discovery.py
+++ b/quota_gateway/discovery/client.py
@@ -13,9 +13,9 @@
 
 import httptools
 
-from quota_gateway.interface import Backend, ListKind, Status
-from quota_gateway.net.descriptors import dial, nothing_makes_way
-from quota_gateway.settings import STATUSES
+from quota_gateway.model.endpoints import Backend, ListKind, Status
+from quota_gateway.sockets.dialing import dial, nothing_makes_way
+from quota_gateway.configuration.settings_reader import STATUSES
 
 TOLD_WITHIN = 6.0  # seconds after discovery has a change and can be reached from which it counts as told
 PUSHED_WAIT, ASKED_WAIT = 1.0, 2.0  # seconds of a watch: one that has fallen silent shows only after it
--- /dev/null
+++ b/quota_gateway/dispatch/__init__.py
@@ -0,0 +1,1 @@
+"""Joins the decisions to the sockets."""
--- a/quota_gateway/net/driver.py
+++ b/quota_gateway/dispatch/dispatcher.py
@@ -13,19 +13,34 @@
 from dataclasses import dataclass, replace
 from typing import Protocol
 
-from quota_gateway.control import Gateway
-from quota_gateway.estate import estate_of
-from quota_gateway.interface import (
-    Action, AttemptEnded, Backend, BackendList, BodySpent, Cancel, Charged, ClientLeft, Count, Counted,
-    Dismiss, Drain, Estate, Event, Fail, Maintain, Outcome, Refuse, Request, Rest, Send, SetTimer, Status,
-    StreamBegun, TimerDue, Unwanted, Uploaded,
+from quota_gateway.policy.engine import Gateway
+from quota_gateway.policy.state_snapshot import estate_of
+from quota_gateway.model.actions import Action, Cancel, Count, Dismiss, Fail, Refuse, Rest, Send, SetTimer
+from quota_gateway.model.charges import Charged
+from quota_gateway.model.endpoints import Backend, Status
+from quota_gateway.model.events import (
+    AttemptEnded,
+    BackendList,
+    BodySpent,
+    ClientLeft,
+    Counted,
+    Drain,
+    Estate,
+    Event,
+    Maintain,
+    Request,
+    StreamBegun,
+    TimerDue,
+    Unwanted,
+    Uploaded,
 )
-from quota_gateway.net.backends import Answer, Attempt, Pool
-from quota_gateway.net.bodies import Head, Sink, Source, Upload
-from quota_gateway.net.counter import Counter
-from quota_gateway.net.discovery import Listing
-from quota_gateway.net.figures import Figures
-from quota_gateway.standing import avoided, knows
+from quota_gateway.model.outcomes import Outcome
+from quota_gateway.upstream.connection_pool import Answer, Attempt, Pool
+from quota_gateway.body_streaming import Head, Sink, Source, Upload
+from quota_gateway.counter.client import Counter
+from quota_gateway.discovery.client import Listing
+from quota_gateway.metrics import Figures
+from quota_gateway.policy.maintenance import avoided, knows
 
 EARLY = 0.1  # seconds before the client's end at which the module takes a request to be over: the budget
 # runs from the client's send, the answer has its way back, and the core may be busy with another gateway
--- /dev/null
+++ b/quota_gateway/downstream/__init__.py
@@ -0,0 +1,1 @@
+"""The clients' side: connections, requests and their responses."""
--- a/quota_gateway/net/calls.py
+++ b/quota_gateway/downstream/request_parser.py
@@ -9,9 +9,9 @@
 import re
 from functools import lru_cache
 
-from quota_gateway.interface import Repeats, Settings
-from quota_gateway.net.bodies import Upload
-from quota_gateway.net.driver import Call
+from quota_gateway.model.settings import Repeats, Settings
+from quota_gateway.body_streaming import Upload
+from quota_gateway.dispatch.dispatcher import Call
 
 CALL_ID = re.compile(rb"[0-9A-Za-z_.-]{1,64}")
 CLIENT = re.compile(rb"[?&]client=([^&]*)")
--- a/quota_gateway/net/exchange.py
+++ b/quota_gateway/downstream/response_writer.py
@@ -5,7 +5,7 @@
 import asyncio
 from typing import Protocol
 
-from quota_gateway.net.bodies import LAST_CHUNK, Head, Source, chunk
+from quota_gateway.body_streaming import LAST_CHUNK, Head, Source, chunk
 
 REASONS = {
     200: b"OK", 400: b"Bad Request", 404: b"Not Found", 405: b"Method Not Allowed",
--- /dev/null
+++ b/quota_gateway/hot_restart/__init__.py
@@ -0,0 +1,1 @@
+"""Hands state from an older process of a gateway to a newer one."""
--- a/quota_gateway/net/handover.py
+++ b/quota_gateway/hot_restart/coordinator.py
@@ -14,9 +14,11 @@
 from collections.abc import Callable
 from typing import Any, cast
 
-from quota_gateway.interface import Backend, Charged, Estate, ListKind, Paired, Status
-from quota_gateway.net.discovery import Entry, Listing
-from quota_gateway.net.driver import Driver
+from quota_gateway.model.charges import Charged
+from quota_gateway.model.endpoints import Backend, ListKind, Status
+from quota_gateway.model.events import Estate, Paired
+from quota_gateway.discovery.client import Entry, Listing
+from quota_gateway.dispatch.dispatcher import Driver
 
 NAME = "embersill.handover"  # of the socket: processes of older versions look for it
 ESTATE_WITHIN = 2.0  # seconds for the older process to give its estate: it may be slow, or hang
--- /dev/null
+++ b/quota_gateway/model/__init__.py
@@ -0,0 +1,1 @@
+"""Types that the decisions and the network code share."""
--- /dev/null
+++ b/quota_gateway/policy/__init__.py
@@ -0,0 +1,1 @@
+"""Every decision of the gateway."""
--- a/quota_gateway/control.py
+++ b/quota_gateway/policy/engine.py
@@ -7,20 +7,46 @@
 from collections import deque
 from collections.abc import Sequence
 
-from quota_gateway.estate import charge, charged, inherit
-from quota_gateway.interface import (
-    Action, AttemptEnded, Backend, BackendList, BodySpent, Cancel, Charged, ClientLeft, Count, Counted,
-    Dismiss, Drain, Estate, Event, Fail, ListKind, Maintain, Outcome, Paired, Plan, Refuse, Repeats,
-    Request, RequestClass, Scope, Send, SetTimer, Settings, Status, StreamBegun, Subscribe, TimerDue,
-    Unwanted, Uploaded,
+from quota_gateway.policy.state_snapshot import charge, charged, inherit
+from quota_gateway.model.actions import (
+    Action,
+    Cancel,
+    Count,
+    Dismiss,
+    Fail,
+    Refuse,
+    Send,
+    SetTimer,
+    Subscribe,
 )
-from quota_gateway.leaving import client_left, forget, unwanted
-from quota_gateway.ramp import keeps
-from quota_gateway.standing import as_returned, maintain
-from quota_gateway.streams import long_body
-from quota_gateway.subset import subset
-from quota_gateway.throttle import EPS, PERIOD, Throttle
-from quota_gateway.work import (
+from quota_gateway.model.charges import Charged
+from quota_gateway.model.endpoints import Backend, ListKind, Status
+from quota_gateway.model.events import (
+    AttemptEnded,
+    BackendList,
+    BodySpent,
+    ClientLeft,
+    Counted,
+    Drain,
+    Estate,
+    Event,
+    Maintain,
+    Paired,
+    Request,
+    StreamBegun,
+    TimerDue,
+    Unwanted,
+    Uploaded,
+)
+from quota_gateway.model.outcomes import Outcome
+from quota_gateway.model.settings import Plan, Repeats, RequestClass, Scope, Settings
+from quota_gateway.policy.request_completion import client_left, forget, unwanted
+from quota_gateway.policy.slow_start import keeps
+from quota_gateway.policy.maintenance import as_returned, maintain
+from quota_gateway.policy.streaming import long_body
+from quota_gateway.policy.subsetting import subset
+from quota_gateway.policy.token_bucket import EPS, PERIOD, Throttle
+from quota_gateway.policy.records import (
     LEAST_LIMIT, SHUN, START_LIMIT, Attempt, Job, Server, check, group_of, moved, usual_key, wanted_until,
 )
 
--- a/quota_gateway/standing.py
+++ b/quota_gateway/policy/maintenance.py
@@ -5,13 +5,15 @@
 from dataclasses import replace
 from typing import TYPE_CHECKING
 
-from quota_gateway.interface import Backend, Maintain, Rest
-from quota_gateway.work import SHUN
+from quota_gateway.model.actions import Rest
+from quota_gateway.model.endpoints import Backend
+from quota_gateway.model.events import Maintain
+from quota_gateway.policy.records import SHUN
 
 UNUSED_FOR = 1.5  # seconds from which a backend that is shunned counts as avoided
 
 if TYPE_CHECKING:
-    from quota_gateway.control import Gateway
+    from quota_gateway.policy.engine import Gateway
 
 
 def maintain(gateway: Gateway, event: Maintain) -> None:
--- a/quota_gateway/work.py
+++ b/quota_gateway/policy/records.py
@@ -5,10 +5,12 @@
 import math
 from typing import TYPE_CHECKING
 
-from quota_gateway.interface import Backend, Request, RequestClass, Scope, Settings
+from quota_gateway.model.endpoints import Backend
+from quota_gateway.model.events import Request
+from quota_gateway.model.settings import RequestClass, Scope, Settings
 
 if TYPE_CHECKING:
-    from quota_gateway.throttle import Throttle
+    from quota_gateway.policy.token_bucket import Throttle
 
 FORGET = 8.0  # seconds in which what is held against a backend halves: troubles last five to forty
 SHUN = 0.5  # what is held against a backend from which another draw is made in its place
--- a/quota_gateway/leaving.py
+++ b/quota_gateway/policy/request_completion.py
@@ -4,12 +4,12 @@
 
 from typing import TYPE_CHECKING
 
-from quota_gateway.estate import charge
-from quota_gateway.throttle import PERIOD
-from quota_gateway.work import Job
+from quota_gateway.policy.state_snapshot import charge
+from quota_gateway.policy.token_bucket import PERIOD
+from quota_gateway.policy.records import Job
 
 if TYPE_CHECKING:
-    from quota_gateway.control import Gateway
+    from quota_gateway.policy.engine import Gateway
 
 
 def client_left(gateway: Gateway, request: int) -> None:
--- a/quota_gateway/ramp.py
+++ b/quota_gateway/policy/slow_start.py
@@ -19,10 +19,10 @@
 
 from typing import TYPE_CHECKING
 
-from quota_gateway.work import SHUN, Job, Server
+from quota_gateway.policy.records import SHUN, Job, Server
 
 if TYPE_CHECKING:
-    from quota_gateway.control import Gateway
+    from quota_gateway.policy.engine import Gateway
 
 PART = 0.5  # of N that the fleet spends at most: twice the even load may come before it is passed
 
--- a/quota_gateway/estate.py
+++ b/quota_gateway/policy/state_snapshot.py
@@ -8,12 +8,14 @@
 
 from typing import TYPE_CHECKING, Any
 
-from quota_gateway.interface import Charged, Dismiss, Estate
-from quota_gateway.standing import as_returned
-from quota_gateway.throttle import Throttle
+from quota_gateway.model.actions import Dismiss
+from quota_gateway.model.charges import Charged
+from quota_gateway.model.events import Estate
+from quota_gateway.policy.maintenance import as_returned
+from quota_gateway.policy.token_bucket import Throttle
 
 if TYPE_CHECKING:
-    from quota_gateway.control import Gateway
+    from quota_gateway.policy.engine import Gateway
 
 LEARNED = ("fleet_fails", "retry_credit", "passed", "limit", "quiet_until", "count_fails", "shortest",
            "counted_part", "draining")  # figures of a gateway that go over as they stand
--- a/quota_gateway/streams.py
+++ b/quota_gateway/policy/streaming.py
@@ -5,10 +5,11 @@
 from dataclasses import replace
 from typing import TYPE_CHECKING
 
-from quota_gateway.interface import AttemptEnded, BodySpent, Outcome, StreamBegun, Uploaded
+from quota_gateway.model.events import AttemptEnded, BodySpent, StreamBegun, Uploaded
+from quota_gateway.model.outcomes import Outcome
 
 if TYPE_CHECKING:
-    from quota_gateway.control import Gateway
+    from quota_gateway.policy.engine import Gateway
 
 
 def long_body(gateway: Gateway, event: StreamBegun | Uploaded | BodySpent) -> None:
--- a/quota_gateway/subset.py
+++ b/quota_gateway/policy/subsetting.py
@@ -13,7 +13,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from quota_gateway.work import Server
+    from quota_gateway.policy.records import Server
 
 REACHED_BY = 10  # gateways that use each backend: the end of one or two of them shifts little load
 LEAST_SIZE = 12  # backends that a gateway uses at least: without a zone of three eight are left
--- a/quota_gateway/throttle.py
+++ b/quota_gateway/policy/token_bucket.py
@@ -4,8 +4,8 @@
 
 from collections import deque
 
-from quota_gateway.interface import Plan
-from quota_gateway.work import Job
+from quota_gateway.model.settings import Plan
+from quota_gateway.policy.records import Job
 
 PERIOD = 1.0  # seconds a demand count covers; the design's own, and short against a client's patience
 EPS = 1e-9  # float slack where levels are compared
--- /dev/null
+++ b/quota_gateway/simulator/__init__.py
@@ -0,0 +1,1 @@
+"""The decisions on the simulator's wire."""
--- a/quota_gateway/adapter.py
+++ b/quota_gateway/simulator/adapter.py
@@ -7,12 +7,22 @@
 from collections.abc import Iterable
 from typing import Any, TextIO
 
-from quota_gateway.control import Gateway
-from quota_gateway.interface import (
-    Action, AttemptEnded, Backend, BackendList, Cancel, ClientLeft, Count, Counted, Event, Fail, ListKind,
-    Outcome, Probed, Refuse, Request, Send, SetTimer, StreamBegun, Subscribe, TimerDue,
+from quota_gateway.policy.engine import Gateway
+from quota_gateway.model.actions import Action, Cancel, Count, Fail, Refuse, Send, SetTimer, Subscribe
+from quota_gateway.model.endpoints import Backend, ListKind
+from quota_gateway.model.events import (
+    AttemptEnded,
+    BackendList,
+    ClientLeft,
+    Counted,
+    Event,
+    Probed,
+    Request,
+    StreamBegun,
+    TimerDue,
 )
-from quota_gateway.settings import STATUSES, read_settings
+from quota_gateway.model.outcomes import Outcome
+from quota_gateway.configuration.settings_reader import STATUSES, read_settings
 
 OUTCOMES = {
     "GOOD": Outcome.SERVED, "BAD": Outcome.ERROR, "FULL": Outcome.TURNED_AWAY, "LATE": Outcome.TIMED_OUT,
--- /dev/null
+++ b/quota_gateway/sockets/__init__.py
@@ -0,0 +1,1 @@
+"""Listening sockets and outgoing connections."""
--- /dev/null
+++ b/quota_gateway/upstream/__init__.py
@@ -0,0 +1,1 @@
+"""The backends' side: attempts, connections and their pool."""
--- a/quota_gateway/net/backends.py
+++ b/quota_gateway/upstream/connection_pool.py
@@ -14,9 +14,9 @@
 
 import httptools
 
-from quota_gateway.interface import Outcome
-from quota_gateway.net.bodies import HELD, MOST_BODY, READ_AT_ONCE, Head, Sink, Upload
-from quota_gateway.net.descriptors import dial, nothing_makes_way
+from quota_gateway.model.outcomes import Outcome
+from quota_gateway.body_streaming import HELD, MOST_BODY, READ_AT_ONCE, Head, Sink, Upload
+from quota_gateway.sockets.dialing import dial, nothing_makes_way
 
 MOST_HEAD = 32 * 1024  # bytes before the body, interim answers too: a sound backend sends a hundredth of it
 MOST_FRAMING = 64  # bytes of framing that each byte of a body may bring along: pieces come as small as one
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -14,12 +14,13 @@
 from multiprocessing import Pool
 from typing import Any
 
-from quota_gateway.control import Gateway
-from quota_gateway.interface import (
-    AttemptEnded, Backend, BackendList, Event, Fail, ListKind, Maintain, Outcome, Plan, Refuse, Repeats,
-    Request, RequestClass, Scope, Send, SetTimer, Settings, Status, TimerDue,
-)
-from tests.helpers import SETTINGS
+from quota_gateway.policy.engine import Gateway
+from quota_gateway.model.actions import Fail, Refuse, Send, SetTimer
+from quota_gateway.model.endpoints import Backend, ListKind, Status
+from quota_gateway.model.events import AttemptEnded, BackendList, Event, Maintain, Request, TimerDue
+from quota_gateway.model.outcomes import Outcome
+from quota_gateway.model.settings import Plan, Repeats, RequestClass, Scope, Settings
+from tests.policy_harness import SETTINGS
 
 TRANSIT = 0.001  # seconds between a gateway and a backend
 DIAL = 0.25  # seconds until a dial to a dead machine is given up
--- a/tests/bed.py
+++ b/tests/harness.py
@@ -12,7 +12,7 @@
 import uvloop
 
 from quota_gateway.__main__ import Program, build_configuration
-from tests.peers import (
+from tests.fakes import (
     HOST, SOON, Asked, BackendPeer, CounterPeer, DiscoveryPeer, read_message, settings_text,
 )
 
--- a/tests/helpers.py
+++ b/tests/policy_harness.py
@@ -4,31 +4,20 @@
 
 from dataclasses import replace
 
-from quota_gateway.control import Gateway
-from quota_gateway.interface import (
-    Action,
+from quota_gateway.policy.engine import Gateway
+from quota_gateway.model.actions import Action, Count, Fail, Refuse, Send, SetTimer
+from quota_gateway.model.endpoints import Backend, ListKind, Status
+from quota_gateway.model.events import (
     AttemptEnded,
-    Backend,
     BackendList,
     ClientLeft,
-    Count,
     Counted,
     Event,
-    Fail,
-    ListKind,
-    Outcome,
-    Plan,
-    Refuse,
-    Repeats,
     Request,
-    RequestClass,
-    Scope,
-    Send,
-    SetTimer,
-    Settings,
-    Status,
     TimerDue,
 )
+from quota_gateway.model.outcomes import Outcome
+from quota_gateway.model.settings import Plan, Repeats, RequestClass, Scope, Settings
 
 SAFE = RequestClass("read", Repeats.SAFE, Scope.ALL, 5.0, 1.0, 4.0, 0.0, 1.0, False)
 KEYED = RequestClass("keyed", Repeats.BY_KEY, Scope.CELL, 3.0, 1.0, 4.0, 0.0, 1.0, False)
--- a/tests/recorder.py
+++ b/tests/recorder.py
@@ -14,15 +14,44 @@
 from dataclasses import replace
 from typing import Any
 
-from quota_gateway.control import Gateway
-from quota_gateway.estate import estate_of
-from quota_gateway.interface import (
-    Action, AttemptEnded, Backend, BackendList, BodySpent, Cancel, Charged, ClientLeft, Count, Counted,
-    Dismiss, Drain, Estate, Event, Fail, ListKind, Maintain, Outcome, Paired, Plan, Probed, Refuse, Request,
-    Rest, Send, SetTimer, Settings, Status, StreamBegun, Subscribe, TimerDue, Unwanted, Uploaded,
+from quota_gateway.policy.engine import Gateway
+from quota_gateway.policy.state_snapshot import estate_of
+from quota_gateway.model.actions import (
+    Action,
+    Cancel,
+    Count,
+    Dismiss,
+    Fail,
+    Refuse,
+    Rest,
+    Send,
+    SetTimer,
+    Subscribe,
 )
-from quota_gateway.standing import avoided
-from tests.helpers import CAPPED, OPEN, PLAN, SETTINGS
+from quota_gateway.model.charges import Charged
+from quota_gateway.model.endpoints import Backend, ListKind, Status
+from quota_gateway.model.events import (
+    AttemptEnded,
+    BackendList,
+    BodySpent,
+    ClientLeft,
+    Counted,
+    Drain,
+    Estate,
+    Event,
+    Maintain,
+    Paired,
+    Probed,
+    Request,
+    StreamBegun,
+    TimerDue,
+    Unwanted,
+    Uploaded,
+)
+from quota_gateway.model.outcomes import Outcome
+from quota_gateway.model.settings import Plan, Settings
+from quota_gateway.policy.maintenance import avoided
+from tests.policy_harness import CAPPED, OPEN, PLAN, SETTINGS
 
 FOLDER = pathlib.Path(__file__).parent / "recorded"
 START = 1000.0  # seconds
--- a/tests/test_console.py
+++ b/tests/test_admin_api.py
@@ -6,10 +6,10 @@
 
 import pytest
 
-from quota_gateway.net import console
-from quota_gateway.net.console import MOST_CALLS, MOST_SIZE
-from tests.bed import READY, Bed, Client, request, run, running
-from tests.peers import SOON, Asked, message, serve_after
+from quota_gateway.admin import server
+from quota_gateway.admin.server import MOST_CALLS, MOST_SIZE
+from tests.harness import READY, Bed, Client, request, run, running
+from tests.fakes import SOON, Asked, message, serve_after
 
 
 @pytest.mark.parametrize(("method", "path", "status"), [
@@ -65,7 +65,7 @@
 
 
 def test_a_call_that_does_not_come_is_ended(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(console, "HEAD_WITHIN", 0.0)
+    monkeypatch.setattr(server, "HEAD_WITHIN", 0.0)
 
     async def test() -> None:
         async with running() as bed:
--- a/tests/test_bodies.py
+++ b/tests/test_body_streaming.py
@@ -9,15 +9,15 @@
 
 import pytest
 
-from quota_gateway.interface import (
-    BodySpent, Outcome, Refuse, Send, SetTimer, StreamBegun, TimerDue, Uploaded,
-)
-from quota_gateway.net.bodies import HELD, READ_AT_ONCE
-from quota_gateway.net.clients import BODY_STALLED, LONG_STALLED
-from tests.bed import READY, Bed, Client, request, run, running
-from tests.helpers import ended, gateway
-from tests.helpers import request as asked_for
-from tests.peers import SOON, Asked, message, read_message, serve, serve_after
+from quota_gateway.model.actions import Refuse, Send, SetTimer
+from quota_gateway.model.events import BodySpent, StreamBegun, TimerDue, Uploaded
+from quota_gateway.model.outcomes import Outcome
+from quota_gateway.body_streaming import HELD, READ_AT_ONCE
+from quota_gateway.downstream.client_connection import BODY_STALLED, LONG_STALLED
+from tests.harness import READY, Bed, Client, request, run, running
+from tests.policy_harness import ended, gateway
+from tests.policy_harness import request as asked_for
+from tests.fakes import SOON, Asked, message, read_message, serve, serve_after
 
 LONG = random.Random(5).randbytes(5 * HELD + 17)
 HEAD = b"HTTP/1.1 200 OK\r\n"
--- a/tests/test_gone.py
+++ b/tests/test_client_disconnect.py
@@ -10,9 +10,9 @@
 
 import pytest
 
-from quota_gateway.net.clients import MOST_PIPELINED
-from tests.bed import Bed, Client, request, roomy_settings, run, running
-from tests.peers import HOST, Asked, message, settings_text
+from quota_gateway.downstream.client_connection import MOST_PIPELINED
+from tests.harness import Bed, Client, request, roomy_settings, run, running
+from tests.fakes import HOST, Asked, message, settings_text
 
 
 BEFORE_ITS_END = 2.0  # seconds: a request is held for 2.5, and has 5, and must not end by these
@@ -20,7 +20,7 @@
 
 @pytest.fixture(autouse=True)
 def at_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("quota_gateway.net.clients.GONE_AFTER", 0.0)
+    monkeypatch.setattr("quota_gateway.downstream.client_connection.GONE_AFTER", 0.0)
 
 
 async def until(done: Callable[[], bool]) -> None:
--- a/tests/test_repeats.py
+++ b/tests/test_client_retries.py
@@ -7,11 +7,12 @@
 
 import pytest
 
-from quota_gateway.control import Gateway
-from quota_gateway.interface import Action, Event, Refuse, Request, Send
-from tests.bed import request as http_request
-from tests.bed import run, running
-from tests.helpers import SAFE, gateway, request
+from quota_gateway.policy.engine import Gateway
+from quota_gateway.model.actions import Action, Refuse, Send
+from quota_gateway.model.events import Event, Request
+from tests.harness import request as http_request
+from tests.harness import run, running
+from tests.policy_harness import SAFE, gateway, request
 
 
 def repeat(number: int, patience: float) -> Request:
--- a/tests/test_terms.py
+++ b/tests/test_connection_faults.py
@@ -9,11 +9,11 @@
 
 import pytest
 
-from quota_gateway.interface import Outcome
-from quota_gateway.net.clients import MOST_ERRORS
-from tests.bed import Bed, request, roomy_settings, run, running
-from tests.clock import run_clocked, start_clock, this_loop
-from tests.test_backends import sending
+from quota_gateway.model.outcomes import Outcome
+from quota_gateway.downstream.client_connection import MOST_ERRORS
+from tests.harness import Bed, request, roomy_settings, run, running
+from tests.virtual_clock import run_clocked, start_clock, this_loop
+from tests.test_upstream_connections import sending
 
 LATE = [0.05, 0.2, 0.3, 1.0, 1.5]  # seconds that a dial takes; up to 0.25 s it is waited for
 
--- a/tests/test_counter.py
+++ b/tests/test_counter_client.py
@@ -8,12 +8,13 @@
 
 import pytest
 
-from quota_gateway.interface import Counted, Outcome
-from quota_gateway.net.counter import IDLE_LIMIT, SILENT_AFTER, Counter
-from quota_gateway.net.discovery import read_address
-from tests.bed import run
-from tests.clock import run_clocked
-from tests.peers import HOST, SOON, CounterPeer
+from quota_gateway.model.events import Counted
+from quota_gateway.model.outcomes import Outcome
+from quota_gateway.counter.client import IDLE_LIMIT, SILENT_AFTER, Counter
+from quota_gateway.discovery.client import read_address
+from tests.harness import run
+from tests.virtual_clock import run_clocked
+from tests.fakes import HOST, SOON, CounterPeer
 
 
 class Told:
--- a/tests/test_full.py
+++ b/tests/test_descriptor_exhaustion.py
@@ -10,9 +10,9 @@
 
 import pytest
 
-from tests.bed import READY, Bed, request, run
-from tests.peers import HOST, SOON, Asked, message
-from tests.test_program import process
+from tests.harness import READY, Bed, request, run
+from tests.fakes import HOST, SOON, Asked, message
+from tests.test_gateway_process import process
 
 LIMITS = [256, 1024]
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -6,13 +6,13 @@
 
 import pytest
 
-from quota_gateway.interface import ListKind, Status
-from quota_gateway.net import discovery
-from quota_gateway.net.discovery import (
+from quota_gateway.model.endpoints import ListKind, Status
+from quota_gateway.discovery import client
+from quota_gateway.discovery.client import (
     BadList, Discovery, Listing, pace_of, read_address, read_listing, read_seconds,
 )
-from tests.bed import Bed, request, roomy_settings, run, running
-from tests.peers import DiscoveryPeer, message, read_message
+from tests.harness import Bed, request, roomy_settings, run, running
+from tests.fakes import DiscoveryPeer, message, read_message
 
 
 async def follow(peer: DiscoveryPeer) -> tuple[Discovery, asyncio.Queue[Listing]]:
@@ -85,12 +85,12 @@
                 done.set()
                 await asyncio.Event().wait()
 
-        async def refuse(agent: discovery.Agent) -> Listing:
+        async def refuse(agent: client.Agent) -> Listing:
             raise BadList("status 503", 3.0 if len(slept) == 7 else 0.0)
 
-        monkeypatch.setattr("quota_gateway.net.discovery.asyncio.sleep", sleep)
-        monkeypatch.setattr(discovery.Agent, "call", refuse)
-        agent = discovery.Agent(("127.0.0.1", 9), 1.0, lambda agent, listing: None)
+        monkeypatch.setattr("quota_gateway.discovery.client.asyncio.sleep", sleep)
+        monkeypatch.setattr(client.Agent, "call", refuse)
+        agent = client.Agent(("127.0.0.1", 9), 1.0, lambda agent, listing: None)
         await done.wait()
         agent.stop()
         return slept
@@ -110,7 +110,7 @@
     small, large = pace_of(4, False, 2.0), pace_of(40, False, 2.0)
     assert large.first == 0.75 > 3 * small.first and large.most == small.most == 1.0
     assert pace_of(1000, False, 2.0) == large
-    assert pace_of(1, False, 2.0) == discovery.LONE == discovery.Pace(2.0, 1.0, 2, 0.05, 1.0)
+    assert pace_of(1, False, 2.0) == client.LONE == client.Pace(2.0, 1.0, 2, 0.05, 1.0)
 
 
 @pytest.mark.parametrize("grace", [0.5, 2.0])
@@ -184,8 +184,8 @@
         peer.entries = {"a": peer.entry("a", "127.0.0.1:9")}
         peer.trickles = trickles
         with monkeypatch.context() as patch:
-            patch.setattr(discovery, "asyncio", time)
-            patch.setattr("quota_gateway.net.discovery.random.uniform", lambda least, most: most)
+            patch.setattr(client, "asyncio", time)
+            patch.setattr("quota_gateway.discovery.client.random.uniform", lambda least, most: most)
             made = Discovery(read_address(peer.address), DIAL, told.put_nowait,
                              pace=pace_of(gateways, pushed, 2.0))
             made.start()
@@ -198,7 +198,7 @@
             await peer.change(peer.entry("a", "127.0.0.1:9", "DRAINING"))
             time.expire()  # the call after it
             assert (await told.get()).entries[0].backend.status is Status.DRAINING
-            assert time.spent <= discovery.TOLD_WITHIN
+            assert time.spent <= client.TOLD_WITHIN
             made.stop()
         await peer.stop()
 
@@ -289,11 +289,11 @@
 
 def test_a_call_that_had_no_answer_is_waited_for_longer_the_next_time() -> None:
     async def test() -> None:
-        agent = discovery.Agent(("127.0.0.1", 9), 1.0, lambda agent, listing: None, generation=7)
+        agent = client.Agent(("127.0.0.1", 9), 1.0, lambda agent, listing: None, generation=7)
         for unanswered in (1, 2):
             agent.failed(TimeoutError())
             assert (agent.unanswered, agent.generation) == (unanswered, 7)
-        agent.failed(discovery.Unanswered("status 503"))
+        agent.failed(client.Unanswered("status 503"))
         assert (agent.unanswered, agent.generation) == (2, 7)
         agent.failed(BadList("status 410"))
         assert agent.generation is None
@@ -325,8 +325,8 @@
 
 def test_a_streak_of_failures_is_told_of_once(caplog: pytest.LogCaptureFixture) -> None:
     async def test() -> None:
-        agent = discovery.Agent(("127.0.0.1", 9), 1.0, lambda agent, listing: None, generation=7)
-        for error in (TimeoutError(), BadList("bad\nlist"), discovery.Unanswered("status 503")):
+        agent = client.Agent(("127.0.0.1", 9), 1.0, lambda agent, listing: None, generation=7)
+        for error in (TimeoutError(), BadList("bad\nlist"), client.Unanswered("status 503")):
             agent.failed(error)
         agent.stop()
 
--- a/tests/test_told.py
+++ b/tests/test_endpoint_updates.py
@@ -13,12 +13,12 @@
 
 import pytest
 
-from quota_gateway.interface import Status
-from quota_gateway.net import discovery
-from quota_gateway.net.discovery import TOLD_WITHIN, Discovery, Listing, Pace, pace_of, read_address
-from tests.bed import Bed, request, roomy_settings
-from tests.clock import run_clocked, start_clock
-from tests.peers import HOST, DiscoveryPeer, message, read_message
+from quota_gateway.model.endpoints import Status
+from quota_gateway.discovery import client
+from quota_gateway.discovery.client import TOLD_WITHIN, Discovery, Listing, Pace, pace_of, read_address
+from tests.harness import Bed, request, roomy_settings
+from tests.virtual_clock import run_clocked, start_clock
+from tests.fakes import HOST, DiscoveryPeer, message, read_message
 
 GRACE = 2.0
 AGENTS = 16
@@ -175,7 +175,7 @@
             pace = pace_of(gateways, pushed, GRACE)
             drawn = [pace.pause(pace.first, advised) for advised in (0.0, 0.1, 3.0, 1e9) for _ in range(200)]
             assert max(drawn) <= pace.most and len(set(drawn)) > 700  # a herd that was told the same spreads
-            kept = min(0.1, pace.most * discovery.LEAST_PART)
+            kept = min(0.1, pace.most * client.LEAST_PART)
             assert min(pace.pause(pace.first, 0.1) for _ in range(200)) >= kept - 1e-9
 
 
--- a/tests/test_together.py
+++ b/tests/test_fleet_of_engines.py
@@ -9,12 +9,13 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from quota_gateway.control import Gateway
-from quota_gateway.interface import (
-    Action, BackendList, Count, Counted, ListKind, Outcome, Plan, Probed, Refuse, Request, Send, SetTimer,
-    TimerDue,
-)
-from tests.helpers import CAPPED, PLAN, SETTINGS, backend, backends, ended, gateway, request
+from quota_gateway.policy.engine import Gateway
+from quota_gateway.model.actions import Action, Count, Refuse, Send, SetTimer
+from quota_gateway.model.endpoints import ListKind
+from quota_gateway.model.events import BackendList, Counted, Probed, Request, TimerDue
+from quota_gateway.model.outcomes import Outcome
+from quota_gateway.model.settings import Plan
+from tests.policy_harness import CAPPED, PLAN, SETTINGS, backend, backends, ended, gateway, request
 
 STEPS = st.lists(st.tuples(st.integers(0, 10**6), st.floats(0.0, 0.4)), min_size=40, max_size=160)
 
--- a/tests/test_upgrade.py
+++ b/tests/test_hot_restart.py
@@ -14,15 +14,18 @@
 
 import pytest
 
-from quota_gateway.estate import estate_of
-from quota_gateway.interface import Charged, Drain, Estate, Maintain, Outcome, Paired, Send
-from quota_gateway.net import handover
-from quota_gateway.net.handover import NAME
-from tests.bed import READY, Bed, Client, request, roomy_settings, run, running
-from tests.helpers import ended, gateway
-from tests.helpers import request as asked_for
-from tests.peers import HOST, SOON, serve_after
-from tests.test_program import ROOT, RUN
+from quota_gateway.policy.state_snapshot import estate_of
+from quota_gateway.model.actions import Send
+from quota_gateway.model.charges import Charged
+from quota_gateway.model.events import Drain, Estate, Maintain, Paired
+from quota_gateway.model.outcomes import Outcome
+from quota_gateway.hot_restart import coordinator
+from quota_gateway.hot_restart.coordinator import NAME
+from tests.harness import READY, Bed, Client, request, roomy_settings, run, running
+from tests.policy_harness import ended, gateway
+from tests.policy_harness import request as asked_for
+from tests.fakes import HOST, SOON, serve_after
+from tests.test_gateway_process import ROOT, RUN
 
 
 def sent_on(made: Any, number: int, units: float, now: float = 100.0) -> list[Any]:
@@ -233,7 +236,7 @@
 def test_an_older_process_that_hangs_is_not_waited_for(
     tmp_path: pathlib.Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(handover, "ESTATE_WITHIN", 0.01)
+    monkeypatch.setattr(coordinator, "ESTATE_WITHIN", 0.01)
 
     async def test() -> None:
         with socket.socket(socket.AF_UNIX) as hung:
@@ -242,7 +245,7 @@
             async with running() as bed:
                 program = bed.program
                 succession: list[bool] = []
-                made = handover.Handover(
+                made = coordinator.Handover(
                     str(tmp_path), program.driver, program.discovery.heard, succession.append)
                 await made.inherit()
                 assert len(made.links) == 1
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -2,9 +2,11 @@
 
 from __future__ import annotations
 
-from quota_gateway.interface import Dismiss, Drain, Maintain, Rest, Send, Status
-from quota_gateway.standing import avoided, knows
-from tests.helpers import backend, backends, gateway, request
+from quota_gateway.model.actions import Dismiss, Rest, Send
+from quota_gateway.model.endpoints import Status
+from quota_gateway.model.events import Drain, Maintain
+from quota_gateway.policy.maintenance import avoided, knows
+from tests.policy_harness import backend, backends, gateway, request
 
 
 def sends(made: object, numbers: range) -> set[str]:
--- a/tests/test_leaving.py
+++ b/tests/test_no_attempt_after_disconnect.py
@@ -13,12 +13,12 @@
 
 import pytest
 
-from quota_gateway.net.bodies import HELD
-from quota_gateway.net.clients import MOST_PIPELINED, ClientConnection
-from quota_gateway.net.driver import Driver
-from tests.bed import Bed, Client, request, roomy_settings, running
-from tests.clock import run_clocked, start_clock, this_loop
-from tests.peers import Asked, BackendPeer, message, serve, settings_text
+from quota_gateway.body_streaming import HELD
+from quota_gateway.downstream.client_connection import MOST_PIPELINED, ClientConnection
+from quota_gateway.dispatch.dispatcher import Driver
+from tests.harness import Bed, Client, request, roomy_settings, running
+from tests.virtual_clock import run_clocked, start_clock, this_loop
+from tests.fakes import Asked, BackendPeer, message, serve, settings_text
 
 ALLOWED = 0.1  # seconds
 AFTER = [0.02, 0.105, 0.125, 0.15, 0.4]  # seconds after the client's end at which what is waited for comes
@@ -101,7 +101,7 @@
 @asynccontextmanager
 async def recorded(backends: int, env: dict[str, Any]) -> AsyncIterator[Bed]:
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr("tests.bed.BackendPeer", Recorder)
+        patch.setattr("tests.harness.BackendPeer", Recorder)
         async with running(backends, patient(env)) as bed:
             yield bed
 
--- a/tests/test_rules.py
+++ b/tests/test_policy_invariants.py
@@ -9,11 +9,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from quota_gateway.control import Gateway
-from quota_gateway.interface import (
-    ClientLeft, Fail, ListKind, Outcome, Refuse, Send, SetTimer, Status, TimerDue,
-)
-from tests.helpers import CAPPED, SETTINGS, Watch, backend, backends, ended, gateway, request
+from quota_gateway.policy.engine import Gateway
+from quota_gateway.model.actions import Fail, Refuse, Send, SetTimer
+from quota_gateway.model.endpoints import ListKind, Status
+from quota_gateway.model.events import ClientLeft, TimerDue
+from quota_gateway.model.outcomes import Outcome
+from tests.policy_harness import CAPPED, SETTINGS, Watch, backend, backends, ended, gateway, request
 
 STEP = st.tuples(st.sampled_from(["ask", "end", "end", "wait", "leave", "drain", "count", "silence"]),
                  st.integers(0, 10**6), st.floats(0.0, 1.5))
--- a/tests/test_throttle.py
+++ b/tests/test_rate_limiting.py
@@ -6,11 +6,13 @@
 
 import pytest
 
-from quota_gateway.control import Gateway
-from quota_gateway.interface import Count, Counted, Outcome, Refuse, Send, SetTimer, TimerDue
-from quota_gateway.ramp import cold_chance
-from quota_gateway.throttle import EPS, Throttle
-from tests.helpers import CAPPED, PLAN, SETTINGS, Watch, backend, backends, ended, gateway, request
+from quota_gateway.policy.engine import Gateway
+from quota_gateway.model.actions import Count, Refuse, Send, SetTimer
+from quota_gateway.model.events import Counted, TimerDue
+from quota_gateway.model.outcomes import Outcome
+from quota_gateway.policy.slow_start import cold_chance
+from quota_gateway.policy.token_bucket import EPS, Throttle
+from tests.policy_harness import CAPPED, PLAN, SETTINGS, Watch, backend, backends, ended, gateway, request
 
 
 def sends(actions: list[object]) -> int:
--- a/tests/test_recorded_messages.py
+++ b/tests/test_recorded_messages.py
@@ -9,11 +9,12 @@
 
 import pytest
 
-from quota_gateway.estate import estate_of
-from quota_gateway.interface import Charged, Estate
-from quota_gateway.net.handover import Handover, Link
-from tests.bed import Bed, run, running
-from tests.helpers import gateway
+from quota_gateway.policy.state_snapshot import estate_of
+from quota_gateway.model.charges import Charged
+from quota_gateway.model.events import Estate
+from quota_gateway.hot_restart.coordinator import Handover, Link
+from tests.harness import Bed, run, running
+from tests.policy_harness import gateway
 
 RECORDED = json.loads((pathlib.Path(__file__).parent / "recorded/hot_restart_messages.json").read_text())
 FROM_OLDER: list[str] = RECORDED["older"]
--- a/tests/test_driver.py
+++ b/tests/test_request_dispatcher.py
@@ -6,10 +6,11 @@
 
 import pytest
 
-from quota_gateway.control import Gateway
-from quota_gateway.interface import Action, Event, Fail, Request, Send
-from tests.bed import Bed, request, roomy_settings, run, running
-from tests.peers import Asked, Step, message, serve
+from quota_gateway.policy.engine import Gateway
+from quota_gateway.model.actions import Action, Fail, Send
+from quota_gateway.model.events import Event, Request
+from tests.harness import Bed, request, roomy_settings, run, running
+from tests.fakes import Asked, Step, message, serve
 
 
 def says(text: bytes) -> Step:
--- a/tests/test_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -11,8 +11,8 @@
 
 import pytest
 
-from quota_gateway.adapter import Host, Malformed, serve
-from quota_gateway.settings import read_settings
+from quota_gateway.simulator.adapter import Host, Malformed, serve
+from quota_gateway.configuration.settings_reader import read_settings
 
 HERE = pathlib.Path(__file__).parent
 FRAMES = (HERE / "batch.txt").read_text()
@@ -49,14 +49,14 @@
 
 
 def test_malformed_input_ends_with_one_plain_line() -> None:
-    done = subprocess.run([sys.executable, "-m", "quota_gateway.adapter"], input="rubbish\n", text=True,
-                          capture_output=True, cwd=HERE.parent, check=False)
+    command = [sys.executable, "-m", "quota_gateway.simulator.adapter"]
+    done = subprocess.run(command, input="rubbish\n", text=True, capture_output=True, cwd=HERE.parent, check=False)
     assert done.returncode != 0 and done.stdout == ""
     assert len(done.stderr.strip().splitlines()) == 1 and "malformed" in done.stderr
 
 
 def test_an_exception_goes_out_as_crash(monkeypatch: pytest.MonkeyPatch) -> None:
-    from quota_gateway.control import Gateway
+    from quota_gateway.policy.engine import Gateway
 
     def fail(*_: object) -> None:
         raise RuntimeError("it broke")
--- a/tests/test_cold.py
+++ b/tests/test_slow_start.py
@@ -6,12 +6,13 @@
 
 import pytest
 
-from quota_gateway.control import Gateway
-from quota_gateway.interface import Maintain, Send
-from quota_gateway.ramp import PART, budget, cold_chance
-from quota_gateway.work import SHUN
+from quota_gateway.policy.engine import Gateway
+from quota_gateway.model.actions import Send
+from quota_gateway.model.events import Maintain
+from quota_gateway.policy.slow_start import PART, budget, cold_chance
+from quota_gateway.policy.records import SHUN
 from tests.fleet import Result, cases, play
-from tests.helpers import SETTINGS, backend, backends, gateway, request
+from tests.policy_harness import SETTINGS, backend, backends, gateway, request
 
 
 @pytest.mark.parametrize(("sick", "cold"), [(0, 1), (2, 1), (0, 3), (2, 3)])
--- a/tests/test_subset.py
+++ b/tests/test_subsetting.py
@@ -6,10 +6,11 @@
 from collections.abc import Iterable
 from dataclasses import replace
 
-from quota_gateway.interface import Backend, ListKind, Send, Status
-from quota_gateway.subset import LEAST_SIZE, size_of, subset
-from quota_gateway.work import Server
-from tests.helpers import backends, gateway, request
+from quota_gateway.model.actions import Send
+from quota_gateway.model.endpoints import Backend, ListKind, Status
+from quota_gateway.policy.subsetting import LEAST_SIZE, size_of, subset
+from quota_gateway.policy.records import Server
+from tests.policy_harness import backends, gateway, request
 
 ZONES = ("a", "b", "c")
 GATEWAYS = 40
--- a/tests/test_backends.py
+++ b/tests/test_upstream_connections.py
@@ -11,12 +11,12 @@
 
 import pytest
 
-from quota_gateway.interface import Outcome
-from quota_gateway.net import backends
-from quota_gateway.net.backends import MOST_HEAD, RESTED, Answer, Attempt, Pool
-from quota_gateway.net.bodies import HELD
-from tests.bed import run
-from tests.peers import HOST, SOON, Asked, BackendPeer, Step, message
+from quota_gateway.model.outcomes import Outcome
+from quota_gateway.upstream import connection_pool
+from quota_gateway.upstream.connection_pool import MOST_HEAD, RESTED, Answer, Attempt, Pool
+from quota_gateway.body_streaming import HELD
+from tests.harness import run
+from tests.fakes import HOST, SOON, Asked, BackendPeer, Step, message
 
 HEAD = b"POST /api HTTP/1.1\r\nX-Call-Id: 1\r\nContent-Length: 2\r\n"
 
@@ -412,7 +412,7 @@
     # each of these was waited for until the attempt's time was up, and the request failed with it
     async def test() -> None:
         if len(text) > 50 or b"\r\n\r\n" in text and b": 10\r" not in text:  # all but those that just stop
-            monkeypatch.setattr(backends, "STALLED", 1000.0)
+            monkeypatch.setattr(connection_pool, "STALLED", 1000.0)
         async with sending(says(text)) as (sender, peer):
             assert await sender.outcome(1000.0) is Outcome.BROKEN
             await peer.until(lambda: peer.ended == 1)
