--- a/quota_gateway/__main__.py
+++ b/quota_gateway/__main__.py
@@ -17,19 +17,19 @@
 
 import uvloop
 
-from quota_gateway.policy.engine import Gateway
-from quota_gateway.model.charges import Charged
-from quota_gateway.model.endpoints import ListKind
-from quota_gateway.model.settings import Settings
-from quota_gateway.upstream.connection_pool import Pool
-from quota_gateway.downstream.client_connection import Front
 from quota_gateway.admin.server import Console, Operations
+from quota_gateway.configuration.settings_reader import Limits, read_limits, read_settings
 from quota_gateway.counter.client import Counter
 from quota_gateway.discovery.client import BadList, Discovery, Listing, pace_of, read_address, read_listing
 from quota_gateway.dispatch.dispatcher import Driver
+from quota_gateway.downstream.client_connection import Front
 from quota_gateway.hot_restart.coordinator import Handover
+from quota_gateway.model.charges import UnitsCharged
+from quota_gateway.model.endpoints import EndpointListKind
+from quota_gateway.model.settings import Settings
+from quota_gateway.policy.engine import PolicyEngine
 from quota_gateway.sockets.listening import bind, inherit
-from quota_gateway.configuration.settings_reader import Limits, read_limits, read_settings
+from quota_gateway.upstream.connection_pool import Pool
 
 RESERVE = 64  # descriptors kept for the listener, discovery, the counter, and what the run-time itself needs
 RESERVE_PART = 0.25  # of the descriptors, at most, that this may be
@@ -86,7 +86,7 @@
 
 def build_configuration(told: dict[str, Any], environ: dict[str, str]) -> Configuration:
     settings = read_settings(told["settings"])
-    counter = read_address(told["counter"]) if settings.counter else None
+    counter = read_address(told["counter"]) if settings.counter_enabled else None
     console = environ.get("RELAY_CONSOLE") or told.get("console")
     descriptor = environ.get("RELAY_SOCKET_FD")
     soft, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
@@ -104,7 +104,7 @@
         folder=environ.get("TMPDIR") or None,
         seed=int(told["seed"], 16),
         sockets=sockets,
-        known=read_listing(told["known"], ListKind.REMEMBERED),
+        known=read_listing(told["known"], EndpointListKind.CACHED),
         settings=settings,
         limits=read_limits(told["settings"]),
     )
@@ -126,12 +126,12 @@
         free = told.sockets - min(RESERVE, int(told.sockets * RESERVE_PART))
         clients = int(free * CLIENTS_PART)
         self.pool = Pool(clock, told.limits.dial_timeout, told.limits.keepalive, free - clients)
-        self.driver = Driver(Gateway(told.settings, told.seed, clock()), clock, self.pool)
+        self.driver = Driver(PolicyEngine(told.settings, told.seed, clock()), clock, self.pool)
         if told.counter is not None:
             self.driver.counter = Counter(
                 clock,
                 told.counter,
-                told.settings.counter_patience,
+                told.settings.counter_timeout,
                 told.limits.dial_timeout,
                 self.driver.counter_told,
             )
@@ -141,7 +141,11 @@
             told.limits.dial_timeout,
             self.driver.list_told,
             told.known.generation if told.known.entries else None,
-            pace_of(told.settings.gateways, told.settings.list_pushed, told.limits.stop_sending_within),
+            pace_of(
+                told.settings.gateway_count,
+                told.settings.endpoint_list_pushed,
+                told.limits.stop_sending_within,
+            ),
             self.short_of_descriptors,
         )
         self.pool.short = self.short_of_descriptors
@@ -149,7 +153,7 @@
             self.driver.counter.short = self.short_of_descriptors
         # its agent is on this machine: what takes longer than a dial stands in a line, and clients wait too
         self.first_list_within = min(FIRST_LIST_WITHIN, told.limits.dial_timeout)
-        deadline = max(c.deadline for c in told.settings.classes)
+        deadline = max(c.deadline for c in told.settings.request_classes)
         self.all_answered = min(deadline, MOST_DEADLINE) + KILLED_AFTER - BEFORE_KILL  # after SIGTERM
         self.front = Front(self.driver, told.settings, clock, clients, self.serves)
         self.driver.dismiss = self.front.drain
@@ -167,7 +171,7 @@
         self.front.short_of_descriptors()
 
     def serves(self) -> bool:
-        return self.settled and self.driver.gateway.takes_clients()
+        return self.settled and self.driver.gateway.accepts_clients()
 
     def maintain(self, backend: str, out: bool) -> bool:
         known = self.driver.maintain(backend, out)
@@ -180,9 +184,9 @@
         if self.handover is not None:
             self.handover.tell(drain=on)
 
-    def charge(self, charged: Charged) -> None:
+    def charge(self, charged: UnitsCharged) -> None:
         if self.handover is not None:
-            self.handover.tell(charged=[charged.customer, charged.plan, charged.width, charged.units])
+            self.handover.tell(charged=[charged.customer, charged.plan, charged.quota_spread, charged.units])
 
     def is_healthy(self) -> bool:
         return self.front.is_ready() and not self.front.stopping
--- a/quota_gateway/configuration/settings_reader.py
+++ b/quota_gateway/configuration/settings_reader.py
@@ -5,12 +5,20 @@
 from dataclasses import dataclass
 from typing import Any
 
-from quota_gateway.model.endpoints import Status
-from quota_gateway.model.settings import Plan, Repeats, RequestClass, Scope, Settings
-
-REPEATS = {"repeatable": Repeats.SAFE, "by_key": Repeats.BY_KEY, "once": Repeats.ONCE}
-SCOPES = {"all": Scope.ALL, "zone": Scope.ZONE, "cell": Scope.CELL}
-STATUSES = {"SERVING": Status.SERVING, "DRAINING": Status.DRAINING, "DELETED": Status.GONE}
+from quota_gateway.model.endpoints import EndpointStatus
+from quota_gateway.model.settings import Idempotency, IdempotencyScope, Plan, RequestClass, Settings
+
+REPEATS = {
+    "repeatable": Idempotency.IDEMPOTENT,
+    "by_key": Idempotency.IDEMPOTENCY_KEY,
+    "once": Idempotency.NON_IDEMPOTENT,
+}
+SCOPES = {"all": IdempotencyScope.ALL, "zone": IdempotencyScope.ZONE, "cell": IdempotencyScope.CELL}
+STATUSES = {
+    "SERVING": EndpointStatus.SERVING,
+    "DRAINING": EndpointStatus.DRAINING,
+    "DELETED": EndpointStatus.REMOVED,
+}
 
 
 def take(source: dict[str, Any], key: str) -> Any:
@@ -41,14 +49,14 @@
     classes = tuple(
         RequestClass(
             name=take(c, "name"),
-            repeats=named(REPEATS, c, "semantics"),
-            scope=named(SCOPES, c, "dedup_scope"),
-            memory=seconds(c, "memory_span"),
-            aim=seconds(c, "aim"),
+            idempotency=named(REPEATS, c, "semantics"),
+            idempotency_scope=named(SCOPES, c, "dedup_scope"),
+            idempotency_window=seconds(c, "memory_span"),
+            latency_objective=seconds(c, "aim"),
             deadline=seconds(c, "deadline"),
-            late_share=number(c, "late_share"),
-            worth=number(c, "credit"),
-            stream=bool(take(c, "stream")),
+            late_value_ratio=number(c, "late_share"),
+            priority_weight=number(c, "credit"),
+            streams_response=bool(take(c, "stream")),
         )
         for c in take(env, "services")
     )
@@ -58,38 +66,38 @@
             rate=number(p, "units_per_s"),
             burst=number(p, "peak_units"),
             concurrency=int(number(p, "concurrency")),
-            ceiling_rate=number(p, "hard_rate"),
-            ceiling_depth=number(p, "cap_depth"),
-            worth_factor=number(p, "value_factor"),
-            beyond_worth=number(p, "extra_worth"),
-            beyond_cost=number(p, "overrun_cost"),
+            hard_limit_rate=number(p, "hard_rate"),
+            hard_limit_burst=number(p, "cap_depth"),
+            priority_factor=number(p, "value_factor"),
+            over_quota_value=number(p, "extra_worth"),
+            over_quota_cost=number(p, "overrun_cost"),
         )
         for p in take(env, "packages")
     )
     return Settings(
-        me=int(number(env, "me")),
-        gateways=int(number(env, "balancers")),
-        classes=classes,
+        gateway_index=int(number(env, "me")),
+        gateway_count=int(number(env, "balancers")),
+        request_classes=classes,
         plans=plans,
         zone=take(env, "zone"),
-        list_pushed=take(env, "membership_mode") == "pushed",
-        ask_every=seconds(rules, "ask_every"),
-        counter=bool(take(domain, "counter")),
-        counter_patience=seconds(domain, "count_limit"),
-        counter_price=number(domain, "count_fee"),
-        may_cancel=bool(take(limits, "cancel")),
-        may_probe=bool(take(limits, "may_probe")),
-        second_copies=bool(take(limits, "second_copies")),
+        endpoint_list_pushed=take(env, "membership_mode") == "pushed",
+        poll_interval=seconds(rules, "ask_every"),
+        counter_enabled=bool(take(domain, "counter")),
+        counter_timeout=seconds(domain, "count_limit"),
+        counter_call_cost=number(domain, "count_fee"),
+        cancellation_allowed=bool(take(limits, "cancel")),
+        health_checks_allowed=bool(take(limits, "may_probe")),
+        hedging_allowed=bool(take(limits, "second_copies")),
         max_attempts=int(number(limits, "max_attempts")),
-        retry_after=bool(take(limits, "retry_after")),
+        retry_after_allowed=bool(take(limits, "retry_after")),
         max_retry_after=seconds(limits, "max_retry_after"),
-        cold_from=number(rules, "cold_from"),
-        warm_within=seconds(rules, "warm_within"),
-        fall_multiple=number(rules, "fall_multiple"),
-        overload_for=seconds(rules, "overload_for"),
-        report_fields=tuple(take(take(env, "report"), "fields")),
-        most_units=number(domain, "max_units"),
-        settles=bool(take(domain, "post_paid")),
+        slow_start_minimum=number(rules, "cold_from"),
+        slow_start_window=seconds(rules, "warm_within"),
+        slow_start_overload_ratio=number(rules, "fall_multiple"),
+        overload_duration=seconds(rules, "overload_for"),
+        load_report_fields=tuple(take(take(env, "report"), "fields")),
+        max_request_units=number(domain, "max_units"),
+        settles_actual_units=bool(take(domain, "post_paid")),
     )
 
 
--- a/quota_gateway/counter/client.py
+++ b/quota_gateway/counter/client.py
@@ -11,7 +11,7 @@
 
 import hiredis
 
-from quota_gateway.model.events import Counted
+from quota_gateway.model.events import CounterReply
 from quota_gateway.model.outcomes import Outcome
 from quota_gateway.sockets.dialing import dial, nothing_makes_way
 
@@ -118,11 +118,11 @@
         self.dead = True
         self.counter.leaving.discard(self)
         if self.unsent and self.written:
-            self.counter.answered(self.written.pop(), Outcome.NO_CONNECTION, 0.0)
+            self.counter.answered(self.written.pop(), Outcome.CONNECT_FAILED, 0.0)
         while self.written:
             self.counter.answered(self.written.popleft(), Outcome.TIMED_OUT, 0.0)
         for call, _ in self.unwritten:
-            self.counter.answered(call, Outcome.NO_CONNECTION, 0.0)
+            self.counter.answered(call, Outcome.CONNECT_FAILED, 0.0)
         self.unwritten = []
 
 
@@ -134,11 +134,11 @@
     """
     if isinstance(reply, hiredis.ReplyError):
         known = str(reply).startswith(("BUSY", "ERR"))
-        return (Outcome.TURNED_AWAY if str(reply)[0] == "B" else Outcome.ERROR, 0.0) if known else None
+        return (Outcome.REJECTED if str(reply)[0] == "B" else Outcome.ERROR, 0.0) if known else None
     if isinstance(reply, int):
-        return Outcome.SERVED, float(reply)
+        return Outcome.SUCCESS, float(reply)
     if isinstance(reply, bytes) and TOTAL.fullmatch(reply):
-        return Outcome.SERVED, float(reply)
+        return Outcome.SUCCESS, float(reply)
     return None
 
 
@@ -151,7 +151,7 @@
         address: tuple[str, int],
         patience: float,
         dial_timeout: float,
-        told: Callable[[Counted], None],
+        told: Callable[[CounterReply], None],
     ) -> None:
         self.clock, self.address, self.patience, self.told = clock, address, patience, told
         self.dial_timeout = dial_timeout
@@ -214,7 +214,7 @@
             line.close()  # it was given up while it came up
 
     def out_of_patience(self, call: CounterCall) -> None:
-        self.answered(call, Outcome.TIMED_OUT if call.written else Outcome.NO_CONNECTION, 0.0)
+        self.answered(call, Outcome.TIMED_OUT if call.written else Outcome.CONNECT_FAILED, 0.0)
 
     def answered(self, call: CounterCall, outcome: Outcome, total: float) -> None:
         if call.told:
@@ -222,7 +222,7 @@
         call.told = True
         if call.timer is not None:
             call.timer.cancel()
-        self.told(Counted(call.name, outcome, self.clock() - call.started, total))
+        self.told(CounterReply(call.name, outcome, self.clock() - call.started, total))
 
     def close(self) -> None:
         for line in (*self.lines, *self.leaving):
--- a/quota_gateway/discovery/client.py
+++ b/quota_gateway/discovery/client.py
@@ -13,9 +13,9 @@
 
 import httptools
 
-from quota_gateway.model.endpoints import Backend, ListKind, Status
-from quota_gateway.sockets.dialing import dial, nothing_makes_way
 from quota_gateway.configuration.settings_reader import STATUSES
+from quota_gateway.model.endpoints import Endpoint, EndpointListKind, EndpointStatus
+from quota_gateway.sockets.dialing import dial, nothing_makes_way
 
 TOLD_WITHIN = 6.0  # seconds after discovery has a change and can be reached from which it counts as told
 PUSHED_WAIT, ASKED_WAIT = 1.0, 2.0  # seconds of a watch: one that has fallen silent shows only after it
@@ -47,19 +47,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    backend: Backend
+    backend: Endpoint
     address: tuple[str, int]
 
 
 @dataclass(frozen=True, slots=True)
 class Listing:
-    kind: ListKind
+    kind: EndpointListKind
     generation: int
     entries: tuple[Entry, ...]
 
     @property
     def whole(self) -> bool:
-        return self.kind is not ListKind.CHANGES
+        return self.kind is not EndpointListKind.DELTA
 
 
 def read_address(text: str) -> tuple[str, int]:
@@ -72,25 +72,25 @@
 def read_entry(entry: dict[str, Any]) -> Entry:
     started = float(entry.get("startedAtMs") or 0.0) / 1000.0
     status = STATUSES[entry["lifecycle"]]
-    backend = Backend(
-        address=str(entry["instanceId"]),
+    backend = Endpoint(
+        endpoint_id=str(entry["instanceId"]),
         zone=str(entry.get("zone", "")),
-        kind=str(entry.get("machineType", "")),
+        machine_type=str(entry.get("machineType", "")),
         cell=int(entry.get("cell", 0)),
         status=status,
-        rating=float(entry.get("weight", 1.0)),
-        started=started or None,
+        weight=float(entry.get("weight", 1.0)),
+        started_at=started or None,
     )
     host_port = entry.get("hostPort")
-    gone = status is Status.GONE and not host_port  # nothing is dialled there any more
+    gone = status is EndpointStatus.REMOVED and not host_port  # nothing is dialled there any more
     return Entry(backend, ("", 0) if gone else read_address(str(host_port)))
 
 
-def read_listing(loaded: Any, kind: ListKind | None = None) -> Listing:
+def read_listing(loaded: Any, kind: EndpointListKind | None = None) -> Listing:
     """A list in discovery's form; BadList says what is wrong with it."""
     try:
         entries = tuple(read_entry(e) for e in loaded["instances"])
-        told = kind or (ListKind.WHOLE if loaded["reset"] else ListKind.CHANGES)
+        told = kind or (EndpointListKind.FULL if loaded["reset"] else EndpointListKind.DELTA)
         return Listing(told, int(loaded["generation"]), entries)
     except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as error:
         raise BadList(f"{type(error).__name__}: {error}") from error
--- a/quota_gateway/dispatch/dispatcher.py
+++ b/quota_gateway/dispatch/dispatcher.py
@@ -13,34 +13,42 @@
 from dataclasses import dataclass, replace
 from typing import Protocol
 
-from quota_gateway.policy.engine import Gateway
-from quota_gateway.policy.state_snapshot import estate_of
-from quota_gateway.model.actions import Action, Cancel, Count, Dismiss, Fail, Refuse, Rest, Send, SetTimer
-from quota_gateway.model.charges import Charged
-from quota_gateway.model.endpoints import Backend, Status
+from quota_gateway.body_streaming import Head, Sink, Source, Upload
+from quota_gateway.counter.client import Counter
+from quota_gateway.discovery.client import Listing
+from quota_gateway.metrics import Figures
+from quota_gateway.model.actions import (
+    Action,
+    CancelAttempt,
+    CloseIdleConnections,
+    DrainClientConnections,
+    FailRequest,
+    IncrementCounter,
+    Reject,
+    SetTimer,
+    StartAttempt,
+)
+from quota_gateway.model.charges import UnitsCharged
+from quota_gateway.model.endpoints import Endpoint, EndpointStatus
 from quota_gateway.model.events import (
     AttemptEnded,
-    BackendList,
-    BodySpent,
-    ClientLeft,
-    Counted,
-    Drain,
-    Estate,
+    ClientDisconnected,
+    ClientHalfClosed,
+    CounterReply,
+    EndpointListUpdate,
     Event,
-    Maintain,
-    Request,
-    StreamBegun,
-    TimerDue,
-    Unwanted,
-    Uploaded,
+    RequestBodyConsumed,
+    RequestBodyReceived,
+    RequestReceived,
+    ResponseStreamStarted,
+    SetDraining,
+    SetMaintenance,
+    StateSnapshot,
+    TimerFired,
 )
 from quota_gateway.model.outcomes import Outcome
+from quota_gateway.policy.engine import PolicyEngine
 from quota_gateway.upstream.connection_pool import Answer, Attempt, Pool
-from quota_gateway.body_streaming import Head, Sink, Source, Upload
-from quota_gateway.counter.client import Counter
-from quota_gateway.discovery.client import Listing
-from quota_gateway.metrics import Figures
-from quota_gateway.policy.maintenance import avoided, knows
 
 EARLY = 0.1  # seconds before the client's end at which the module takes a request to be over: the budget
 # runs from the client's send, the answer has its way back, and the core may be busy with another gateway
@@ -134,15 +142,15 @@
         return fresh or self.exchange is None or not self.exchange.client_has_gone()
 
     def body_spent(self) -> None:
-        self.driver.post(BodySpent(self.number))
+        self.driver.post(RequestBodyConsumed(self.number))
 
 
 class Driver:
     """Owns the one Gateway of this process."""
 
-    def __init__(self, gateway: Gateway, clock: Callable[[], float], pool: Pool) -> None:
+    def __init__(self, gateway: PolicyEngine, clock: Callable[[], float], pool: Pool) -> None:
         self.gateway, self.clock, self.pool = gateway, clock, pool
-        self.most_units = gateway.settings.most_units
+        self.most_units = gateway.settings.max_request_units
         self.counter: Counter | None = None
         self.loop = asyncio.get_running_loop()
         self.pending: dict[int, Pending] = {}
@@ -150,21 +158,21 @@
         self.unanswered = 0
         self.taken = 0
         self.all_answered = asyncio.Event()
-        self.figures = Figures(c.name for c in gateway.settings.classes)
+        self.figures = Figures(c.name for c in gateway.settings.request_classes)
         self.dismiss: Callable[[bool], None] | None = None  # has clients' connections end
-        self.charge: Callable[[Charged], None] | None = None  # tells another process of this gateway
+        self.charge: Callable[[UnitsCharged], None] | None = None  # tells another process of this gateway
         self.events: deque[tuple[Event, float]] = deque()
         self.handling = False
         self.carry: dict[type, Callable[..., None]] = {
-            Send: self.send,
+            StartAttempt: self.send,
             SetTimer: self.set_timer,
-            Refuse: self.refuse,
-            Fail: self.fail,
-            Cancel: self.cancel,
-            Count: self.count,
-            Rest: self.rest,
-            Dismiss: self.dismissed,
-            Charged: self.charged,
+            Reject: self.refuse,
+            FailRequest: self.fail,
+            CancelAttempt: self.cancel,
+            IncrementCounter: self.count,
+            CloseIdleConnections: self.rest,
+            DrainClientConnections: self.dismissed,
+            UnitsCharged: self.charged,
         }
 
     # what happened
@@ -181,7 +189,7 @@
         else:
             call.upload.first_taken = pending.body_spent
         self.post(
-            Request(
+            RequestReceived(
                 pending.number,
                 call.klass,
                 call.plan,
@@ -217,14 +225,14 @@
         for attempt in pending.attempts:
             if not attempt.ended:
                 attempt.run_until(pending.end, now, self.loop)
-        self.post(Uploaded(number, pending.end))
+        self.post(RequestBodyReceived(number, pending.end))
 
     def abandon(self, number: int, status: int) -> None:
         """Ends a request whose body does not come as it should; with no status its client is gone."""
         pending = self.pending.get(number)
         if pending is not None and not pending.over:
             self.finish(pending, status)
-            self.post(ClientLeft(number))
+            self.post(ClientDisconnected(number))
             self.forget(pending)
 
     def is_open(self, call_id: bytes) -> bool:
@@ -244,7 +252,7 @@
         pending = self.pending.get(number)
         if pending is None or pending.over or pending.streamed is not None:
             return
-        self.post(Unwanted(number))
+        self.post(ClientHalfClosed(number))
         for attempt in list(pending.attempts):
             # a long body goes on if it has begun to
             sent = attempt.whole_at is not None or attempt.written and attempt.upload is not None
@@ -252,46 +260,46 @@
                 attempt.end(Answer(Outcome.NOT_SENT))
 
     def list_told(self, listing: Listing) -> None:
-        backends: list[Backend] = []
+        backends: list[Endpoint] = []
         for entry in listing.entries:
             backend = entry.backend
-            if backend.status is Status.SERVING:
+            if backend.status is EndpointStatus.SERVING:
                 # an address that goes to a new id is no longer the old one's, whose end may be told later
                 for old in self.pool.at(entry.address):
-                    if old != backend.address:
+                    if old != backend.endpoint_id:
                         self.pool.retire(old)
-                        backends.append(replace(backend, address=old, status=Status.GONE))
-                self.pool.set_address(backend.address, entry.address, backend.started)
+                        backends.append(replace(backend, endpoint_id=old, status=EndpointStatus.REMOVED))
+                self.pool.set_address(backend.endpoint_id, entry.address, backend.started_at)
             else:
-                self.pool.retire(backend.address)
+                self.pool.retire(backend.endpoint_id)
             backends.append(backend)
         if listing.whole:
-            named = {b.address for b in backends}
+            named = {b.endpoint_id for b in backends}
             self.pool.forget_others(named)
-        self.post(BackendList(listing.kind, tuple(backends)))
+        self.post(EndpointListUpdate(listing.kind, tuple(backends)))
 
     def maintain(self, backend: str, out: bool) -> bool:
         """An operator's word on a backend; False for an id that nobody has."""
-        if not knows(self.gateway, backend):
+        if not self.gateway.knows_endpoint(backend):
             return False
-        self.post(Maintain(backend, out))
+        self.post(SetMaintenance(backend, out))
         return True
 
     def drain(self, on: bool) -> None:
-        self.post(Drain(on))
+        self.post(SetDraining(on))
 
-    def counter_told(self, counted: Counted) -> None:
+    def counter_told(self, counted: CounterReply) -> None:
         self.post(counted)
 
     def timer_due(self, key: str, due: float) -> None:
         # the loop counts whole milliseconds and may come early: for the module a timer is never early
-        self.post(TimerDue(key), due)
+        self.post(TimerFired(key), due)
 
     def attempt_ended(self, pending: Pending, attempt: Attempt, answer: Answer) -> None:
         pending.out -= 1
         if pending.streamed is attempt:
-            self.end_answer(pending, answer.outcome is Outcome.SERVED)
-        elif answer.outcome is Outcome.SERVED and not pending.over:
+            self.end_answer(pending, answer.outcome is Outcome.SUCCESS)
+        elif answer.outcome is Outcome.SUCCESS and not pending.over:
             self.finish(pending, 200, answer.body, answer.headers)
         elapsed = self.clock() - attempt.asked_at
         over = pending.over
@@ -315,7 +323,7 @@
                 timer.cancel()
         pending.exchange.begin(head, attempt.connection)
         elapsed = self.clock() - attempt.asked_at
-        self.post(StreamBegun(pending.number, attempt.place, max(elapsed, 1e-6)))
+        self.post(ResponseStreamStarted(pending.number, attempt.place, max(elapsed, 1e-6)))
         return pending.exchange
 
     def end_answer(self, pending: Pending, whole: bool) -> None:
@@ -351,63 +359,65 @@
 
     # what the module wants
 
-    def send(self, action: Send) -> None:
-        pending = self.pending.get(action.request)
+    def send(self, action: StartAttempt) -> None:
+        pending = self.pending.get(action.request_id)
         if pending is None:
-            return log.warning("a send for request %d, which is over and done", action.request)
+            return log.warning("a send for request %d, which is over and done", action.request_id)
         now, place = self.clock(), len(pending.attempts)
         until = pending.end if action.timeout <= 0 else min(pending.end, now + action.timeout)
-        attempt = Attempt(action.backend, pending.call.head, pending.call.body, now, until, place, pending)
+        attempt = Attempt(
+            action.endpoint_id, pending.call.head, pending.call.body, now, until, place, pending
+        )
         attempt.upload, attempt.begin = pending.call.upload, pending.begin
-        attempt.write_by = now + action.write_within if action.write_within > 0 else None
+        attempt.write_by = now + action.send_within if action.send_within > 0 else None
         pending.attempts.append(attempt)
         pending.out += 1
         if pending.over or now >= pending.end or not pending.may_begin(now):
             return attempt.end(Answer(Outcome.NOT_SENT))
         return self.pool.start(attempt)
 
-    def cancel(self, action: Cancel) -> None:
-        pending = self.pending.get(action.request)
-        if pending is not None and action.attempt < len(pending.attempts):
-            pending.attempts[action.attempt].end(Answer(Outcome.CANCELLED))
+    def cancel(self, action: CancelAttempt) -> None:
+        pending = self.pending.get(action.request_id)
+        if pending is not None and action.attempt_index < len(pending.attempts):
+            pending.attempts[action.attempt_index].end(Answer(Outcome.CANCELLED))
 
-    def refuse(self, action: Refuse) -> None:
+    def refuse(self, action: Reject) -> None:
         advice = b"Retry-After: %.3f\r\n" % action.retry_after if action.retry_after > 0 else b""
-        self.finish_number(action.request, 429, b"", advice)
+        self.finish_number(action.request_id, 429, b"", advice)
 
-    def fail(self, action: Fail) -> None:
-        self.finish_number(action.request, 502)
+    def fail(self, action: FailRequest) -> None:
+        self.finish_number(action.request_id, 502)
 
     def set_timer(self, action: SetTimer) -> None:
         due = self.clock() + action.delay
         self.loop.call_later(action.delay, self.timer_due, action.key, due)
 
-    def count(self, action: Count) -> None:
+    def count(self, action: IncrementCounter) -> None:
         if self.counter is None:
-            return self.post(Counted(action.name, Outcome.NO_CONNECTION, 0.0, 0.0))
-        return self.counter.add(action.name, action.amount, action.forget_after)
+            return self.post(CounterReply(action.name, Outcome.CONNECT_FAILED, 0.0, 0.0))
+        return self.counter.add(action.name, action.amount, action.expire_after)
 
-    def rest(self, action: Rest) -> None:
-        self.pool.rest(action.backend)
+    def rest(self, action: CloseIdleConnections) -> None:
+        self.pool.rest(action.endpoint_id)
 
-    def dismissed(self, action: Dismiss) -> None:
+    def dismissed(self, action: DrainClientConnections) -> None:
         if self.dismiss is not None:
-            self.dismiss(action.on)
+            self.dismiss(action.enabled)
 
-    def charged(self, action: Charged) -> None:
+    def charged(self, action: UnitsCharged) -> None:
         if self.charge is not None:
             self.charge(action)
 
-    def estate(self) -> Estate:
-        return estate_of(self.gateway)
+    def estate(self) -> StateSnapshot:
+        return self.gateway.snapshot()
 
     def standing(self) -> dict[str, int]:
         """The figures that are read from their owners."""
         return {
             "dispatches": self.pool.dispatches,
             "concurrent": self.unanswered,
-            "targets": len(self.gateway.servers),
-            "targets_disabled": avoided(self.gateway),
+            "targets": len(self.gateway.endpoints),
+            "targets_disabled": self.gateway.unavailable_endpoints(),
         }
 
     # final answers
--- a/quota_gateway/downstream/client_connection.py
+++ b/quota_gateway/downstream/client_connection.py
@@ -13,13 +13,13 @@
 
 import httptools
 
-from quota_gateway.model.settings import Settings
 from quota_gateway.body_streaming import HELD, MOST_BODY, READ_AT_ONCE, Upload
-from quota_gateway.downstream.request_parser import BadRequest, CallReader
-from quota_gateway.sockets.dialing import AGAIN, LACKING
 from quota_gateway.dispatch.dispatcher import Call, Driver
-from quota_gateway.downstream.response_writer import Exchange
 from quota_gateway.downstream.disconnect_monitor import HangUps
+from quota_gateway.downstream.request_parser import BadRequest, CallReader
+from quota_gateway.downstream.response_writer import Exchange
+from quota_gateway.model.settings import Settings
+from quota_gateway.sockets.dialing import AGAIN, LACKING
 
 MOST_HEAD = 32 * 1024  # bytes of request line and headers: a generous browser sends a quarter of it
 MOST_PIPELINED = 16  # requests under way on one connection: further ones stay unread
--- a/quota_gateway/downstream/request_parser.py
+++ b/quota_gateway/downstream/request_parser.py
@@ -9,9 +9,9 @@
 import re
 from functools import lru_cache
 
-from quota_gateway.model.settings import Repeats, Settings
 from quota_gateway.body_streaming import Upload
 from quota_gateway.dispatch.dispatcher import Call
+from quota_gateway.model.settings import Idempotency, Settings
 
 CALL_ID = re.compile(rb"[0-9A-Za-z_.-]{1,64}")
 CLIENT = re.compile(rb"[?&]client=([^&]*)")
@@ -53,9 +53,9 @@
     """Turns requests into calls by the settings' classes and plans, and words what is wrong with the rest."""
 
     def __init__(self, settings: Settings) -> None:
-        self.classes = {c.name: c for c in settings.classes}
+        self.classes = {c.name: c for c in settings.request_classes}
         self.plans = {p.name for p in settings.plans}
-        self.gateways, self.most_units = settings.gateways, settings.most_units
+        self.gateways, self.most_units = settings.gateway_count, settings.max_request_units
 
     def read(
         self,
@@ -72,7 +72,7 @@
         klass = self.classes.get(self.needed(headers, b"x-call-class").decode("latin-1"))
         if klass is None:
             raise BadRequest(400, "X-Call-Class names no class")
-        wanted = b"GET" if klass.repeats is Repeats.SAFE else b"POST"
+        wanted = b"GET" if klass.idempotency is Idempotency.IDEMPOTENT else b"POST"
         if method != wanted:
             raise BadRequest(405, "the class goes by another method", b"Allow: %b\r\n" % wanted)
         plan = self.needed(headers, b"plan").decode("latin-1")
@@ -97,7 +97,7 @@
             width=width,
             first_gateway=first,
             repeat=headers.get(b"x-again") == b"1",
-            head=self.head(method, target, headers, klass.repeats, body, long),
+            head=self.head(method, target, headers, klass.idempotency, body, long),
             body=body,
             upload=Upload(length, budget) if long else None,
         )
@@ -107,7 +107,7 @@
         method: bytes,
         target: bytes,
         headers: dict[bytes, bytes],
-        repeats: Repeats,
+        repeats: Idempotency,
         body: bytes,
         long: bool,
     ) -> bytes:
@@ -117,7 +117,7 @@
             b"Host: %b" % headers.get(b"host", b"backend.local"),
             b"X-Call-Id: %b" % self.matched(headers, b"x-call-id", CALL_ID),
         ]
-        if repeats is Repeats.BY_KEY:
+        if repeats is Idempotency.IDEMPOTENCY_KEY:
             lines.append(b"Idempotency-Key: %b" % self.matched(headers, b"idempotency-key", KEY))
         elif b"idempotency-key" in headers:
             raise BadRequest(400, "Idempotency-Key on a class that carries none")
--- a/quota_gateway/hot_restart/coordinator.py
+++ b/quota_gateway/hot_restart/coordinator.py
@@ -14,11 +14,11 @@
 from collections.abc import Callable
 from typing import Any, cast
 
-from quota_gateway.model.charges import Charged
-from quota_gateway.model.endpoints import Backend, ListKind, Status
-from quota_gateway.model.events import Estate, Paired
 from quota_gateway.discovery.client import Entry, Listing
 from quota_gateway.dispatch.dispatcher import Driver
+from quota_gateway.model.charges import UnitsCharged
+from quota_gateway.model.endpoints import Endpoint, EndpointListKind, EndpointStatus
+from quota_gateway.model.events import PeerProcessChanged, StateSnapshot
 
 NAME = "embersill.handover"  # of the socket: processes of older versions look for it
 ESTATE_WITHIN = 2.0  # seconds for the older process to give its estate: it may be slow, or hang
@@ -168,7 +168,7 @@
 
     def pair(self) -> None:
         self.driver.pool.share = SHARED if self.links else 1.0
-        self.driver.post(Paired(bool(self.links)))
+        self.driver.post(PeerProcessChanged(bool(self.links)))
 
     def heard(self, link: Link, message: Message) -> None:
         if "hello" in message:
@@ -179,14 +179,14 @@
             self.heir = link
             self.succeed(True)
         elif "charged" in message:
-            self.driver.post(Charged(*message["charged"]))
+            self.driver.post(UnitsCharged(*message["charged"]))
         else:
             self.obey(message)
 
     def take_over(self, message: Message) -> None:
         if not self.list_heard.is_set():  # what the older one was told is newer than what was remembered
             self.driver.list_told(read_list(message["list"]))
-        self.driver.post(Estate(message["estate"]))
+        self.driver.post(StateSnapshot(message["estate"]))
         words, self.words = self.words, None
         for word in words or ():
             self.obey(word)
@@ -215,18 +215,18 @@
 
 
 def write_list(driver: Driver) -> list[Any]:
-    backends = (s.backend for s in driver.gateway.servers.values())
+    backends = (s.backend for s in driver.gateway.endpoints.values())
     lines = driver.pool.lines
     return [
         [
-            b.address,
+            b.endpoint_id,
             b.zone,
-            b.kind,
+            b.machine_type,
             b.cell,
             b.status.value,
-            b.rating,
-            b.started,
-            *(lines[b.address].address if b.address in lines else ("", 0)),
+            b.weight,
+            b.started_at,
+            *(lines[b.endpoint_id].address if b.endpoint_id in lines else ("", 0)),
         ]
         for b in backends
     ]
@@ -234,7 +234,7 @@
 
 def read_list(rows: list[Any]) -> Listing:
     entries = tuple(
-        Entry(Backend(address, zone, kind, cell, Status(status), rating, started), (host, port))
+        Entry(Endpoint(address, zone, kind, cell, EndpointStatus(status), rating, started), (host, port))
         for address, zone, kind, cell, status, rating, started, host, port in rows
     )
-    return Listing(ListKind.REMEMBERED, 0, entries)
+    return Listing(EndpointListKind.CACHED, 0, entries)
--- a/quota_gateway/model/actions.py
+++ b/quota_gateway/model/actions.py
@@ -4,41 +4,41 @@
 
 from dataclasses import dataclass
 
-from quota_gateway.model.charges import Charged
+from quota_gateway.model.charges import UnitsCharged
 
 
 @dataclass(frozen=True, slots=True)
-class Send:
+class StartAttempt:
     """Start an attempt; a request's attempts are numbered from 0 in the order of their sends.
 
     One whose connection comes up later than `write_within` is not written; nought is no bound.
     """
 
-    request: int
-    backend: str
+    request_id: int
+    endpoint_id: str
     timeout: float
-    write_within: float = 0.0
+    send_within: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
-class Refuse:
+class Reject:
     """Final answer: turned away, and trying again does no harm."""
 
-    request: int
+    request_id: int
     retry_after: float
 
 
 @dataclass(frozen=True, slots=True)
-class Fail:
+class FailRequest:
     """Final answer: failed, with no promise about its effect."""
 
-    request: int
+    request_id: int
 
 
 @dataclass(frozen=True, slots=True)
-class Cancel:
-    request: int
-    attempt: int
+class CancelAttempt:
+    request_id: int
+    attempt_index: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -48,31 +48,42 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Count:
+class IncrementCounter:
     """Add to a named number of the counter service and get its total."""
 
     name: str
     amount: float
-    forget_after: float
+    expire_after: float
 
 
 @dataclass(frozen=True, slots=True)
-class Subscribe:
+class PollEndpoints:
     """Ask discovery for the list and its changes from now on."""
 
 
 @dataclass(frozen=True, slots=True)
-class Rest:
+class CloseIdleConnections:
     """Let go of all that is held towards a backend and carries no attempt: it is about to be restarted."""
 
-    backend: str
+    endpoint_id: str
 
 
 @dataclass(frozen=True, slots=True)
-class Dismiss:
+class DrainClientConnections:
     """Have clients' connections end with the answers that are out, or keep them open again."""
 
-    on: bool
-
-
-Action = Send | Refuse | Fail | Cancel | SetTimer | Count | Subscribe | Rest | Dismiss | Charged
+    enabled: bool
+
+
+Action = (
+    StartAttempt
+    | Reject
+    | FailRequest
+    | CancelAttempt
+    | SetTimer
+    | IncrementCounter
+    | PollEndpoints
+    | CloseIdleConnections
+    | DrainClientConnections
+    | UnitsCharged
+)
--- a/quota_gateway/model/charges.py
+++ b/quota_gateway/model/charges.py
@@ -6,10 +6,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Charged:
+class UnitsCharged:
     """Units that one of two such processes has sent on for a customer: the other takes them as its own."""
 
     customer: str
     plan: str
-    width: int
+    quota_spread: int
     units: float
--- a/quota_gateway/model/endpoints.py
+++ b/quota_gateway/model/endpoints.py
@@ -6,25 +6,25 @@
 from enum import Enum
 
 
-class ListKind(Enum):
-    CHANGES = "changes"
-    WHOLE = "whole"
-    REMEMBERED = "remembered"
+class EndpointListKind(Enum):
+    DELTA = "changes"
+    FULL = "whole"
+    CACHED = "remembered"
     FAILED = "failed"
 
 
-class Status(Enum):
+class EndpointStatus(Enum):
     SERVING = "serving"
     DRAINING = "draining"
-    GONE = "gone"
+    REMOVED = "gone"
 
 
 @dataclass(frozen=True, slots=True)
-class Backend:
-    address: str
+class Endpoint:
+    endpoint_id: str
     zone: str
-    kind: str
+    machine_type: str
     cell: int
-    status: Status
-    rating: float
-    started: float | None
+    status: EndpointStatus
+    weight: float
+    started_at: float | None
--- a/quota_gateway/model/events.py
+++ b/quota_gateway/model/events.py
@@ -5,84 +5,86 @@
 from dataclasses import dataclass
 from typing import Any
 
-from quota_gateway.model.charges import Charged
-from quota_gateway.model.endpoints import Backend, ListKind
+from quota_gateway.model.charges import UnitsCharged
+from quota_gateway.model.endpoints import Endpoint, EndpointListKind
 from quota_gateway.model.outcomes import Outcome
 
 
 @dataclass(frozen=True, slots=True)
-class Request:
+class RequestReceived:
     """A client's try that has arrived; the gateway owes it one final answer."""
 
-    id: int
-    klass: str
+    request_id: int
+    request_class: str
     plan: str
     customer: str
     deadline: float
     units: float
-    width: int
+    quota_spread: int
     first_gateway: int
-    repeat: bool
-    patience: float = 0.0  # seconds that the client waits from its send on; 0: until the deadline
-    uploading: bool = False  # its long body is still coming: its time counts from the last byte, told later
+    is_retry: bool
+    client_timeout: float = 0.0  # seconds that the client waits from its send on; 0: until the deadline
+    body_incomplete: bool = (
+        False  # its long body is still coming: its time counts from the last byte, told later
+    )
 
 
 @dataclass(frozen=True, slots=True)
-class BackendList:
-    kind: ListKind
-    backends: tuple[Backend, ...]
+class EndpointListUpdate:
+    kind: EndpointListKind
+    endpoints: tuple[Endpoint, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class ClientLeft:
-    request: int
+class ClientDisconnected:
+    request_id: int
 
 
 @dataclass(frozen=True, slots=True)
-class Unwanted:
+class ClientHalfClosed:
     """The client sends no more and has most likely gone: what is out may end, nothing more is sent on."""
 
-    request: int
+    request_id: int
 
 
 @dataclass(frozen=True, slots=True)
-class StreamBegun:
+class ResponseStreamStarted:
     """An attempt's answer is being passed on: no other can serve the request, and it has no deadline more."""
 
-    request: int
-    attempt: int
+    request_id: int
+    attempt_index: int
     elapsed: float = 0.0  # seconds to its first byte; 0: until now
 
 
 @dataclass(frozen=True, slots=True)
-class BodySpent:
+class RequestBodyConsumed:
     """Part of a request's long body has gone to a backend and is not kept: it can't be sent again."""
 
-    request: int
+    request_id: int
 
 
 @dataclass(frozen=True, slots=True)
-class Uploaded:
+class RequestBodyReceived:
     """The last byte of a long body has come."""
 
-    request: int
+    request_id: int
     deadline: float
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    request: int
-    attempt: int
-    backend: str
+    request_id: int
+    attempt_index: int
+    endpoint_id: str
     outcome: Outcome
     elapsed: float
-    over: bool
-    true_units: float
-    load: tuple[float, ...]
+    request_answered: bool
+    actual_units: float
+    load_report: tuple[float, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class Counted:
+class CounterReply:
     name: str
     outcome: Outcome
     elapsed: float
@@ -90,62 +92,62 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Probed:
-    backend: str
+class HealthCheckResult:
+    endpoint_id: str
     outcome: Outcome
     elapsed: float
-    load: tuple[float, ...]
+    load_report: tuple[float, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class TimerDue:
+class TimerFired:
     key: str
 
 
 @dataclass(frozen=True, slots=True)
-class Maintain:
+class SetMaintenance:
     """An operator's word: nothing more to this backend, or use it again. It stands until the other comes."""
 
-    backend: str
-    out: bool
+    endpoint_id: str
+    enabled: bool
 
 
 @dataclass(frozen=True, slots=True)
-class Drain:
+class SetDraining:
     """An operator's word: no more clients here, or take them again."""
 
-    on: bool
+    enabled: bool
 
 
 @dataclass(frozen=True, slots=True)
-class Estate:
+class StateSnapshot:
     """What an older process of this gateway knows, in plain values, as it gives it to the newer one."""
 
     state: dict[str, Any]
 
 
 @dataclass(frozen=True, slots=True)
-class Paired:
+class PeerProcessChanged:
     """Another process of this gateway runs beside this one, or no longer does."""
 
-    on: bool
+    present: bool
 
 
 Event = (
-    Request
-    | BackendList
-    | ClientLeft
-    | Unwanted
-    | StreamBegun
+    RequestReceived
+    | EndpointListUpdate
+    | ClientDisconnected
+    | ClientHalfClosed
+    | ResponseStreamStarted
     | AttemptEnded
-    | Counted
-    | Probed
-    | TimerDue
-    | Maintain
-    | Drain
-    | Estate
-    | Paired
-    | Charged
-    | BodySpent
-    | Uploaded
+    | CounterReply
+    | HealthCheckResult
+    | TimerFired
+    | SetMaintenance
+    | SetDraining
+    | StateSnapshot
+    | PeerProcessChanged
+    | UnitsCharged
+    | RequestBodyConsumed
+    | RequestBodyReceived
 )
--- a/quota_gateway/model/outcomes.py
+++ b/quota_gateway/model/outcomes.py
@@ -8,16 +8,16 @@
 class Outcome(Enum):
     """How an attempt, a probe or a counter call ended."""
 
-    SERVED = "served"
+    SUCCESS = "success"
     ERROR = "error"
-    TURNED_AWAY = "turned away"
+    REJECTED = "rejected"
     TIMED_OUT = "timed out"
-    NO_CONNECTION = "no connection"
-    BROKEN = "broken"
+    CONNECT_FAILED = "connect failed"
+    BROKEN_RESPONSE = "broken response"
     CANCELLED = "cancelled"
     NOT_SENT = "not sent"
 
     @property
-    def never_ran(self) -> bool:
+    def proves_not_executed(self) -> bool:
         """True where this outcome proves that the backend did not run the attempt."""
-        return self in (Outcome.TURNED_AWAY, Outcome.NO_CONNECTION, Outcome.NOT_SENT)
+        return self in (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
--- a/quota_gateway/model/settings.py
+++ b/quota_gateway/model/settings.py
@@ -6,15 +6,15 @@
 from enum import Enum
 
 
-class Repeats(Enum):
+class Idempotency(Enum):
     """What a class allows once an attempt may have run."""
 
-    SAFE = "safe"
-    BY_KEY = "by key"
-    ONCE = "once"
+    IDEMPOTENT = "safe"
+    IDEMPOTENCY_KEY = "by key"
+    NON_IDEMPOTENT = "once"
 
 
-class Scope(Enum):
+class IdempotencyScope(Enum):
     """Which backends drop a repeat of a keyed request."""
 
     ALL = "all"
@@ -25,14 +25,14 @@
 @dataclass(frozen=True, slots=True)
 class RequestClass:
     name: str
-    repeats: Repeats
-    scope: Scope
-    memory: float
-    aim: float
+    idempotency: Idempotency
+    idempotency_scope: IdempotencyScope
+    idempotency_window: float
+    latency_objective: float
     deadline: float
-    late_share: float
-    worth: float
-    stream: bool
+    late_value_ratio: float
+    priority_weight: float
+    streams_response: bool
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,35 +41,35 @@
     rate: float
     burst: float
     concurrency: int
-    ceiling_rate: float
-    ceiling_depth: float
-    worth_factor: float
-    beyond_worth: float
-    beyond_cost: float
+    hard_limit_rate: float
+    hard_limit_burst: float
+    priority_factor: float
+    over_quota_value: float
+    over_quota_cost: float
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    me: int
-    gateways: int
-    classes: tuple[RequestClass, ...]
+    gateway_index: int
+    gateway_count: int
+    request_classes: tuple[RequestClass, ...]
     plans: tuple[Plan, ...]
     zone: str
-    list_pushed: bool
-    ask_every: float
-    counter: bool
-    counter_patience: float
-    counter_price: float
-    may_cancel: bool
-    may_probe: bool
-    second_copies: bool
+    endpoint_list_pushed: bool
+    poll_interval: float
+    counter_enabled: bool
+    counter_timeout: float
+    counter_call_cost: float
+    cancellation_allowed: bool
+    health_checks_allowed: bool
+    hedging_allowed: bool
     max_attempts: int
-    retry_after: bool
+    retry_after_allowed: bool
     max_retry_after: float
-    cold_from: float
-    warm_within: float
-    fall_multiple: float
-    overload_for: float
-    report_fields: tuple[str, ...]
-    most_units: float
-    settles: bool
+    slow_start_minimum: float
+    slow_start_window: float
+    slow_start_overload_ratio: float
+    overload_duration: float
+    load_report_fields: tuple[str, ...]
+    max_request_units: float
+    settles_actual_units: bool
--- a/quota_gateway/policy/engine.py
+++ b/quota_gateway/policy/engine.py
@@ -1,4 +1,4 @@
-"""Every decision of a gateway. Its types, events and actions stand in quota_gateway/interface.py."""
+"""Every decision of a gateway. Its types, events and actions stand in quota_gateway/model."""
 
 from __future__ import annotations
 
@@ -7,48 +7,38 @@
 from collections import deque
 from collections.abc import Sequence
 
-from quota_gateway.policy.state_snapshot import charge, charged, inherit
 from quota_gateway.model.actions import (
-    Action,
-    Cancel,
-    Count,
-    Dismiss,
-    Fail,
-    Refuse,
-    Send,
-    SetTimer,
-    Subscribe,
+    Action, CancelAttempt, DrainClientConnections, FailRequest, IncrementCounter, PollEndpoints, Reject,
+    SetTimer, StartAttempt,
 )
-from quota_gateway.model.charges import Charged
-from quota_gateway.model.endpoints import Backend, ListKind, Status
+from quota_gateway.model.charges import UnitsCharged
+from quota_gateway.model.endpoints import EndpointStatus
 from quota_gateway.model.events import (
-    AttemptEnded,
-    BackendList,
-    BodySpent,
-    ClientLeft,
-    Counted,
-    Drain,
-    Estate,
-    Event,
-    Maintain,
-    Paired,
-    Request,
-    StreamBegun,
-    TimerDue,
-    Unwanted,
-    Uploaded,
+    AttemptEnded, ClientDisconnected, ClientHalfClosed, CounterReply, EndpointListUpdate, Event,
+    PeerProcessChanged, RequestBodyConsumed, RequestBodyReceived, RequestReceived, ResponseStreamStarted,
+    SetDraining, SetMaintenance, StateSnapshot, TimerFired,
 )
 from quota_gateway.model.outcomes import Outcome
-from quota_gateway.model.settings import Plan, Repeats, RequestClass, Scope, Settings
+from quota_gateway.model.settings import Idempotency, IdempotencyScope, Plan, RequestClass, Settings
+from quota_gateway.model.settings_validation import validate_settings
+from quota_gateway.policy.endpoint_registry import list_changed, set_near
+from quota_gateway.policy.maintenance import avoided, knows, maintain
+from quota_gateway.policy.records import (
+    LEAST_LIMIT,
+    SHUN,
+    Attempt,
+    Job,
+    Server,
+    group_of,
+    moved,
+    usual_key,
+    wanted_until,
+)
 from quota_gateway.policy.request_completion import client_left, forget, unwanted
 from quota_gateway.policy.slow_start import keeps
-from quota_gateway.policy.maintenance import as_returned, maintain
+from quota_gateway.policy.state_snapshot import charge, charged, estate_of, inherit
 from quota_gateway.policy.streaming import long_body
-from quota_gateway.policy.subsetting import subset
 from quota_gateway.policy.token_bucket import EPS, PERIOD, Throttle
-from quota_gateway.policy.records import (
-    LEAST_LIMIT, SHUN, START_LIMIT, Attempt, Job, Server, check, group_of, moved, usual_key, wanted_until,
-)
 
 HOLD_SHARE = 0.4  # of the aim that a request may wait for credit: the rest must do for the backend
 LATE_ROOM = 0.25  # of the limit on what is out, below which a repeat that comes too late still goes on
@@ -82,18 +72,18 @@
 DRAWS = 8  # draws for these: with half of the fleet unfit one in 256 fails, and a scan is made
 
 
-class Gateway:
+class PolicyEngine:
     """Decides for one gateway, on its settings and the events that it is given, and on nothing else."""
 
     def __init__(self, settings: Settings, seed: int, now: float) -> None:
-        check(settings)
+        validate_settings(settings)
         self.settings = settings
-        self.classes = {c.name: c for c in settings.classes}
+        self.classes = {c.name: c for c in settings.request_classes}
         self.plans = {p.name: p for p in settings.plans}
         self.random = random.Random(seed)
         self.born = self.now = now
         self.actions: list[Action] = []
-        self.servers: dict[str, Server] = {}
+        self.endpoints: dict[str, Server] = {}
         self.order: list[Server] = []  # those that serve
         self.near: Sequence[Server] = []  # this gateway's part of them, for drawing
         self.own: set[Server] = set()  # the same while it has not widened it
@@ -111,8 +101,8 @@
         self.passed, self.judged = 1.0, now
         self.flight, self.limit = 0, float("inf")  # attempts out and not late, and how many may be
         self.quiet_until, self.count_fails = now, 0
-        self.shortest = settings.counter_patience  # seconds of the counter's shortest answer
-        self.counted_part = min(1.0, COUNTED_GATEWAYS / settings.gateways)
+        self.shortest = settings.counter_timeout  # seconds of the counter's shortest answer
+        self.counted_part = min(1.0, COUNTED_GATEWAYS / settings.gateway_count)
         # part of the counted thin requests that had the credit: by plan, whether the slice covered them, and
         # whether they came again, most likely refused elsewhere for want of it
         self.granted = {(p.name, sure, repeat): float(sure and not repeat) for p in settings.plans
@@ -121,45 +111,45 @@
     def handle(self, event: Event, now: float) -> list[Action]:
         self.now = max(self.now, now)
         self.actions = []
-        if isinstance(event, Request):
+        if isinstance(event, RequestReceived):
             self.arrive(event)
         elif isinstance(event, AttemptEnded):
             self.attempt_ended(event)
-        elif isinstance(event, TimerDue):
+        elif isinstance(event, TimerFired):
             self.timer_due(event.key)
-        elif isinstance(event, Counted):
+        elif isinstance(event, CounterReply):
             self.counted(event)
-        elif isinstance(event, BackendList):
-            self.list_changed(event)
-        elif isinstance(event, ClientLeft):
-            client_left(self, event.request)
-        elif isinstance(event, Unwanted):
-            unwanted(self, event.request)
-        elif isinstance(event, Maintain):
+        elif isinstance(event, EndpointListUpdate):
+            list_changed(self, event)
+        elif isinstance(event, ClientDisconnected):
+            client_left(self, event.request_id)
+        elif isinstance(event, ClientHalfClosed):
+            unwanted(self, event.request_id)
+        elif isinstance(event, SetMaintenance):
             maintain(self, event)
-        elif isinstance(event, Charged):
+        elif isinstance(event, UnitsCharged):
             charged(self, event)
-        elif isinstance(event, Paired):
-            self.paired = event.on
-        elif isinstance(event, Estate):
+        elif isinstance(event, PeerProcessChanged):
+            self.paired = event.present
+        elif isinstance(event, StateSnapshot):
             inherit(self, event.state)
-        elif isinstance(event, Drain):
-            self.draining = event.on
-            self.actions.append(Dismiss(event.on))
-        elif isinstance(event, StreamBegun | Uploaded | BodySpent):
+        elif isinstance(event, SetDraining):
+            self.draining = event.enabled
+            self.actions.append(DrainClientConnections(event.enabled))
+        elif isinstance(event, ResponseStreamStarted | RequestBodyReceived | RequestBodyConsumed):
             long_body(self, event)
         return self.actions
 
 
-    def arrive(self, request: Request) -> None:
-        if request.id in self.jobs:
+    def arrive(self, request: RequestReceived) -> None:
+        if request.request_id in self.jobs:
             return
-        klass, plan = self.classes.get(request.klass), self.plans.get(request.plan)
+        klass, plan = self.classes.get(request.request_class), self.plans.get(request.plan)
         if klass is None or plan is None or request.deadline <= self.now:
-            return self.actions.append(Refuse(request.id, 0.0))
+            return self.actions.append(Reject(request.request_id, 0.0))
         throttle = self.throttles.get(request.customer) or self.join(
-            request.customer, request.width, plan)
-        self.jobs[request.id] = job = Job(request, klass, throttle, self.now)
+            request.customer, request.quota_spread, plan)
+        self.jobs[request.request_id] = job = Job(request, klass, throttle, self.now)
         units = request.units
         throttle.refill(self.now)
         throttle.note_demand(units, self.now)
@@ -167,7 +157,7 @@
         if self.too_late(job) and not self.has_spare(throttle):
             return self.answer(job, PERIOD)
         wanted = max(wanted_until(job) - self.now, 0.0)
-        bound = min(HOLD_SHARE * klass.aim, wanted, (request.deadline - self.now) / 2)
+        bound = min(HOLD_SHARE * klass.latency_objective, wanted, (request.deadline - self.now) / 2)
         job.hold_until = self.now + bound
         if throttle.thin:
             self.read_level(job)
@@ -190,27 +180,27 @@
         throttle.held += units
         throttle.level -= units
         self.release(throttle)
-        self.actions.append(SetTimer(max(bound, 1e-6), f"h{request.id}"))
+        self.actions.append(SetTimer(max(bound, 1e-6), f"h{request.request_id}"))
 
-    def waited(self, request: Request, klass: RequestClass) -> float:
+    def waited(self, request: RequestReceived, klass: RequestClass) -> float:
         """Seconds since the client first asked: the answer to a repeat is wanted by the first try's time.
 
         Clients wait equally long for each try of a class, and for all of them until its deadline: a repeat
         with less time than first tries have tells by it how old it is. Another is as old as the longest
         advice makes it, but no older than its time allows.
         """
-        patience = request.patience or request.deadline - self.now
+        patience = request.client_timeout or request.deadline - self.now
         usual = self.patience.get(klass.name, patience)
-        if not request.repeat:
+        if not request.is_retry:
             self.patience[klass.name] = usual + BLEND / 3 * (patience - usual)
             return 0.0
         age = max(klass.deadline - patience, 0.0)
-        advised = self.settings.max_retry_after if self.settings.retry_after else 0.0
+        advised = self.settings.max_retry_after if self.settings.retry_after_allowed else 0.0
         return age if patience < SAME_PATIENCE * usual else min(age, advised)
 
     def too_late(self, job: Job) -> bool:
         """True for a repeat whose answer would come after it is wanted: it would take a fresh one's place."""
-        return job.request.repeat and self.now + self.usual_for(job) > wanted_until(job)
+        return job.request.is_retry and self.now + self.usual_for(job) > wanted_until(job)
 
     def has_spare(self, throttle: Throttle) -> bool:
         """True where a request that earns nothing takes nothing from those that do."""
@@ -234,7 +224,7 @@
         There it goes on uncharged while the fleet has room: it takes nothing that is meant for another.
         """
         plan = job.throttle.plan
-        pays = plan.beyond_worth > plan.beyond_cost and plan.ceiling_rate <= 0
+        pays = plan.over_quota_value > plan.over_quota_cost and plan.hard_limit_rate <= 0
         roomy = self.passed >= 1.0 and self.flight < ROOMY * self.limit
         if pays and roomy and not job.attempts and not job.ended:
             job.beyond = True
@@ -247,7 +237,7 @@
         If not, soon: another gateway of the customer's may have the credit, or a backend a free place.
         """
         left = wanted_until(job) - self.now - self.usual_for(job)
-        return wait if wait <= left else RETURN_PART * job.klass.aim
+        return wait if wait <= left else RETURN_PART * job.klass.latency_objective
 
     def release(self, throttle: Throttle) -> None:
         """Lets go what the credit covers, turns away what waited too long, and sets the next exact timer."""
@@ -277,8 +267,8 @@
                 del self.throttles[other]
             else:
                 self.sweep.append(other)
-        most = self.settings.most_units if self.settings.counter else 0.0
-        width = max(1, spread or self.settings.gateways)
+        most = self.settings.max_request_units if self.settings.counter_enabled else 0.0
+        width = max(1, spread or self.settings.gateway_count)
         throttle = Throttle(customer, plan, width, self.now, self.born, most)
         self.throttles[customer] = throttle
         self.sweep.append(customer)
@@ -286,7 +276,8 @@
 
     def start_counting(self, throttle: Throttle) -> None:
         """One timer a second for a customer with new use, at a moment that all its gateways share."""
-        if not self.settings.counter or throttle.counting or throttle.width < 2 or throttle.plan.rate <= 0:
+        shared = throttle.width > 1 and throttle.plan.rate > 0
+        if not self.settings.counter_enabled or throttle.counting or not shared:
             return
         throttle.counting = True
         due = (self.now // PERIOD + 1 + (zlib.crc32(throttle.customer.encode()) % 997) / 1250) * PERIOD
@@ -312,27 +303,27 @@
         if self.now >= self.quiet_until and needy:
             throttle.added = asked
             if asked > 0:
-                self.actions.append(Count(f"{throttle.customer}.{second}", asked, 4 * PERIOD))
-            wait = max(self.settings.counter_patience, EPS)
+                self.actions.append(IncrementCounter(f"{throttle.customer}.{second}", asked, 4 * PERIOD))
+            wait = max(self.settings.counter_timeout, EPS)
             self.actions.append(SetTimer(wait, f"d{second} {throttle.customer}"))
         self.release(throttle)
 
-    def counted(self, event: Counted) -> None:
+    def counted(self, event: CounterReply) -> None:
         throttle = self.throttles.get(event.name.rpartition(".")[0])
-        if event.outcome is Outcome.SERVED:
+        if event.outcome is Outcome.SUCCESS:
             self.count_fails = 0
             self.shortest = min(self.shortest * SHORTEST_GROWS, event.elapsed)
             if event.elapsed <= PROMPT * self.shortest:
                 self.counted_part = min(1.0, self.counted_part * COUNT_MORE)
         else:
             self.count_fails = min(self.count_fails + 1, 4)  # it is left alone for longer: the even slice
-            if event.outcome is Outcome.NO_CONNECTION or self.count_fails >= SILENT_FROM:
+            if event.outcome is Outcome.CONNECT_FAILED or self.count_fails >= SILENT_FROM:
                 self.quiet_until = self.now + PERIOD * 2 ** self.count_fails / 8
             else:  # crowded
                 self.counted_part = max(self.counted_part * COUNT_LESS, LEAST_PART)
         if throttle is not None and throttle.thin:
             self.level_read(throttle, event)
-        elif throttle is not None and event.outcome is Outcome.SERVED and event.name == throttle.reading:
+        elif throttle is not None and event.outcome is Outcome.SUCCESS and event.name == throttle.reading:
             throttle.reading = ""
             self.read_total(throttle, event.total)
 
@@ -366,7 +357,7 @@
         if not even and wait > job.hold_until - self.now:
             return  # too little, even if no other gateway has used any since
         sure = wait <= 0 and (even or throttle.level >= throttle.bank / 2)
-        passes = not self.doubtful(throttle.plan, sure, job.request.repeat)
+        passes = not self.doubtful(throttle.plan, sure, job.request.is_retry)
         if self.random.random() >= self.counted_part:
             job.counted, job.trusted = -1.0, passes
             return
@@ -377,12 +368,12 @@
     def doubtful(self, plan: Plan, sure: bool, repeat: bool) -> bool:
         """True where an uncounted request would more likely cost than earn, by those that were counted."""
         granted = self.granted[plan.name, sure, repeat]
-        return granted + (1.0 - granted) * (plan.beyond_worth - plan.beyond_cost) < 0
+        return granted + (1.0 - granted) * (plan.over_quota_value - plan.over_quota_cost) < 0
 
     def count_use(self, throttle: Throttle, asked: float, right: float = 0.0) -> None:
         name = f"{throttle.customer}.{int(self.now // EPOCH)}"
         throttle.calls.append((name, asked, throttle.uncounted + asked))
-        self.actions.append(Count(name, throttle.uncounted + asked + right, EPOCH))
+        self.actions.append(IncrementCounter(name, throttle.uncounted + asked + right, EPOCH))
         throttle.uncounted = 0.0
 
     def tell_later(self, job: Job) -> None:
@@ -401,13 +392,13 @@
             throttle.counting = True
             self.actions.append(SetTimer(SOON * PERIOD / self.counted_part, "c" + throttle.customer))
 
-    def level_read(self, throttle: Throttle, event: Counted) -> None:
+    def level_read(self, throttle: Throttle, event: CounterReply) -> None:
         """Sets the level by the units sent on since the name's start; keeps the sum near a burst of it."""
         call = next((c for c in throttle.calls if c[0] == event.name), None)
         if call is None:
             return
         throttle.calls.remove(call)
-        if event.outcome is Outcome.SERVED:
+        if event.outcome is Outcome.SUCCESS:
             burst = throttle.plan.burst
             spare = throttle.plan.rate * (self.now % EPOCH) - event.total  # unused, were there no burst
             if spare > burst and event.total <= call[2] + EPS:
@@ -418,7 +409,7 @@
             level = burst + spare + call[1]
             first = throttle.queue[0] if throttle.queue else None
             if call[1] > 0 and first is not None and first.counted > 0:
-                key = (throttle.plan.name, first.sure, first.request.repeat)
+                key = (throttle.plan.name, first.sure, first.request.is_retry)
                 self.granted[key] += BLEND * ((level >= first.request.units) - self.granted[key])
             if level < 0 < call[2] - call[1]:  # sent on beyond the quota, which takes nothing from it
                 self.tell_soon(throttle, -min(call[2] - call[1], -level))
@@ -433,7 +424,7 @@
 
     def usual_for(self, job: Job) -> float:
         """Seconds such a request takes on the fleet."""
-        fallback = self.usual.get((job.klass.name, 0.0), job.klass.aim / 8)
+        fallback = self.usual.get((job.klass.name, 0.0), job.klass.latency_objective / 8)
         return self.usual.get(usual_key(job), fallback)
 
     def place(self, job: Job) -> None:
@@ -447,7 +438,7 @@
     def choose(self, job: Job) -> Server | None:
         """The better of two that are drawn; more replace the unfit, and those that failed unless all did."""
         pool = self.near
-        if job.risky is not None and job.klass.repeats is Repeats.BY_KEY:
+        if job.risky is not None and job.klass.idempotency is Idempotency.IDEMPOTENCY_KEY:
             pool = [s for s in pool if group_of(job.klass, s) == group_of(job.klass, job.risky.server)]
         best, least, found = None, 0.0, 0
         self.drawn = None
@@ -461,7 +452,7 @@
             if cost >= 0 and (best is None or cost < least):
                 best, least = server, cost
             found += cost >= 0
-            if found >= CHOICES and least < SHUN * job.klass.aim:
+            if found >= CHOICES and least < SHUN * job.klass.latency_objective:
                 break
         best = best or next((s for s in (*pool, *self.order) if self.may_send(job, s)), None)
         if best is None and pool:
@@ -471,10 +462,11 @@
 
     def cost(self, job: Job, server: Server) -> float:
         server.fade(self.now)
-        again = sum(1 for a in job.attempts if a.server is server)
+        again = 0.0 + sum(1 for a in job.attempts if a.server is server)
         again += server.full.get((job.klass.name, job.throttle.plan.name), 0.0) > self.now
-        slow = self.kinds.get(server.backend.kind, 1.0) * (server.flight + 1.0)
-        return self.usual_for(job) * slow + (server.bad + server.overdue + again) * job.klass.aim
+        slow = self.kinds.get(server.backend.machine_type, 1.0) * (server.flight + 1.0)
+        again += server.bad + server.overdue
+        return self.usual_for(job) * slow + again * job.klass.latency_objective
 
     def pressed(self, job: Job) -> bool:
         """Sheds while answers are late, those with little credit first: overload no one backend shows."""
@@ -487,7 +479,7 @@
     def judge(self, late: bool, server: Server) -> None:
         """Moves the limits and the part that is sent on, whose steps scale with itself at any width."""
         server.limit = moved(server.limit, late, server.flight, server.least)
-        least = max(LEAST_OUT, LEAST_LIMIT * len(self.order) / self.settings.gateways)
+        least = max(LEAST_OUT, LEAST_LIMIT * len(self.order) / self.settings.gateway_count)
         self.limit = moved(self.limit, late, self.flight, least)
         weight = min(1.0, (self.now - self.judged) / JUDGE_EVERY)
         self.judged = self.now
@@ -504,36 +496,37 @@
     def may_send(self, job: Job, server: Server) -> bool:
         """The rules for one more attempt, each checked here and nowhere else."""
         settings, first, plan = self.settings, job.risky, job.throttle.plan
-        late = self.now >= job.request.deadline and not job.request.uploading
+        late = self.now >= job.request.deadline and not job.request.body_incomplete
         if job.ended or job.streaming or job.spent or late:
             return False
-        known = self.servers.get(server.backend.address) is server and server.flight < server.limit
-        out_of_use = server.backend.status is not Status.SERVING or server.backend.address in self.banned
+        known = self.endpoints.get(server.backend.endpoint_id) is server and server.flight < server.limit
+        serving = server.backend.status is EndpointStatus.SERVING
+        out_of_use = not serving or server.backend.endpoint_id in self.banned
         if out_of_use or not known:
             return False
-        if len(job.attempts) >= settings.max_attempts or (job.out and not settings.second_copies):
+        if len(job.attempts) >= settings.max_attempts or (job.out and not settings.hedging_allowed):
             return False
-        if first is not None and job.klass.repeats is Repeats.ONCE:
+        if first is not None and job.klass.idempotency is Idempotency.NON_IDEMPOTENT:
             return False
-        if first is not None and job.klass.repeats is Repeats.BY_KEY:
+        if first is not None and job.klass.idempotency is Idempotency.IDEMPOTENCY_KEY:
             apart = group_of(job.klass, first.server) != group_of(job.klass, server)
-            if apart or self.now - first.sent >= job.klass.memory:
+            if apart or self.now - first.sent >= job.klass.idempotency_window:
                 return False
         if server.cold_share(self.now, settings) < 1.0 and server is not self.drawn:
             return False
-        return bool(job.attempts) or plan.ceiling_rate <= 0 or job.request.units <= job.throttle.cap + EPS
+        return bool(job.attempts) or plan.hard_limit_rate <= 0 or job.request.units <= job.throttle.cap + EPS
 
     def send(self, job: Job, server: Server) -> None:
         """The one place where an attempt starts."""
         if not self.may_send(job, server):
             return self.give_up(job)
         if not job.attempts:
-            job.throttle.cap -= job.request.units if job.throttle.plan.ceiling_rate > 0 else 0.0
+            job.throttle.cap -= job.request.units if job.throttle.plan.hard_limit_rate > 0 else 0.0
             self.retry_credit = min(self.retry_credit + RETRY_SHARE, RETRY_STORE)
             charge(self, job.throttle, 0.0 if job.beyond else job.request.units)
         attempt, first = Attempt(server, self.now, self.usual_for(job)), job.risky
-        keyed = first is not None and job.klass.repeats is Repeats.BY_KEY
-        memory = first.sent + job.klass.memory - self.now if first is not None and keyed else 0.0
+        keyed = first is not None and job.klass.idempotency is Idempotency.IDEMPOTENCY_KEY
+        memory = first.sent + job.klass.idempotency_window - self.now if first is not None and keyed else 0.0
         server.flight += 1
         server.sent_at = self.now
         self.flight += 1
@@ -541,18 +534,20 @@
         job.out += 1
         job.attempts.append(attempt)
         job.risky = job.risky or attempt
-        self.actions.append(Send(job.request.id, server.backend.address, self.useful_for(job), memory))
+        endpoint_id = server.backend.endpoint_id
+        self.actions.append(StartAttempt(job.request.request_id, endpoint_id, self.useful_for(job), memory))
         self.watch_late(job, len(job.attempts) - 1)
 
     def watch_late(self, job: Job, number: int) -> None:
-        if not job.request.uploading:  # its time has not begun
-            self.actions.append(SetTimer(max(LATE_AT * job.klass.aim, EPS), f"o{number} {job.request.id}"))
+        if not job.request.body_incomplete:  # its time has not begun
+            delay = max(LATE_AT * job.klass.latency_objective, EPS)
+            self.actions.append(SetTimer(delay, f"o{number} {job.request.request_id}"))
 
     def useful_for(self, job: Job) -> float:
         """Seconds until an attempt is given up: its answer is worth little then, and such work piles up."""
-        if job.request.uploading:
+        if job.request.body_incomplete:
             return 0.0  # for as long as the request is open
-        until = max(wanted_until(job), self.now + LATE_AT * job.klass.aim)
+        until = max(wanted_until(job), self.now + LATE_AT * job.klass.latency_objective)
         return min(job.request.deadline, until) - self.now
 
     def attempt_late(self, job: Job, attempt: Attempt) -> None:
@@ -563,11 +558,12 @@
 
 
     def attempt_ended(self, event: AttemptEnded) -> None:
-        job = self.jobs.get(event.request)
-        if job is None or not 0 <= event.attempt < len(job.attempts) or not job.attempts[event.attempt].out:
+        job = self.jobs.get(event.request_id)
+        number = event.attempt_index
+        if job is None or not 0 <= number < len(job.attempts) or not job.attempts[number].out:
             return
-        attempt = job.attempts[event.attempt]
-        attempt.out, attempt.unrun = False, event.outcome.never_ran
+        attempt = job.attempts[number]
+        attempt.out, attempt.unrun = False, event.outcome.proves_not_executed
         job.unsent = job.unsent and event.outcome is Outcome.NOT_SENT
         if not attempt.begun:
             self.let_go(attempt)
@@ -576,8 +572,8 @@
         job.risky = next((a for a in job.attempts if not a.unrun), None)
         if not attempt.begun:
             self.learn(job, attempt, event)
-        self.settle(job, event.true_units)
-        job.ended = job.ended or event.over
+        self.settle(job, event.actual_units)
+        job.ended = job.ended or event.request_answered
         if not job.ended and not job.out:
             self.after_failure(job, event.outcome)
         if job.ended and not job.out:
@@ -603,9 +599,9 @@
             self.release(throttle)
 
     def after_failure(self, job: Job, outcome: Outcome) -> None:
-        end = min(job.request.deadline, job.asked + job.klass.aim)
+        end = min(job.request.deadline, job.asked + job.klass.latency_objective)
         # one turned away cost no work: only in overload does another come dear
-        free = outcome.never_ran and self.random.random() < self.passed
+        free = outcome.proves_not_executed and self.random.random() < self.passed
         useful = outcome is not Outcome.TIMED_OUT and end - self.now > self.usual_for(job)
         if useful and (free or self.retry_credit >= 1.0):
             self.retry_credit -= 0.0 if free else 1.0
@@ -619,25 +615,25 @@
             return
         server.fade(self.now)
         kind = (job.klass.name, job.throttle.plan.name)
-        if outcome is Outcome.TURNED_AWAY:  # maybe for no other plan or class: no sign of its health
+        if outcome is Outcome.REJECTED:  # maybe for no other plan or class: no sign of its health
             return server.full.update({kind: self.now + FULL_FOR})
-        bad, late = outcome is not Outcome.SERVED, event.elapsed > LATE_AT * job.klass.aim
+        bad, late = outcome is not Outcome.SUCCESS, event.elapsed > LATE_AT * job.klass.latency_objective
         self.fleet_fails += BLEND / 4 * ((bad or late) - self.fleet_fails)
-        if not attempt.overdue and outcome in (Outcome.SERVED, Outcome.TIMED_OUT):
+        if not attempt.overdue and outcome in (Outcome.SUCCESS, Outcome.TIMED_OUT):
             self.judge(late, server)
         if bad:
-            dead = outcome is Outcome.NO_CONNECTION  # no slowness of the fleet looks like this
+            dead = outcome is Outcome.CONNECT_FAILED  # no slowness of the fleet looks like this
             sound, server.bad = server.bad < SHUN, max(
                 min(2 * server.bad + 1.0, WORST), WORST / 2 if dead else 0.0)
             if sound:
-                self.set_near()
+                set_near(self)
             return None
         server.bad /= 2
         server.full.pop(kind, None)
         for key in (usual_key(job), (job.klass.name, 0.0)):
             before = self.usual.get(key, event.elapsed)
             self.usual[key] = before + BLEND / 3 * (event.elapsed - before)
-        name, slow = server.backend.kind, event.elapsed / max(attempt.weight, 1e-4)
+        name, slow = server.backend.machine_type, event.elapsed / max(attempt.weight, 1e-4)
         self.kinds[name] = self.kinds.get(name, 1.0) + BLEND / 3 * (slow - self.kinds.get(name, 1.0))
         return None
 
@@ -647,25 +643,26 @@
         if job.ended or job.streaming:
             return
         job.ended = True
-        keyed = job.klass.repeats is Repeats.BY_KEY and job.klass.scope is Scope.ALL
-        harmless = keyed or job.klass.repeats is Repeats.SAFE
+        everywhere = job.klass.idempotency_scope is IdempotencyScope.ALL
+        keyed = everywhere and job.klass.idempotency is Idempotency.IDEMPOTENCY_KEY
+        harmless = keyed or job.klass.idempotency is Idempotency.IDEMPOTENT
         if job.risky is not None and not harmless:
-            self.actions.append(Fail(job.request.id))
+            self.actions.append(FailRequest(job.request.request_id))
         else:
-            longest = self.settings.max_retry_after if self.settings.retry_after else 0.0
-            self.actions.append(Refuse(job.request.id, min(max(retry_after, 0.0), longest)))
+            longest = self.settings.max_retry_after if self.settings.retry_after_allowed else 0.0
+            self.actions.append(Reject(job.request.request_id, min(max(retry_after, 0.0), longest)))
         self.call_off(job)
         if not job.out:
             forget(self, job)
 
     def call_off(self, job: Job) -> None:
         for number, attempt in enumerate(job.attempts):
-            if attempt.out and self.settings.may_cancel and not job.streaming:
-                self.actions.append(Cancel(job.request.id, number))
+            if attempt.out and self.settings.cancellation_allowed and not job.streaming:
+                self.actions.append(CancelAttempt(job.request.request_id, number))
 
     def timer_due(self, key: str) -> None:
         if key == "list":
-            return self.actions.append(Subscribe())
+            return self.actions.append(PollEndpoints())
         kind, rest = key[:1], key[1:]
         second, _, after = rest.partition(" ")
         if kind in "oh":
@@ -689,41 +686,17 @@
             self.add_demand(throttle)
         elif kind == "d" and self.now >= self.quiet_until:
             throttle.reading = f"{rest}.{second}"
-            self.actions.append(Count(throttle.reading, 0.0, 4 * PERIOD))
+            self.actions.append(IncrementCounter(throttle.reading, 0.0, 4 * PERIOD))
         return None
 
-    def list_changed(self, event: BackendList) -> None:
-        if event.kind is ListKind.FAILED:
-            delay = self.settings.ask_every / 8 * (0.5 + self.random.random())
-            return self.actions.append(SetTimer(max(delay, EPS), "list"))
-        if event.kind is not ListKind.CHANGES:
-            named = {b.address for b in event.backends}
-            self.servers = {a: s for a, s in self.servers.items() if a in named}
-        for listed in event.backends:
-            backend = as_returned(self, listed)
-            server = self.servers.get(backend.address)
-            if backend.status is Status.GONE:
-                self.servers.pop(backend.address, None)
-            elif server is None or server.backend.started != backend.started:
-                self.start_server(backend)
-            else:
-                server.backend = backend
-        self.set_order()
-        if event.kind is ListKind.REMEMBERED and not self.settings.list_pushed:
-            self.actions.append(Subscribe())
-
-    def start_server(self, backend: Backend) -> None:
-        limit = max(1.0, START_LIMIT / self.settings.gateways)
-        self.servers[backend.address] = Server(backend, limit, self.now)
+    def knows_endpoint(self, endpoint_id: str) -> bool:
+        return knows(self, endpoint_id)
 
-    def set_order(self) -> None:
-        self.order = [s for s in self.servers.values()
-                      if s.backend.status is Status.SERVING and s.backend.address not in self.banned]
-        self.own = set(subset(self.order, self.settings.me, self.settings.gateways, lambda s: True))
-        self.set_near()
+    def unavailable_endpoints(self) -> int:
+        return avoided(self)
 
-    def set_near(self) -> None:
-        self.near = subset(self.order, self.settings.me, self.settings.gateways, lambda s: s.bad < SHUN)
+    def snapshot(self) -> StateSnapshot:
+        return estate_of(self)
 
-    def takes_clients(self) -> bool:
+    def accepts_clients(self) -> bool:
         return bool(self.order) and not self.draining
--- a/quota_gateway/policy/records.py
+++ b/quota_gateway/policy/records.py
@@ -5,9 +5,9 @@
 import math
 from typing import TYPE_CHECKING
 
-from quota_gateway.model.endpoints import Backend
-from quota_gateway.model.events import Request
-from quota_gateway.model.settings import RequestClass, Scope, Settings
+from quota_gateway.model.endpoints import Endpoint
+from quota_gateway.model.events import RequestReceived
+from quota_gateway.model.settings import IdempotencyScope, RequestClass, Settings
 
 if TYPE_CHECKING:
     from quota_gateway.policy.token_bucket import Throttle
@@ -25,7 +25,7 @@
 class Job:
     """A request this gateway owes an answer, with its attempts."""
 
-    def __init__(self, request: Request, klass: RequestClass, throttle: Throttle, now: float) -> None:
+    def __init__(self, request: RequestReceived, klass: RequestClass, throttle: Throttle, now: float) -> None:
         self.request, self.klass, self.throttle, self.arrived = request, klass, throttle, now
         self.attempts: list[Attempt] = []
         self.out, self.hold_until = 0, now
@@ -51,7 +51,7 @@
 class Server:
     """What this gateway knows of one backend."""
 
-    def __init__(self, backend: Backend, limit: float, now: float) -> None:
+    def __init__(self, backend: Endpoint, limit: float, now: float) -> None:
         self.backend, self.touched = backend, now
         self.flight = self.overdue = 0  # attempts out, and those of them that are late already
         self.bad = 0.0  # what is held against it: doubles and one more for each failure, halves with time
@@ -61,10 +61,17 @@
 
     def cold_share(self, now: float, settings: Settings) -> float:
         """The least part of its capacity that it has now; 1 once it must be warm."""
-        age = settings.warm_within if self.backend.started is None else max(0.0, now - self.backend.started)
-        if age >= settings.warm_within:
+        age = (
+            settings.slow_start_window
+            if self.backend.started_at is None
+            else max(0.0, now - self.backend.started_at)
+        )
+        if age >= settings.slow_start_window:
             return 1.0
-        return settings.cold_from + (1.0 - settings.cold_from) * age / settings.warm_within
+        return (
+            settings.slow_start_minimum
+            + (1.0 - settings.slow_start_minimum) * age / settings.slow_start_window
+        )
 
     def fade(self, now: float) -> None:
         self.bad *= 0.5 ** ((now - self.touched) / FORGET)
@@ -80,8 +87,8 @@
 
 def wanted_until(job: Job) -> float:
     """The aim, counted from the first try, or the deadline where a late answer keeps its worth."""
-    worthless = job.klass.late_share < WORTH_WAITING
-    return job.asked + job.klass.aim if worthless else job.request.deadline
+    worthless = job.klass.late_value_ratio < WORTH_WAITING
+    return job.asked + job.klass.latency_objective if worthless else job.request.deadline
 
 
 def usual_key(job: Job) -> tuple[str, float]:
@@ -90,21 +97,6 @@
 
 
 def group_of(klass: RequestClass, server: Server) -> str | int:
-    if klass.scope is Scope.ALL:
+    if klass.idempotency_scope is IdempotencyScope.ALL:
         return ""
-    return server.backend.zone if klass.scope is Scope.ZONE else server.backend.cell
-
-
-def check(settings: Settings) -> None:
-    """ValueError with the name of a setting that makes no sense."""
-    if settings.gateways < 1 or settings.max_attempts < 1:
-        raise ValueError(f"settings: {'gateways' if settings.gateways < 1 else 'max_attempts'} is below 1")
-    names = ("warm_within", "overload_for", "fall_multiple", "cold_from", "max_retry_after", "ask_every")
-    sets: list[tuple[object, str, tuple[str, ...]]] = [(settings, "", names)]
-    figures = ("rate", "burst", "ceiling_rate", "ceiling_depth", "concurrency")
-    sets += [(plan, f" of plan {plan.name}", figures) for plan in settings.plans]
-    sets += [(klass, f" of class {klass.name}", ("aim", "deadline", "memory")) for klass in settings.classes]
-    for source, where, keys in sets:
-        for name in keys:
-            if getattr(source, name) < 0:
-                raise ValueError(f"settings: {name}{where} is below nought")
+    return server.backend.zone if klass.idempotency_scope is IdempotencyScope.ZONE else server.backend.cell
--- a/quota_gateway/policy/request_completion.py
+++ b/quota_gateway/policy/request_completion.py
@@ -4,15 +4,15 @@
 
 from typing import TYPE_CHECKING
 
+from quota_gateway.policy.records import Job
 from quota_gateway.policy.state_snapshot import charge
 from quota_gateway.policy.token_bucket import PERIOD
-from quota_gateway.policy.records import Job
 
 if TYPE_CHECKING:
-    from quota_gateway.policy.engine import Gateway
+    from quota_gateway.policy.engine import PolicyEngine
 
 
-def client_left(gateway: Gateway, request: int) -> None:
+def client_left(gateway: PolicyEngine, request: int) -> None:
     job = gateway.jobs.get(request)
     if job is None:
         return
@@ -25,7 +25,7 @@
         forget(gateway, job)
 
 
-def unwanted(gateway: Gateway, request: int) -> None:
+def unwanted(gateway: PolicyEngine, request: int) -> None:
     """What is out may still be answered, to a client that has only ended its sending."""
     job = gateway.jobs.get(request)
     if job is None or job.ended or job.streaming:
@@ -38,10 +38,10 @@
     gateway.release(job.throttle)
 
 
-def forget(gateway: Gateway, job: Job) -> None:
+def forget(gateway: PolicyEngine, job: Job) -> None:
     """The end of one with nothing out; units that no attempt was let out with go back."""
     throttle = job.throttle
-    known = gateway.jobs.pop(job.request.id, None) is not None
+    known = gateway.jobs.pop(job.request.request_id, None) is not None
     if known and job.attempts and job.unsent and throttle.plan.rate > 0 and not job.beyond:
         throttle.refill(gateway.now)
         throttle.level = min(throttle.level + job.request.units, throttle.bank - throttle.held)
--- a/quota_gateway/policy/slow_start.py
+++ b/quota_gateway/policy/slow_start.py
@@ -22,20 +22,25 @@
 from quota_gateway.policy.records import SHUN, Job, Server
 
 if TYPE_CHECKING:
-    from quota_gateway.policy.engine import Gateway
+    from quota_gateway.policy.engine import PolicyEngine
 
 PART = 0.5  # of N that the fleet spends at most: twice the even load may come before it is passed
 
 
-def budget(gateway: Gateway, server: Server) -> float:
+def budget(gateway: PolicyEngine, server: Server) -> float:
     """The probability with which a draw out of `near` that falls on this cold backend may be kept."""
     if server not in gateway.own:
         return 0.0
     wider = len(gateway.near) / len(gateway.own)
-    return PART * gateway.settings.fall_multiple * server.cold_share(gateway.now, gateway.settings) * wider
+    return (
+        PART
+        * gateway.settings.slow_start_overload_ratio
+        * server.cold_share(gateway.now, gateway.settings)
+        * wider
+    )
 
 
-def cold_chance(gateway: Gateway, server: Server) -> float:
+def cold_chance(gateway: PolicyEngine, server: Server) -> float:
     """The part kept of draws that fall on a cold backend: as much work as warm ones have, within the budget.
 
     Each has it by what it can do: where few are sound and warm, that is more.
@@ -45,7 +50,7 @@
     return min(even, budget(gateway, server))
 
 
-def keeps(gateway: Gateway, job: Job, server: Server, full: bool) -> bool:
+def keeps(gateway: PolicyEngine, job: Job, server: Server, full: bool) -> bool:
     """Whether an attempt that was drawn for a cold backend goes there.
 
     What is left of the budget is for when the warm ones are full.
--- a/quota_gateway/policy/state_snapshot.py
+++ b/quota_gateway/policy/state_snapshot.py
@@ -8,14 +8,14 @@
 
 from typing import TYPE_CHECKING, Any
 
-from quota_gateway.model.actions import Dismiss
-from quota_gateway.model.charges import Charged
-from quota_gateway.model.events import Estate
-from quota_gateway.policy.maintenance import as_returned
+from quota_gateway.model.actions import DrainClientConnections
+from quota_gateway.model.charges import UnitsCharged
+from quota_gateway.model.events import StateSnapshot
+from quota_gateway.policy.endpoint_registry import as_returned, set_order
 from quota_gateway.policy.token_bucket import Throttle
 
 if TYPE_CHECKING:
-    from quota_gateway.policy.engine import Gateway
+    from quota_gateway.policy.engine import PolicyEngine
 
 LEARNED = (
     "fleet_fails",
@@ -31,16 +31,17 @@
 KEPT = ("share", "rate", "bank", "level", "stamp", "own", "total", "read_until", "fresh_until", "cap")
 
 
-def estate_of(gateway: Gateway) -> Estate:
+def estate_of(gateway: PolicyEngine) -> StateSnapshot:
     """All of it in plain values. Requests that are held stay here: they are charged when they are sent on."""
     throttles = [
         [t.customer, t.plan.name, t.width, t.held, *(getattr(t, name) for name in KEPT)]
         for t in gateway.throttles.values()
     ]
     servers = [
-        [s.backend.address, s.backend.started, s.limit, s.bad, s.touched] for s in gateway.servers.values()
+        [s.backend.endpoint_id, s.backend.started_at, s.limit, s.bad, s.touched]
+        for s in gateway.endpoints.values()
     ]
-    return Estate(
+    return StateSnapshot(
         {
             "born": gateway.born,
             "throttles": throttles,
@@ -56,7 +57,7 @@
     )
 
 
-def inherit(gateway: Gateway, estate: dict[str, Any]) -> None:
+def inherit(gateway: PolicyEngine, estate: dict[str, Any]) -> None:
     """Takes it over. What this process has spent by then stays spent: of two levels the lower counts."""
     gateway.born = min(gateway.born, estate["born"])
     for name in LEARNED:
@@ -73,23 +74,23 @@
         if plan in gateway.plans:
             inherit_level(gateway, customer, plan, width, held, dict(zip(KEPT, kept, strict=True)))
     if gateway.draining:
-        gateway.actions.append(Dismiss(True))
-    gateway.set_order()
+        gateway.actions.append(DrainClientConnections(True))
+    set_order(gateway)
 
 
-def inherit_servers(gateway: Gateway, servers: list[Any]) -> None:
+def inherit_servers(gateway: PolicyEngine, servers: list[Any]) -> None:
     for address, started, limit, bad, touched in servers:
-        server = gateway.servers.get(address)
+        server = gateway.endpoints.get(address)
         if server is None:
             continue
         if address in gateway.returned:  # cold by the operators' word, which the list does not tell
             server.backend = as_returned(gateway, server.backend)
-        if server.backend.started == started:
+        if server.backend.started_at == started:
             server.limit, server.bad, server.touched = limit, bad, touched
 
 
 def inherit_level(
-    gateway: Gateway, customer: str, plan: str, width: int, held: float, kept: dict[str, float]
+    gateway: PolicyEngine, customer: str, plan: str, width: int, held: float, kept: dict[str, float]
 ) -> None:
     old = gateway.throttles.get(customer)
     throttle = old or gateway.join(customer, width, gateway.plans[plan])
@@ -104,17 +105,17 @@
     throttle.refill(gateway.now)
 
 
-def charge(gateway: Gateway, throttle: Throttle, units: float) -> None:
+def charge(gateway: PolicyEngine, throttle: Throttle, units: float) -> None:
     """Tells the other process of units that are sent on here, or given back if below nought."""
     if gateway.paired and throttle.plan.rate > 0 and units:
-        gateway.actions.append(Charged(throttle.customer, throttle.plan.name, throttle.width, units))
+        gateway.actions.append(UnitsCharged(throttle.customer, throttle.plan.name, throttle.width, units))
 
 
-def charged(gateway: Gateway, event: Charged) -> None:
+def charged(gateway: PolicyEngine, event: UnitsCharged) -> None:
     """Takes what the other process has sent on from the level here."""
     plan = gateway.plans.get(event.plan)
     if plan is None:
         return
-    throttle = gateway.throttles.get(event.customer) or gateway.join(event.customer, event.width, plan)
+    throttle = gateway.throttles.get(event.customer) or gateway.join(event.customer, event.quota_spread, plan)
     throttle.refill(gateway.now)
     throttle.level = min(throttle.level - event.units, throttle.bank - throttle.held)
--- a/quota_gateway/policy/subsetting.py
+++ b/quota_gateway/policy/subsetting.py
@@ -51,6 +51,6 @@
         zones[server.backend.zone].append(server)
     ring = []
     for zone in zones.values():
-        zone.sort(key=lambda s: (zlib.crc32(s.backend.address.encode()), s.backend.address))
+        zone.sort(key=lambda s: (zlib.crc32(s.backend.endpoint_id.encode()), s.backend.endpoint_id))
         ring += [((rank + 0.5) / len(zone), server) for rank, server in enumerate(zone)]
     return ring
--- a/quota_gateway/policy/token_bucket.py
+++ b/quota_gateway/policy/token_bucket.py
@@ -28,7 +28,7 @@
         self.held = self.timer = 0.0
         self.open = 0
         # this gateway's part of the ceiling, as far as refilled since its start: before that it may have sent
-        self.cap_depth, self.cap_rate = plan.ceiling_depth / width, plan.ceiling_rate / width
+        self.cap_depth, self.cap_rate = plan.hard_limit_burst / width, plan.hard_limit_rate / width
         self.cap = min(self.cap_depth, self.cap_rate * (now - born))
         self.second, self.asked, self.last_asked = -1, 0.0, 0.0
         self.own = self.total = self.read_until = self.fresh_until = 0.0
@@ -55,7 +55,7 @@
         short = min(units, self.bank) - (self.level + self.held)
         if self.plan.rate > 0 and short > EPS:
             wait = short / self.rate
-        if self.plan.ceiling_rate > 0 and units - self.cap > EPS:
+        if self.plan.hard_limit_rate > 0 and units - self.cap > EPS:
             wait = max(wait, (units - self.cap) / self.cap_rate)
         return wait
 
--- a/quota_gateway/simulator/adapter.py
+++ b/quota_gateway/simulator/adapter.py
@@ -7,38 +7,47 @@
 from collections.abc import Iterable
 from typing import Any, TextIO
 
-from quota_gateway.policy.engine import Gateway
-from quota_gateway.model.actions import Action, Cancel, Count, Fail, Refuse, Send, SetTimer, Subscribe
-from quota_gateway.model.endpoints import Backend, ListKind
+from quota_gateway.configuration.settings_reader import STATUSES, read_settings
+from quota_gateway.model.actions import (
+    Action,
+    CancelAttempt,
+    FailRequest,
+    IncrementCounter,
+    PollEndpoints,
+    Reject,
+    SetTimer,
+    StartAttempt,
+)
+from quota_gateway.model.endpoints import Endpoint, EndpointListKind
 from quota_gateway.model.events import (
     AttemptEnded,
-    BackendList,
-    ClientLeft,
-    Counted,
+    ClientDisconnected,
+    CounterReply,
+    EndpointListUpdate,
     Event,
-    Probed,
-    Request,
-    StreamBegun,
-    TimerDue,
+    HealthCheckResult,
+    RequestReceived,
+    ResponseStreamStarted,
+    TimerFired,
 )
 from quota_gateway.model.outcomes import Outcome
-from quota_gateway.configuration.settings_reader import STATUSES, read_settings
+from quota_gateway.policy.engine import PolicyEngine
 
 OUTCOMES = {
-    "GOOD": Outcome.SERVED,
+    "GOOD": Outcome.SUCCESS,
     "BAD": Outcome.ERROR,
-    "FULL": Outcome.TURNED_AWAY,
+    "FULL": Outcome.REJECTED,
     "LATE": Outcome.TIMED_OUT,
-    "NOCONN": Outcome.NO_CONNECTION,
-    "RST": Outcome.BROKEN,
+    "NOCONN": Outcome.CONNECT_FAILED,
+    "RST": Outcome.BROKEN_RESPONSE,
     "CXL": Outcome.CANCELLED,
     "NOP": Outcome.NOT_SENT,
 }
 KINDS = {
-    "Partial": ListKind.CHANGES,
-    "Complete": ListKind.WHOLE,
-    "Persisted": ListKind.REMEMBERED,
-    "Error": ListKind.FAILED,
+    "Partial": EndpointListKind.DELTA,
+    "Complete": EndpointListKind.FULL,
+    "Persisted": EndpointListKind.CACHED,
+    "Error": EndpointListKind.FAILED,
 }
 
 
@@ -52,11 +61,11 @@
     return table[value]
 
 
-def read_backend(parts: list[str]) -> Backend:
+def read_backend(parts: list[str]) -> Endpoint:
     if len(parts) < 8 or parts[0] != "backend":
         raise Malformed("expected a backend line")
     started = 0.0 if parts[7] == "-" else float(parts[7]) / 1000.0
-    return Backend(
+    return Endpoint(
         parts[1],
         parts[2],
         parts[3],
@@ -76,69 +85,71 @@
     return parts[at] if at < len(parts) and parts[at] != "-" else absent
 
 
-def read_event(parts: list[str], lists: dict[int, tuple[Backend, ...]]) -> Event | None:
+def read_event(parts: list[str], lists: dict[int, tuple[Endpoint, ...]]) -> Event | None:
     """One event line as an event of the library; None for what the module has no use for."""
     what = parts[0]
     if what == "job_in":
-        return Request(
-            id=int(parts[1]),
-            klass=parts[2],
+        return RequestReceived(
+            request_id=int(parts[1]),
+            request_class=parts[2],
             plan=value(parts, 3, ""),
             customer=value(parts, 4, ""),
             deadline=float(parts[5]) / 1000.0,
             units=float(value(parts, 6, "1")),
-            width=int(value(parts, 7, "0")),
+            quota_spread=int(value(parts, 7, "0")),
             first_gateway=int(value(parts, 8, "0")),
-            repeat=bool(int(value(parts, 9, "0")) & 2),
+            is_retry=bool(int(value(parts, 9, "0")) & 2),
         )
     if what == "result":
         return AttemptEnded(
-            request=int(parts[1]),
-            attempt=int(parts[2]),
-            backend=parts[3],
+            request_id=int(parts[1]),
+            attempt_index=int(parts[2]),
+            endpoint_id=parts[3],
             outcome=pick(OUTCOMES, parts[4]),
             elapsed=float(parts[5]) / 1000.0,
-            over=value(parts, 6, "0") == "1",
-            true_units=float(value(parts, 8, "0")),
-            load=read_load(parts, 9),
+            request_answered=value(parts, 6, "0") == "1",
+            actual_units=float(value(parts, 8, "0")),
+            load_report=read_load(parts, 9),
         )
     if what == "deadline_hit":
-        return TimerDue(parts[1])
+        return TimerFired(parts[1])
     if what == "counted":
         total = float(value(parts, 3, "0"))
-        return Counted(parts[1], pick(OUTCOMES, parts[4]), float(parts[2]) / 1000.0, total)
+        return CounterReply(parts[1], pick(OUTCOMES, parts[4]), float(parts[2]) / 1000.0, total)
     if what == "discovery":
         kind = pick(KINDS, parts[2])
-        if kind is ListKind.FAILED:
-            return BackendList(kind, ())
+        if kind is EndpointListKind.FAILED:
+            return EndpointListUpdate(kind, ())
         if int(parts[1]) not in lists:
             raise Malformed("discovery names an unknown page")
-        return BackendList(kind, lists[int(parts[1])])
+        return EndpointListUpdate(kind, lists[int(parts[1])])
     if what == "client_left":
-        return ClientLeft(int(parts[1]))
+        return ClientDisconnected(int(parts[1]))
     if what == "ack_first":
-        return StreamBegun(int(parts[1]), int(parts[2]))
+        return ResponseStreamStarted(int(parts[1]), int(parts[2]))
     if what == "probe_result":
-        return Probed(parts[1], pick(OUTCOMES, parts[2]), float(parts[3]) / 1000.0, read_load(parts, 4))
+        return HealthCheckResult(
+            parts[1], pick(OUTCOMES, parts[2]), float(parts[3]) / 1000.0, read_load(parts, 4)
+        )
     if what == "note_from":
         return None
     raise Malformed(f"unknown message {what!r}")
 
 
 def write_action(action: Action) -> str:
-    if isinstance(action, Send):
-        return f"issue\t{action.request}\t{max(action.timeout * 1000.0, 0.001):.3f}\t{action.backend}"
+    if isinstance(action, StartAttempt):
+        return f"issue\t{action.request_id}\t{max(action.timeout * 1000.0, 0.001):.3f}\t{action.endpoint_id}"
     if isinstance(action, SetTimer):
         return f"timer\t{action.delay * 1000.0:.3f}\t{action.key}"
-    if isinstance(action, Refuse):
-        return f"deny\t{action.request}\t{action.retry_after * 1000.0:.3f}"
-    if isinstance(action, Fail):
-        return f"report_failure\t{action.request}"
-    if isinstance(action, Count):
-        return f"incr\t{action.name}\t{action.amount:.6g}\t{action.forget_after * 1000.0:.3f}"
-    if isinstance(action, Cancel):
-        return f"recall\t{action.request}\t{action.attempt}"
-    assert isinstance(action, Subscribe)
+    if isinstance(action, Reject):
+        return f"deny\t{action.request_id}\t{action.retry_after * 1000.0:.3f}"
+    if isinstance(action, FailRequest):
+        return f"report_failure\t{action.request_id}"
+    if isinstance(action, IncrementCounter):
+        return f"incr\t{action.name}\t{action.amount:.6g}\t{action.expire_after * 1000.0:.3f}"
+    if isinstance(action, CancelAttempt):
+        return f"recall\t{action.request_id}\t{action.attempt_index}"
+    assert isinstance(action, PollEndpoints)
     return "keep_informed\t1"
 
 
@@ -146,8 +157,8 @@
     """All instances of one process. They share nothing but the numbered lists that the wire itself shares."""
 
     def __init__(self) -> None:
-        self.gateways: dict[int, Gateway] = {}
-        self.lists: dict[int, tuple[Backend, ...]] = {}
+        self.gateways: dict[int, PolicyEngine] = {}
+        self.lists: dict[int, tuple[Endpoint, ...]] = {}
 
     def batch(self, now: float, lines: list[str]) -> list[str]:
         out: list[str] = []
@@ -176,7 +187,7 @@
                 if parts[0] == "up":
                     seed = int(parts[1])
                     env = json.loads("\t".join(parts[2:]))
-                    self.gateways[who] = Gateway(read_settings(env), seed, now)
+                    self.gateways[who] = PolicyEngine(read_settings(env), seed, now)
                     continue
                 if who not in self.gateways:
                     raise Malformed(f"an event for instance {who}, which is not up")
--- a/quota_gateway/upstream/connection_pool.py
+++ b/quota_gateway/upstream/connection_pool.py
@@ -14,8 +14,8 @@
 
 import httptools
 
-from quota_gateway.model.outcomes import Outcome
 from quota_gateway.body_streaming import HELD, MOST_BODY, READ_AT_ONCE, Head, Sink, Upload
+from quota_gateway.model.outcomes import Outcome
 from quota_gateway.sockets.dialing import dial, nothing_makes_way
 
 MOST_HEAD = 32 * 1024  # bytes before the body, interim answers too: a sound backend sends a hundredth of it
@@ -121,7 +121,7 @@
     def time_out(self) -> None:
         # one that still waits for its connection was never written, so it is known not to have run
         connection = self.connection
-        self.end(Answer(Outcome.TIMED_OUT if connection is not None else Outcome.NO_CONNECTION))
+        self.end(Answer(Outcome.TIMED_OUT if connection is not None else Outcome.CONNECT_FAILED))
         if connection is not None:
             # a machine that is cut off leaves its kept connections open and silent: what is written to them
             # may have run, while a dial that does not come up is known not to have
@@ -346,7 +346,7 @@
             self.finish(attempt)
         elif self.is_spoilt():
             # a backend that answers at all may have run the request, however odd the answer is
-            attempt.end(Answer(Outcome.BROKEN))
+            attempt.end(Answer(Outcome.BROKEN_RESPONSE))
         elif self.begun and not self.paused:
             self.watch_stall(attempt)
 
@@ -382,7 +382,7 @@
         # half an answer whose rest does not come is spoilt; while it is waited for, another try could help
         self.stall = None
         if self.attempt is attempt:
-            attempt.end(Answer(Outcome.BROKEN))
+            attempt.end(Answer(Outcome.BROKEN_RESPONSE))
 
     def finish(self, attempt: Attempt) -> None:
         self.rest_stall()
@@ -399,11 +399,11 @@
             self.pool.was_alive(self.rested)
             self.pool.put_back(self)
         if not whole:
-            attempt.end(Answer(Outcome.BROKEN))
+            attempt.end(Answer(Outcome.BROKEN_RESPONSE))
         elif self.status == 200:
-            attempt.end(Answer(Outcome.SERVED, b"".join(parts), self.units, self.headers))
+            attempt.end(Answer(Outcome.SUCCESS, b"".join(parts), self.units, self.headers))
         elif self.status in (503, 504) and self.rejected:
-            attempt.end(Answer(Outcome.TURNED_AWAY))
+            attempt.end(Answer(Outcome.REJECTED))
         else:
             attempt.end(Answer(Outcome.ERROR))
 
@@ -424,7 +424,9 @@
                 self.pool.was_dead(self.rested)
             # an unsent rest proves that the backend never had the whole; a write that went through proves
             # nothing, also not on a kept connection that the backend had closed by then
-            attempt.end(Answer(Outcome.NO_CONNECTION if attempt.whole_at is None else Outcome.BROKEN))
+            attempt.end(
+                Answer(Outcome.CONNECT_FAILED if attempt.whole_at is None else Outcome.BROKEN_RESPONSE)
+            )
 
 
 def is_interim(status: int) -> bool:
@@ -475,7 +477,7 @@
         if line is not None:
             line.drop_idle()
             for attempt in [a for a, towards in self.dialling.items() if towards is line]:
-                attempt.end(Answer(Outcome.NO_CONNECTION))
+                attempt.end(Answer(Outcome.CONNECT_FAILED))
 
     def rest(self, backend: str) -> None:
         """Parts with what was dialled so far, for a backend that stays at its address."""
@@ -494,12 +496,12 @@
         attempt.timer = self.loop.call_later(max(attempt.until - now, 0.0), attempt.time_out)
         line = self.lines.get(attempt.backend)
         if line is None:
-            return attempt.end(Answer(Outcome.NO_CONNECTION))
+            return attempt.end(Answer(Outcome.CONNECT_FAILED))
         connection = self.take_idle(line, now)
         if connection is not None:
             return connection.send(attempt, max(attempt.until - now, 0.001))
         if not self.has_room():
-            return attempt.end(Answer(Outcome.NO_CONNECTION))
+            return attempt.end(Answer(Outcome.CONNECT_FAILED))
         self.dialling[attempt] = line
         attempt.dial = self.loop.create_task(self.connect(attempt, line))
         return None
@@ -561,7 +563,7 @@
         elif up and owner is not None:
             made.send(attempt, max(attempt.until - self.clock(), 0.001))
         else:
-            attempt.end(Answer(Outcome.NO_CONNECTION))
+            attempt.end(Answer(Outcome.CONNECT_FAILED))
 
     def opened(self, connection: BackendConnection) -> None:
         self.connections.add(connection)
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -14,12 +14,19 @@
 from multiprocessing import Pool
 from typing import Any
 
-from quota_gateway.policy.engine import Gateway
-from quota_gateway.model.actions import Fail, Refuse, Send, SetTimer
-from quota_gateway.model.endpoints import Backend, ListKind, Status
-from quota_gateway.model.events import AttemptEnded, BackendList, Event, Maintain, Request, TimerDue
+from quota_gateway.model.actions import FailRequest, Reject, SetTimer, StartAttempt
+from quota_gateway.model.endpoints import Endpoint, EndpointListKind, EndpointStatus
+from quota_gateway.model.events import (
+    AttemptEnded,
+    EndpointListUpdate,
+    Event,
+    RequestReceived,
+    SetMaintenance,
+    TimerFired,
+)
 from quota_gateway.model.outcomes import Outcome
-from quota_gateway.model.settings import Plan, Repeats, RequestClass, Scope, Settings
+from quota_gateway.model.settings import Idempotency, IdempotencyScope, Plan, RequestClass, Settings
+from quota_gateway.policy.engine import PolicyEngine
 from tests.policy_harness import SETTINGS
 
 TRANSIT = 0.001  # seconds between a gateway and a backend
@@ -33,7 +40,7 @@
 LOADS = ("calm", "pressed", "half dead", "half dead and pressed")
 LOADS_DEAD = dict(zip(LOADS, (0.0, 0.0, 0.5, 0.5), strict=True))
 LOADS_USE = dict(zip(LOADS, (0.6, 1.0, 0.35, 0.55), strict=True))  # of the capacity of all, dead ones too
-READ = RequestClass("read", Repeats.SAFE, Scope.ALL, 5.0, 0.75, 2.5, 0.0, 1.0, False)
+READ = RequestClass("read", Idempotency.IDEMPOTENT, IdempotencyScope.ALL, 5.0, 0.75, 2.5, 0.0, 1.0, False)
 
 
 @dataclass(frozen=True)
@@ -75,20 +82,22 @@
         self.case, self.random = case, random.Random(case.seed)
         self.settings: Settings = replace(
             SETTINGS,
-            gateways=case.gateways,
-            classes=(READ,),
+            gateway_count=case.gateways,
+            request_classes=(READ,),
             plans=(OPEN_PLAN,),
-            counter=False,
-            cold_from=0.16,
-            warm_within=15.0,
-            fall_multiple=case.multiple,
-            overload_for=1.5,
+            counter_enabled=False,
+            slow_start_minimum=0.16,
+            slow_start_window=15.0,
+            slow_start_overload_ratio=case.multiple,
+            overload_duration=1.5,
             max_attempts=4,
         )
         self.now, self.number, self.order = 0.0, 0, 0
         self.events: list[tuple[float, int, str, Any]] = []
         self.machines = {f"s{n:03d}": Machine(f"s{n:03d}") for n in range(case.backends)}
-        listed = BackendList(ListKind.WHOLE, tuple(self.entry(m) for m in self.machines.values()))
+        listed = EndpointListUpdate(
+            EndpointListKind.FULL, tuple(self.entry(m) for m in self.machines.values())
+        )
         self.gateways = [self.gateway(me, listed) for me in range(case.gateways)]
         self.open: set[tuple[int, int, int]] = set()
         self.attempts: dict[tuple[int, int], int] = {}
@@ -97,14 +106,14 @@
         scale = case.use * case.backends * CORES / WORK / sum(rates)
         self.rates = [rate * scale for rate in rates]
 
-    def gateway(self, me: int, listed: BackendList) -> Gateway:
-        made = Gateway(replace(self.settings, me=me), 1000 * self.case.seed + me, 0.0)
+    def gateway(self, me: int, listed: EndpointListUpdate) -> PolicyEngine:
+        made = PolicyEngine(replace(self.settings, gateway_index=me), 1000 * self.case.seed + me, 0.0)
         made.handle(listed, 0.0)
         return made
 
-    def entry(self, machine: Machine, status: Status = Status.SERVING) -> Backend:
+    def entry(self, machine: Machine, status: EndpointStatus = EndpointStatus.SERVING) -> Endpoint:
         zone = "abc"[int(machine.name[1:]) % 3]
-        return Backend(machine.name, zone, "k", 0, status, 1.0, machine.started)
+        return Endpoint(machine.name, zone, "k", 0, status, 1.0, machine.started)
 
     def at(self, when: float, what: str, data: Any) -> None:
         self.order += 1
@@ -123,30 +132,32 @@
         for action in self.gateways[me].handle(event, self.now):
             if isinstance(action, SetTimer):
                 self.at(self.now + action.delay, "timer", (me, action.key))
-            elif isinstance(action, Send):
-                place = self.attempts.get((me, action.request), 0)
-                self.attempts[me, action.request] = place + 1
-                attempt = (me, action.request, place)
+            elif isinstance(action, StartAttempt):
+                place = self.attempts.get((me, action.request_id), 0)
+                self.attempts[me, action.request_id] = place + 1
+                attempt = (me, action.request_id, place)
                 self.open.add(attempt)
-                self.at(self.now + action.timeout, "give_up", (attempt, action.backend, self.now))
-                self.at(self.now + TRANSIT, "come", (attempt, action.backend, self.now))
-            elif isinstance(action, Refuse | Fail):
-                self.attempts.pop((me, action.request), None)
+                self.at(self.now + action.timeout, "give_up", (attempt, action.endpoint_id, self.now))
+                self.at(self.now + TRANSIT, "come", (attempt, action.endpoint_id, self.now))
+            elif isinstance(action, Reject | FailRequest):
+                self.attempts.pop((me, action.request_id), None)
 
     def arrive(self, me: int) -> None:
         self.number += 1
         self.asked += self.now > SETTLED
         self.at(self.now + self.random.expovariate(self.rates[me]), "arrive", me)
-        self.tell(me, Request(self.number, "read", "open", "c", self.now + 2.4, 1.0, 1, 0, False, 2.5))
+        self.tell(
+            me, RequestReceived(self.number, "read", "open", "c", self.now + 2.4, 1.0, 1, 0, False, 2.5)
+        )
 
     def timer(self, data: tuple[int, str]) -> None:
-        self.tell(data[0], TimerDue(data[1]))
+        self.tell(data[0], TimerFired(data[1]))
 
     def come(self, data: tuple[tuple[int, int, int], str, float]) -> None:
         attempt, name, since = data
         machine = self.machines[name]
         if machine.dead:
-            self.at(self.now + DIAL, "end", (attempt, name, since, Outcome.NO_CONNECTION))
+            self.at(self.now + DIAL, "end", (attempt, name, since, Outcome.CONNECT_FAILED))
             return
         self.count(machine)
         if machine.busy < CORES:
@@ -154,14 +165,14 @@
         elif len(machine.queue) < QUEUE:
             machine.queue.append(data)  # type: ignore[arg-type]
         else:
-            self.at(self.now + TRANSIT, "end", (attempt, name, since, Outcome.TURNED_AWAY))
+            self.at(self.now + TRANSIT, "end", (attempt, name, since, Outcome.REJECTED))
 
     def share(self, machine: Machine, now: float) -> float:
         """The part of its capacity that the settings say it has at least."""
-        if machine.started is None or now - machine.started >= self.settings.warm_within:
+        if machine.started is None or now - machine.started >= self.settings.slow_start_window:
             return 1.0
-        grown = (now - machine.started) / self.settings.warm_within
-        return self.settings.cold_from + (1.0 - self.settings.cold_from) * grown
+        grown = (now - machine.started) / self.settings.slow_start_window
+        return self.settings.slow_start_minimum + (1.0 - self.settings.slow_start_minimum) * grown
 
     def count(self, machine: Machine) -> None:
         """What comes to a cold one against N + 2 root N + 2 over each window of the settings' length."""
@@ -173,9 +184,9 @@
         machine.allowed_at = self.now
         machine.sent += 1
         machine.arrivals.append((self.now, machine.allowed))
-        while machine.arrivals[0][0] < self.now - self.settings.overload_for:
+        while machine.arrivals[0][0] < self.now - self.settings.overload_duration:
             machine.arrivals.popleft()
-        window = self.settings.overload_for
+        window = self.settings.overload_duration
         least = self.case.multiple * self.share(machine, max(machine.started, self.now - window))
         allowed = least * CORES / WORK * window  # as it was at the window's start: no more than it has now
         over = len(machine.arrivals) - (allowed + 2.0 * allowed**0.5 + 2.0)
@@ -196,18 +207,18 @@
             waiting: Any = machine.queue.popleft()
             if waiting[0] in self.open:  # what was given up is not begun
                 self.work(machine, waiting)
-        self.at(self.now + TRANSIT, "end", (attempt, name, since, Outcome.SERVED))
+        self.at(self.now + TRANSIT, "end", (attempt, name, since, Outcome.SUCCESS))
 
     def give_up(self, data: tuple[tuple[int, int, int], str, float]) -> None:
         dead = self.machines[data[1]].dead and self.now - data[2] < DIAL
-        self.end((*data, Outcome.NO_CONNECTION if dead else Outcome.TIMED_OUT))
+        self.end((*data, Outcome.CONNECT_FAILED if dead else Outcome.TIMED_OUT))
 
     def end(self, data: tuple[tuple[int, int, int], str, float, Outcome]) -> None:
         attempt, name, since, outcome = data
         if attempt not in self.open:
             return
         self.open.discard(attempt)
-        served = outcome is Outcome.SERVED
+        served = outcome is Outcome.SUCCESS
         self.served += served and since > SETTLED
         self.tell(
             attempt[0], AttemptEnded(attempt[1], attempt[2], name, outcome, self.now - since, served, 0.0, ())
@@ -225,10 +236,10 @@
         for me in range(self.case.gateways):
             if self.case.put_back:
                 for name in cold:
-                    self.tell(me, Maintain(name, True))
-                    self.tell(me, Maintain(name, False))
+                    self.tell(me, SetMaintenance(name, True))
+                    self.tell(me, SetMaintenance(name, False))
             else:
-                self.tell(me, BackendList(ListKind.CHANGES, fresh))
+                self.tell(me, EndpointListUpdate(EndpointListKind.DELTA, fresh))
 
 
 @dataclass(frozen=True)
--- a/tests/recorder.py
+++ b/tests/recorder.py
@@ -14,43 +14,43 @@
 from dataclasses import replace
 from typing import Any
 
-from quota_gateway.policy.engine import Gateway
-from quota_gateway.policy.state_snapshot import estate_of
 from quota_gateway.model.actions import (
     Action,
-    Cancel,
-    Count,
-    Dismiss,
-    Fail,
-    Refuse,
-    Rest,
-    Send,
+    CancelAttempt,
+    CloseIdleConnections,
+    DrainClientConnections,
+    FailRequest,
+    IncrementCounter,
+    PollEndpoints,
+    Reject,
     SetTimer,
-    Subscribe,
+    StartAttempt,
 )
-from quota_gateway.model.charges import Charged
-from quota_gateway.model.endpoints import Backend, ListKind, Status
+from quota_gateway.model.charges import UnitsCharged
+from quota_gateway.model.endpoints import Endpoint, EndpointListKind, EndpointStatus
 from quota_gateway.model.events import (
     AttemptEnded,
-    BackendList,
-    BodySpent,
-    ClientLeft,
-    Counted,
-    Drain,
-    Estate,
+    ClientDisconnected,
+    ClientHalfClosed,
+    CounterReply,
+    EndpointListUpdate,
     Event,
-    Maintain,
-    Paired,
-    Probed,
-    Request,
-    StreamBegun,
-    TimerDue,
-    Unwanted,
-    Uploaded,
+    HealthCheckResult,
+    PeerProcessChanged,
+    RequestBodyConsumed,
+    RequestBodyReceived,
+    RequestReceived,
+    ResponseStreamStarted,
+    SetDraining,
+    SetMaintenance,
+    StateSnapshot,
+    TimerFired,
 )
 from quota_gateway.model.outcomes import Outcome
 from quota_gateway.model.settings import Plan, Settings
+from quota_gateway.policy.engine import PolicyEngine
 from quota_gateway.policy.maintenance import avoided
+from quota_gateway.policy.state_snapshot import estate_of
 from tests.policy_harness import CAPPED, OPEN, PLAN, SETTINGS
 
 FOLDER = pathlib.Path(__file__).parent / "recorded"
@@ -63,24 +63,24 @@
 WIDE = Plan("wide", 40.0, 80.0, 0, 0.0, 0.0, 1.0, 0.0, 1.0)
 EXTRA = Plan("extra", 3.0, 6.0, 0, 0.0, 0.0, 1.0, 2.0, 1.0)
 OUTCOMES = (
-    Outcome.SERVED,
-    Outcome.SERVED,
-    Outcome.SERVED,
+    Outcome.SUCCESS,
+    Outcome.SUCCESS,
+    Outcome.SUCCESS,
     Outcome.ERROR,
-    Outcome.TURNED_AWAY,
+    Outcome.REJECTED,
     Outcome.TIMED_OUT,
-    Outcome.NO_CONNECTION,
-    Outcome.BROKEN,
+    Outcome.CONNECT_FAILED,
+    Outcome.BROKEN_RESPONSE,
     Outcome.NOT_SENT,
 )
 COUNTER_OUTCOMES = (
-    Outcome.SERVED,
-    Outcome.SERVED,
-    Outcome.SERVED,
-    Outcome.SERVED,
+    Outcome.SUCCESS,
+    Outcome.SUCCESS,
+    Outcome.SUCCESS,
+    Outcome.SUCCESS,
     Outcome.TIMED_OUT,
-    Outcome.TURNED_AWAY,
-    Outcome.NO_CONNECTION,
+    Outcome.REJECTED,
+    Outcome.CONNECT_FAILED,
 )
 
 
@@ -88,15 +88,15 @@
     """Settings that differ in what decides which branches are taken."""
     return replace(
         SETTINGS,
-        me=1,
-        gateways=chance.choice([2, 2, 6, 40]),
+        gateway_index=1,
+        gateway_count=chance.choice([2, 2, 6, 40]),
         plans=(PLAN, CAPPED, OPEN, WIDE, EXTRA),
-        list_pushed=chance.random() < 0.5,
-        counter=chance.random() < 0.8,
-        may_cancel=chance.random() < 0.8,
-        second_copies=chance.random() < 0.3,
-        retry_after=chance.random() < 0.8,
-        settles=chance.random() < 0.5,
+        endpoint_list_pushed=chance.random() < 0.5,
+        counter_enabled=chance.random() < 0.8,
+        cancellation_allowed=chance.random() < 0.8,
+        hedging_allowed=chance.random() < 0.3,
+        retry_after_allowed=chance.random() < 0.8,
+        settles_actual_units=chance.random() < 0.5,
     )
 
 
@@ -107,7 +107,7 @@
         self.chance = random.Random(seed)
         self.settings = settings_of(self.chance)
         self.now = START
-        self.engines = [Gateway(self.settings, seed, START)]
+        self.engines = [PolicyEngine(self.settings, seed, START)]
         self.pending: list[tuple[float, int, int, str, Any]] = []  # when, order, engine, what, and of whom
         self.order = self.number = 0
         self.lines: list[str] = []
@@ -115,12 +115,14 @@
         self.sent: dict[tuple[int, int], list[tuple[str, float]]] = {}
         self.uploads: dict[tuple[int, int], float] = {}
         self.totals: dict[str, float] = {}
-        self.tell(0, BackendList(ListKind.REMEMBERED, tuple(self.endpoint(n) for n in ENDPOINTS[:6])))
+        self.tell(
+            0, EndpointListUpdate(EndpointListKind.CACHED, tuple(self.endpoint(n) for n in ENDPOINTS[:6]))
+        )
 
-    def endpoint(self, name: str, status: Status = Status.SERVING) -> Backend:
+    def endpoint(self, name: str, status: EndpointStatus = EndpointStatus.SERVING) -> Endpoint:
         number = int(name[1:])
         started = self.chance.choice([None, None, self.now - 4.0 * self.chance.random(), self.now - 60.0])
-        return Backend(name, "abc"[number % 3], f"k{number % 2}", number % 4, status, 1.0, started)
+        return Endpoint(name, "abc"[number % 3], f"k{number % 2}", number % 4, status, 1.0, started)
 
     def write(self, text: str) -> None:
         self.lines.append(text)
@@ -138,40 +140,40 @@
     def act(self, engine: int, action: Action) -> None:
         if isinstance(action, SetTimer):
             self.later(action.delay, engine, "timer", action.key)
-        elif isinstance(action, Send):
-            key = (engine, action.request)
+        elif isinstance(action, StartAttempt):
+            key = (engine, action.request_id)
             attempts = self.sent.setdefault(key, [])
             self.open.setdefault(key, []).append(len(attempts))
-            attempts.append((action.backend, self.now))
+            attempts.append((action.endpoint_id, self.now))
             took = self.chance.choice([0.02, 0.1, 0.3, 0.6]) * (0.5 + self.chance.random())
             if 0 < action.timeout < took:
-                self.later(action.timeout, engine, "end", (action.request, len(attempts) - 1, "late"))
+                self.later(action.timeout, engine, "end", (action.request_id, len(attempts) - 1, "late"))
             else:
-                self.later(took, engine, "end", (action.request, len(attempts) - 1, "any"))
-        elif isinstance(action, Cancel):
-            self.later(0.0, engine, "end", (action.request, action.attempt, "cancelled"))
-        elif isinstance(action, Count):
+                self.later(took, engine, "end", (action.request_id, len(attempts) - 1, "any"))
+        elif isinstance(action, CancelAttempt):
+            self.later(0.0, engine, "end", (action.request_id, action.attempt_index, "cancelled"))
+        elif isinstance(action, IncrementCounter):
             total = self.totals[action.name] = self.totals.get(action.name, 0.0) + action.amount
             total += self.chance.choice([0.0, 0.0, 1.0, 5.0])
             took = 0.001 + 0.06 * self.chance.random() ** 3
             self.later(took, engine, "count", (action.name, total, self.now))
-        elif isinstance(action, Charged) and len(self.engines) > 1:
+        elif isinstance(action, UnitsCharged) and len(self.engines) > 1:
             self.later(0.002, 1 - engine, "charged", action)
-        elif isinstance(action, Refuse | Fail):
-            self.uploads.pop((engine, action.request), None)
+        elif isinstance(action, Reject | FailRequest):
+            self.uploads.pop((engine, action.request_id), None)
 
     def run_until(self, until: float) -> None:
         """Lets all happen that falls due by then."""
         while self.pending and self.pending[0][0] <= until:
             self.now, _, engine, what, whom = heapq.heappop(self.pending)
             if what == "timer":
-                self.tell(engine, TimerDue(whom))
+                self.tell(engine, TimerFired(whom))
             elif what == "charged":
                 self.tell(engine, whom)
             elif what == "count":
                 name, total, since = whom
                 outcome = self.chance.choice(COUNTER_OUTCOMES)
-                self.tell(engine, Counted(name, outcome, self.now - since, total))
+                self.tell(engine, CounterReply(name, outcome, self.now - since, total))
             else:
                 self.end_attempt(engine, *whom)
         self.now = until
@@ -181,7 +183,7 @@
         if attempt not in self.open.get(key, ()):
             return
         if how == "any" and self.chance.random() < 0.06:
-            self.tell(engine, StreamBegun(request, attempt, self.chance.choice([0.0, 0.2])))
+            self.tell(engine, ResponseStreamStarted(request, attempt, self.chance.choice([0.0, 0.2])))
             self.later(0.5 * self.chance.random(), engine, "end", (request, attempt, "streamed"))
             return
         self.open[key].remove(attempt)
@@ -191,9 +193,9 @@
         elif how == "cancelled":
             outcome = Outcome.CANCELLED
         elif how == "streamed":
-            outcome = Outcome.SERVED
+            outcome = Outcome.SUCCESS
         where, since = self.sent[key][attempt]
-        over = outcome is Outcome.SERVED
+        over = outcome is Outcome.SUCCESS
         units = self.chance.choice([0.0, 0.0, 0.5, 1.0, 3.0])
         self.tell(engine, AttemptEnded(request, attempt, where, outcome, self.now - since, over, units, ()))
 
@@ -213,9 +215,9 @@
         elif pick < 0.97:
             self.operate(engine)
         else:
-            self.tell(engine, Probed(self.chance.choice(ENDPOINTS), Outcome.SERVED, 0.01, ()))
+            self.tell(engine, HealthCheckResult(self.chance.choice(ENDPOINTS), Outcome.SUCCESS, 0.01, ()))
             made = self.engines[engine]
-            self.write(f"  avoided {avoided(made)} takes clients {made.takes_clients()}")
+            self.write(f"  avoided {avoided(made)} takes clients {made.accepts_clients()}")
 
     def ask(self, engine: int) -> None:
         self.number += 1
@@ -223,7 +225,7 @@
         uploading = self.chance.random() < 0.05
         time = self.chance.choice([0.4, 1.0, 2.0, 4.0])
         spread = self.chance.choice([0, 1, 2, 6])
-        request = Request(
+        request = RequestReceived(
             self.number,
             klass,
             plan,
@@ -243,27 +245,34 @@
     def leave(self, engine: int) -> None:
         number = max(1, self.number - self.chance.randrange(6))
         gone = self.chance.random() < 0.5
-        self.tell(engine, ClientLeft(number) if gone else Unwanted(number))
+        self.tell(engine, ClientDisconnected(number) if gone else ClientHalfClosed(number))
 
     def change_list(self, engine: int) -> None:
         kind = self.chance.choice(
             [
-                ListKind.CHANGES,
-                ListKind.CHANGES,
-                ListKind.CHANGES,
-                ListKind.WHOLE,
-                ListKind.FAILED,
-                ListKind.REMEMBERED,
+                EndpointListKind.DELTA,
+                EndpointListKind.DELTA,
+                EndpointListKind.DELTA,
+                EndpointListKind.FULL,
+                EndpointListKind.FAILED,
+                EndpointListKind.CACHED,
             ]
         )
-        if kind is ListKind.FAILED:
-            return self.tell(engine, BackendList(kind, ()))
-        if kind is ListKind.CHANGES:
-            status = self.chance.choice([Status.SERVING, Status.SERVING, Status.DRAINING, Status.GONE])
+        if kind is EndpointListKind.FAILED:
+            return self.tell(engine, EndpointListUpdate(kind, ()))
+        if kind is EndpointListKind.DELTA:
+            status = self.chance.choice(
+                [
+                    EndpointStatus.SERVING,
+                    EndpointStatus.SERVING,
+                    EndpointStatus.DRAINING,
+                    EndpointStatus.REMOVED,
+                ]
+            )
             named = [self.endpoint(self.chance.choice(ENDPOINTS), status)]
         else:
             named = [self.endpoint(name) for name in ENDPOINTS if self.chance.random() < 0.8]
-        return self.tell(engine, BackendList(kind, tuple(named)))
+        return self.tell(engine, EndpointListUpdate(kind, tuple(named)))
 
     def advance_upload(self, engine: int) -> None:
         mine = [number for owner, number in self.uploads if owner == engine]
@@ -271,36 +280,36 @@
             return
         number = self.chance.choice(mine)
         if self.chance.random() < 0.5:
-            return self.tell(engine, BodySpent(number))
+            return self.tell(engine, RequestBodyConsumed(number))
         time = self.uploads.pop((engine, number))
-        return self.tell(engine, Uploaded(number, self.now + time))
+        return self.tell(engine, RequestBodyReceived(number, self.now + time))
 
     def operate(self, engine: int) -> None:
         pick = self.chance.random()
         if pick < 0.55:
-            self.tell(engine, Maintain(self.chance.choice(ENDPOINTS), self.chance.random() < 0.4))
+            self.tell(engine, SetMaintenance(self.chance.choice(ENDPOINTS), self.chance.random() < 0.4))
         elif pick < 0.75:
-            self.tell(engine, Drain(self.chance.random() < 0.3))
+            self.tell(engine, SetDraining(self.chance.random() < 0.3))
         elif len(self.engines) == 1:
             self.start_successor()
         else:
             both = self.chance.random() < 0.7
             for number in range(2):
-                self.tell(number, Paired(both))
+                self.tell(number, PeerProcessChanged(both))
             self.hand_over(engine, 1 - engine)
 
     def start_successor(self) -> None:
-        self.engines.append(Gateway(self.settings, 77, self.now))
-        listed = tuple(s.backend for s in self.engines[0].servers.values())
-        self.tell(1, BackendList(ListKind.REMEMBERED, listed))
+        self.engines.append(PolicyEngine(self.settings, 77, self.now))
+        listed = tuple(s.backend for s in self.engines[0].endpoints.values())
+        self.tell(1, EndpointListUpdate(EndpointListKind.CACHED, listed))
         self.hand_over(0, 1)
         for number in range(2):
-            self.tell(number, Paired(True))
+            self.tell(number, PeerProcessChanged(True))
 
     def hand_over(self, old: int, new: int) -> None:
         state = json.dumps(estate_of(self.engines[old]).state)
         self.write("  state " + state)
-        self.tell(new, Estate(json.loads(state)))
+        self.tell(new, StateSnapshot(json.loads(state)))
 
 
 def type_name(event: Event) -> str:
@@ -309,46 +318,46 @@
 
 
 EVENT_NAMES: dict[type, str] = {
-    Request: "request",
-    BackendList: "endpoints",
-    ClientLeft: "disconnected",
-    Unwanted: "half closed",
-    StreamBegun: "response stream",
+    RequestReceived: "request",
+    EndpointListUpdate: "endpoints",
+    ClientDisconnected: "disconnected",
+    ClientHalfClosed: "half closed",
+    ResponseStreamStarted: "response stream",
     AttemptEnded: "attempt ended",
-    Counted: "counter reply",
-    Probed: "health check",
-    TimerDue: "timer",
-    Maintain: "maintenance",
-    Drain: "draining",
-    Estate: "restore",
-    Paired: "peer",
-    Charged: "charged",
-    BodySpent: "body consumed",
-    Uploaded: "body received",
+    CounterReply: "counter reply",
+    HealthCheckResult: "health check",
+    TimerFired: "timer",
+    SetMaintenance: "maintenance",
+    SetDraining: "draining",
+    StateSnapshot: "restore",
+    PeerProcessChanged: "peer",
+    UnitsCharged: "charged",
+    RequestBodyConsumed: "body consumed",
+    RequestBodyReceived: "body received",
 }
 
 
 def action_text(action: Action) -> str:
     """An action with all its figures, in words that stay the same whatever its type is called."""
-    if isinstance(action, Send):
-        return f"send {action.request} {action.backend} {action.timeout!r} {action.write_within!r}"
-    if isinstance(action, Refuse):
-        return f"reject {action.request} {action.retry_after!r}"
-    if isinstance(action, Fail):
-        return f"fail {action.request}"
-    if isinstance(action, Cancel):
-        return f"cancel {action.request} {action.attempt}"
+    if isinstance(action, StartAttempt):
+        return f"send {action.request_id} {action.endpoint_id} {action.timeout!r} {action.send_within!r}"
+    if isinstance(action, Reject):
+        return f"reject {action.request_id} {action.retry_after!r}"
+    if isinstance(action, FailRequest):
+        return f"fail {action.request_id}"
+    if isinstance(action, CancelAttempt):
+        return f"cancel {action.request_id} {action.attempt_index}"
     if isinstance(action, SetTimer):
         return f"timer {action.delay!r} {action.key}"
-    if isinstance(action, Count):
-        return f"count {action.name} {action.amount!r} {action.forget_after!r}"
-    if isinstance(action, Rest):
-        return f"close idle {action.backend}"
-    if isinstance(action, Dismiss):
-        return f"drain clients {action.on}"
-    if isinstance(action, Charged):
-        return f"charged {action.customer} {action.plan} {action.width} {action.units!r}"
-    assert isinstance(action, Subscribe)
+    if isinstance(action, IncrementCounter):
+        return f"count {action.name} {action.amount!r} {action.expire_after!r}"
+    if isinstance(action, CloseIdleConnections):
+        return f"close idle {action.endpoint_id}"
+    if isinstance(action, DrainClientConnections):
+        return f"drain clients {action.enabled}"
+    if isinstance(action, UnitsCharged):
+        return f"charged {action.customer} {action.plan} {action.quota_spread} {action.units!r}"
+    assert isinstance(action, PollEndpoints)
     return "poll"
 
 
--- a/tests/test_admin_api.py
+++ b/tests/test_admin_api.py
@@ -8,8 +8,8 @@
 
 from quota_gateway.admin import server
 from quota_gateway.admin.server import MOST_CALLS, MOST_SIZE
-from tests.harness import READY, Bed, Client, request, run, running
 from tests.fakes import SOON, Asked, message, serve_after
+from tests.harness import READY, Bed, Client, request, run, running
 
 
 @pytest.mark.parametrize(
--- a/tests/test_body_streaming.py
+++ b/tests/test_body_streaming.py
@@ -9,15 +9,20 @@
 
 import pytest
 
-from quota_gateway.model.actions import Refuse, Send, SetTimer
-from quota_gateway.model.events import BodySpent, StreamBegun, TimerDue, Uploaded
-from quota_gateway.model.outcomes import Outcome
 from quota_gateway.body_streaming import HELD, READ_AT_ONCE
 from quota_gateway.downstream.client_connection import BODY_STALLED, LONG_STALLED
+from quota_gateway.model.actions import Reject, SetTimer, StartAttempt
+from quota_gateway.model.events import (
+    RequestBodyConsumed,
+    RequestBodyReceived,
+    ResponseStreamStarted,
+    TimerFired,
+)
+from quota_gateway.model.outcomes import Outcome
+from tests.fakes import SOON, Asked, message, read_message, serve, serve_after
 from tests.harness import READY, Bed, Client, request, run, running
 from tests.policy_harness import ended, gateway
 from tests.policy_harness import request as asked_for
-from tests.fakes import SOON, Asked, message, read_message, serve, serve_after
 
 LONG = random.Random(5).randbytes(5 * HELD + 17)
 HEAD = b"HTTP/1.1 200 OK\r\n"
@@ -298,31 +303,31 @@
 
 def test_the_time_of_a_request_runs_from_its_last_byte() -> None:
     made = gateway()
-    actions = made.handle(replace(asked_for(1, "pay", deadline=106.0), uploading=True), 100.0)
-    (send,) = (a for a in actions if isinstance(a, Send))
+    actions = made.handle(replace(asked_for(1, "pay", deadline=106.0), body_incomplete=True), 100.0)
+    (send,) = (a for a in actions if isinstance(a, StartAttempt))
     assert send.timeout == 0.0 and not [a for a in actions if isinstance(a, SetTimer) and a.key[0] == "o"]
-    actions = made.handle(Uploaded(1, 156.0), 150.0)
+    actions = made.handle(RequestBodyReceived(1, 156.0), 150.0)
     assert [a.key for a in actions if isinstance(a, SetTimer)] == ["o0 1"]  # from now on it may be late
     assert made.jobs[1].request.deadline == 156.0 and made.jobs[1].asked == 150.0
 
 
 def test_what_is_no_longer_kept_is_not_sent_again() -> None:
     made = gateway()
-    actions = made.handle(replace(asked_for(1), uploading=True), 100.0)
-    (send,) = (a for a in actions if isinstance(a, Send))
-    made.handle(BodySpent(1), 100.0)
-    actions = made.handle(ended(1, 0, send.backend, Outcome.NO_CONNECTION), 100.1)
-    assert [type(a) for a in actions if isinstance(a, Send | Refuse)] == [Refuse]
+    actions = made.handle(replace(asked_for(1), body_incomplete=True), 100.0)
+    (send,) = (a for a in actions if isinstance(a, StartAttempt))
+    made.handle(RequestBodyConsumed(1), 100.0)
+    actions = made.handle(ended(1, 0, send.endpoint_id, Outcome.CONNECT_FAILED), 100.1)
+    assert [type(a) for a in actions if isinstance(a, StartAttempt | Reject)] == [Reject]
 
 
 def test_a_long_answer_is_judged_by_its_first_bytes_and_frees_its_place() -> None:
     made = gateway()
-    (send,) = (a for a in made.handle(asked_for(1), 100.0) if isinstance(a, Send))
-    made.handle(StreamBegun(1, 0, 0.05), 100.05)
-    assert made.flight == 0 and made.servers[send.backend].flight == 0
-    made.handle(TimerDue("o0 1"), 101.0)
-    assert made.passed == 1.0 and made.servers[send.backend].bad == 0.0
-    assert made.handle(ended(1, 0, send.backend, Outcome.BROKEN, over=True), 140.0) == []
+    (send,) = (a for a in made.handle(asked_for(1), 100.0) if isinstance(a, StartAttempt))
+    made.handle(ResponseStreamStarted(1, 0, 0.05), 100.05)
+    assert made.flight == 0 and made.endpoints[send.endpoint_id].flight == 0
+    made.handle(TimerFired("o0 1"), 101.0)
+    assert made.passed == 1.0 and made.endpoints[send.endpoint_id].bad == 0.0
+    assert made.handle(ended(1, 0, send.endpoint_id, Outcome.BROKEN_RESPONSE, over=True), 140.0) == []
     assert made.flight == 0 and not made.jobs
 
 
--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -7,11 +7,11 @@
 
 import pytest
 
-from quota_gateway.upstream.connection_pool import RESTED
 from quota_gateway.body_streaming import HELD, MOST_BODY
 from quota_gateway.downstream.client_connection import MOST_ERRORS, MOST_HEAD, SETTLED
-from tests.harness import READY, Bed, Client, request, roomy_settings, run, running
+from quota_gateway.upstream.connection_pool import RESTED
 from tests.fakes import SOON, Asked, message, serve, serve_after
+from tests.harness import READY, Bed, Client, request, roomy_settings, run, running
 
 
 def with_bed(test: Callable[[Bed, Client], Awaitable[None]]) -> None:
--- a/tests/test_client_disconnect.py
+++ b/tests/test_client_disconnect.py
@@ -11,9 +11,8 @@
 import pytest
 
 from quota_gateway.downstream.client_connection import MOST_PIPELINED
-from tests.harness import Bed, Client, request, roomy_settings, run, running
 from tests.fakes import HOST, Asked, message, settings_text
-
+from tests.harness import Bed, Client, request, roomy_settings, run, running
 
 BEFORE_ITS_END = 2.0  # seconds: a request is held for 2.5, and has 5, and must not end by these
 
--- a/tests/test_client_retries.py
+++ b/tests/test_client_retries.py
@@ -7,23 +7,23 @@
 
 import pytest
 
-from quota_gateway.policy.engine import Gateway
-from quota_gateway.model.actions import Action, Refuse, Send
-from quota_gateway.model.events import Event, Request
+from quota_gateway.model.actions import Action, Reject, StartAttempt
+from quota_gateway.model.events import Event, RequestReceived
+from quota_gateway.policy.engine import PolicyEngine
 from tests.harness import request as http_request
 from tests.harness import run, running
 from tests.policy_harness import SAFE, gateway, request
 
 
-def repeat(number: int, patience: float) -> Request:
+def repeat(number: int, patience: float) -> RequestReceived:
     asked = request(number, customer=f"x{number}", deadline=100.0 + patience)
-    return replace(asked, repeat=True, patience=patience)
+    return replace(asked, is_retry=True, client_timeout=patience)
 
 
-def busy(patience: float = SAFE.deadline, **changes: Any) -> Gateway:
+def busy(patience: float = SAFE.deadline, **changes: Any) -> PolicyEngine:
     """A gateway that has seen a first try, with enough out that there is no room to spare."""
     made = gateway(**changes)
-    made.handle(replace(request(1, customer="first"), patience=patience), 100.0)
+    made.handle(replace(request(1, customer="first"), client_timeout=patience), 100.0)
     made.limit = made.flight * 4.0
     return made
 
@@ -31,22 +31,25 @@
 def test_a_repeat_that_comes_too_late_gives_way_to_fresh_requests() -> None:
     # half of all arrivals on a busy day were repeats: each took capacity and quota, and earned nothing
     made = busy()
-    late = made.handle(repeat(2, SAFE.deadline - 1.5 * SAFE.aim), 100.0)
-    assert [type(a) for a in late] == [Refuse] and late[0].retry_after > 0  # type: ignore[union-attr]
+    late = made.handle(repeat(2, SAFE.deadline - 1.5 * SAFE.latency_objective), 100.0)
+    assert [type(a) for a in late] == [Reject] and late[0].retry_after > 0  # type: ignore[union-attr]
     assert made.throttles["x2"].level == made.throttles["x2"].bank  # and took nothing of the quota
-    assert any(isinstance(a, Send) for a in made.handle(repeat(3, SAFE.deadline - 0.3 * SAFE.aim), 100.0))
-    assert any(isinstance(a, Send) for a in made.handle(request(4, customer="fresh"), 100.0))
+    assert any(
+        isinstance(a, StartAttempt)
+        for a in made.handle(repeat(3, SAFE.deadline - 0.3 * SAFE.latency_objective), 100.0)
+    )
+    assert any(isinstance(a, StartAttempt) for a in made.handle(request(4, customer="fresh"), 100.0))
 
 
 def test_a_repeat_that_comes_too_late_is_served_where_there_is_room() -> None:
     made = busy()
     made.limit = float("inf")
     tries = [made.handle(repeat(n, 1.0), 100.0) for n in (2, 3)]
-    assert all(any(isinstance(a, Send) for a in actions) for actions in tries)
+    assert all(any(isinstance(a, StartAttempt) for a in actions) for actions in tries)
     spent = made.throttles["x2"]
     spent.level = spent.bank / 4  # what is left there is for fresh ones
     again = replace(repeat(4, 1.0), customer="x2")
-    assert [type(a) for a in made.handle(again, 100.0)] == [Refuse]
+    assert [type(a) for a in made.handle(again, 100.0)] == [Reject]
 
 
 @pytest.mark.parametrize(
@@ -61,51 +64,54 @@
     patience: float, advice: float, sent: bool
 ) -> None:
     made = busy(patience, max_retry_after=advice)
-    assert any(isinstance(a, Send) for a in made.handle(repeat(2, patience), 100.0)) == sent
+    assert any(isinstance(a, StartAttempt) for a in made.handle(repeat(2, patience), 100.0)) == sent
 
 
 def test_without_advice_nothing_is_known_of_such_a_repeat() -> None:
-    made = busy(2.0, retry_after=False)
-    assert any(isinstance(a, Send) for a in made.handle(repeat(2, 2.0), 100.0))
+    made = busy(2.0, retry_after_allowed=False)
+    assert any(isinstance(a, StartAttempt) for a in made.handle(repeat(2, 2.0), 100.0))
 
 
 def test_a_repeat_whose_late_answer_keeps_its_worth_is_not_too_late() -> None:
-    made = busy(classes=(replace(SAFE, late_share=0.6),))
-    assert any(isinstance(a, Send) for a in made.handle(repeat(2, SAFE.deadline - 1.5 * SAFE.aim), 100.0))
+    made = busy(request_classes=(replace(SAFE, late_value_ratio=0.6),))
+    assert any(
+        isinstance(a, StartAttempt)
+        for a in made.handle(repeat(2, SAFE.deadline - 1.5 * SAFE.latency_objective), 100.0)
+    )
 
 
 def test_what_a_repeat_waits_for_ends_with_the_time_its_first_try_set() -> None:
     made = busy()
-    actions = made.handle(repeat(2, SAFE.deadline - 0.4 * SAFE.aim), 100.0)
-    sent = next(a for a in actions if isinstance(a, Send))
-    assert sent.timeout == pytest.approx(0.6 * SAFE.aim)
+    actions = made.handle(repeat(2, SAFE.deadline - 0.4 * SAFE.latency_objective), 100.0)
+    sent = next(a for a in actions if isinstance(a, StartAttempt))
+    assert sent.timeout == pytest.approx(0.6 * SAFE.latency_objective)
     throttle = made.throttles["x2"]
     throttle.level = 1.0 - 0.3 * throttle.rate  # 0.3 s short: a fresh one is held for it, an old one is not
-    old = replace(repeat(3, SAFE.deadline - 0.8 * SAFE.aim), customer="x2")
-    assert any(isinstance(a, Refuse) for a in made.handle(old, 100.0))
-    assert not any(isinstance(a, Refuse) for a in made.handle(request(4, customer="x2"), 100.0))
+    old = replace(repeat(3, SAFE.deadline - 0.8 * SAFE.latency_objective), customer="x2")
+    assert any(isinstance(a, Reject) for a in made.handle(old, 100.0))
+    assert not any(isinstance(a, Reject) for a in made.handle(request(4, customer="x2"), 100.0))
 
 
 def test_the_module_is_told_how_long_the_client_waits_from_its_send(monkeypatch: pytest.MonkeyPatch) -> None:
-    told: list[Request] = []
-    handle = Gateway.handle
+    told: list[RequestReceived] = []
+    handle = PolicyEngine.handle
 
-    def listening(self: Gateway, event: Event, now: float) -> list[Action]:
-        if isinstance(event, Request):
+    def listening(self: PolicyEngine, event: Event, now: float) -> list[Action]:
+        if isinstance(event, RequestReceived):
             told.append(event)
         return handle(self, event, now)
 
     async def test() -> None:
-        monkeypatch.setattr(Gateway, "handle", listening)
+        monkeypatch.setattr(PolicyEngine, "handle", listening)
         async with running() as bed:
             assert (await (await bed.client()).ask(http_request(1, budget=3.25, X_Again="1")))[0] == 200
-        assert [(r.patience, r.repeat) for r in told] == [(3.25, True)]
+        assert [(r.client_timeout, r.is_retry) for r in told] == [(3.25, True)]
 
     run(test)
 
 
-def advice(made: Gateway, asked: Request) -> float:
-    refused = next(a for a in made.handle(asked, 100.0) if isinstance(a, Refuse))
+def advice(made: PolicyEngine, asked: RequestReceived) -> float:
+    refused = next(a for a in made.handle(asked, 100.0) if isinstance(a, Reject))
     return refused.retry_after
 
 
@@ -119,10 +125,10 @@
     # told half a second or more, it came back too late to be served in time by anybody
     made = gateway()
     made.handle(request(1, units=4.0), 100.0)
-    assert advice(made, request(2, units=3.0)) == pytest.approx(0.15 * SAFE.aim)  # 1.5 s here
+    assert advice(made, request(2, units=3.0)) == pytest.approx(0.15 * SAFE.latency_objective)  # 1.5 s here
     pressed = gateway()
     pressed.limit = -1.0
-    assert advice(pressed, request(3)) == pytest.approx(0.15 * SAFE.aim)
-    silent = gateway(retry_after=False)
+    assert advice(pressed, request(3)) == pytest.approx(0.15 * SAFE.latency_objective)
+    silent = gateway(retry_after_allowed=False)
     silent.limit = -1.0
     assert advice(silent, request(4)) == 0.0
--- a/tests/test_connection_faults.py
+++ b/tests/test_connection_faults.py
@@ -9,11 +9,11 @@
 
 import pytest
 
-from quota_gateway.model.outcomes import Outcome
 from quota_gateway.downstream.client_connection import MOST_ERRORS
+from quota_gateway.model.outcomes import Outcome
 from tests.harness import Bed, request, roomy_settings, run, running
-from tests.virtual_clock import run_clocked, start_clock, this_loop
 from tests.test_upstream_connections import sending
+from tests.virtual_clock import run_clocked, start_clock, this_loop
 
 LATE = [0.05, 0.2, 0.3, 1.0, 1.5]  # seconds that a dial takes; up to 0.25 s it is waited for
 
@@ -69,7 +69,7 @@
         async with sending() as (sender, peer):
             for count in range(len(text) + 1):
                 peer.script = [lambda writer, asked, count=count: resets(writer, count)]  # type: ignore[misc]
-                assert await sender.outcome() is Outcome.BROKEN, count
+                assert await sender.outcome() is Outcome.BROKEN_RESPONSE, count
 
     run(test)
 
--- a/tests/test_counter_client.py
+++ b/tests/test_counter_client.py
@@ -8,20 +8,20 @@
 
 import pytest
 
-from quota_gateway.model.events import Counted
-from quota_gateway.model.outcomes import Outcome
 from quota_gateway.counter.client import IDLE_LIMIT, SILENT_AFTER, Counter
 from quota_gateway.discovery.client import read_address
+from quota_gateway.model.events import CounterReply
+from quota_gateway.model.outcomes import Outcome
+from tests.fakes import HOST, SOON, CounterPeer
 from tests.harness import run
 from tests.virtual_clock import run_clocked
-from tests.fakes import HOST, SOON, CounterPeer
 
 
 class Told:
     """What the counter told of its calls, in order, and a clock that the test moves."""
 
     def __init__(self) -> None:
-        self.events: asyncio.Queue[Counted] = asyncio.Queue()
+        self.events: asyncio.Queue[CounterReply] = asyncio.Queue()
         self.now = 100.0
 
     async def next(self) -> tuple[str, Outcome, float]:
@@ -63,7 +63,7 @@
             counter.patience = 5.0
             counter.add("c1.7", 2.0, 4.0)
             peer.free.set()
-            assert await told.next() == ("c1.7", Outcome.SERVED, 42.0)
+            assert await told.next() == ("c1.7", Outcome.SUCCESS, 42.0)
             assert told.events.empty() and peer.connections == 1
 
     run(test)
@@ -81,7 +81,7 @@
             counter.patience = 5.0
             told.now += SILENT_AFTER * counter.patience
             counter.add("c1.7", 2.0, 4.0)
-            assert await told.next() == ("c1.7", Outcome.SERVED, 3.0)
+            assert await told.next() == ("c1.7", Outcome.SUCCESS, 3.0)
             assert peer.connections == 2
 
     run(test)
@@ -90,7 +90,7 @@
 @pytest.mark.parametrize(
     ("reply", "outcome"),
     [
-        (b"-BUSY too many\r\n", Outcome.TURNED_AWAY),
+        (b"-BUSY too many\r\n", Outcome.REJECTED),
         (b"-ERR no such call\r\n", Outcome.ERROR),
         (b"+OK\r\n", Outcome.TIMED_OUT),
         (b"rubbish\r\n", Outcome.TIMED_OUT),
@@ -103,7 +103,7 @@
             counter.add("c1.7", 1.0, 4.0)
             assert (await told.next())[1] is outcome
             counter.add("c1.7", 1.0, 4.0)
-            assert await told.next() == ("c1.7", Outcome.SERVED, 2.0)
+            assert await told.next() == ("c1.7", Outcome.SUCCESS, 2.0)
 
     run(test)
 
@@ -127,7 +127,7 @@
         async with calling() as (counter, told, peer):
             await peer.stop()
             counter.add("c1.7", 1.0, 4.0)
-            assert (await told.next())[1] is Outcome.NO_CONNECTION
+            assert (await told.next())[1] is Outcome.CONNECT_FAILED
 
     run(test)
 
@@ -139,7 +139,7 @@
             counter.add("c1.7", 1.0, 4.0)
             line = next(x for x in counter.lines if x is not None)
             counter.out_of_patience(line.unwritten[0][0])
-            assert (await told.next())[1] is Outcome.NO_CONNECTION
+            assert (await told.next())[1] is Outcome.CONNECT_FAILED
             counter.patience = 5.0
             counter.add("c1.7", 2.0, 4.0)
             assert (await told.next())[2] == 2.0
@@ -204,7 +204,7 @@
             assert await told.next() == ("c1.7", Outcome.TIMED_OUT, 0.0)
             assert await told.next() == ("c1.7", Outcome.TIMED_OUT, 0.0)
             counter.add("c1.8", 5.0, 4.0)
-            assert await told.next() == ("c1.8", Outcome.SERVED, 5.0) and peer.connections == 2
+            assert await told.next() == ("c1.8", Outcome.SUCCESS, 5.0) and peer.connections == 2
 
     run(test)
 
@@ -221,9 +221,9 @@
                     await asyncio.sleep(0.001)
             counter.move(read_address(other.address))
             counter.add("c1.7", 4.0, 4.0)
-            assert await told.next() == ("c1.7", Outcome.SERVED, 4.0)
+            assert await told.next() == ("c1.7", Outcome.SUCCESS, 4.0)
             peer.free.set()
-            assert await told.next() == ("c1.7", Outcome.SERVED, 3.0)
+            assert await told.next() == ("c1.7", Outcome.SUCCESS, 3.0)
             assert peer.calls == [("c1.7", 3.0)] and other.calls == [("c1.7", 4.0)]
             async with asyncio.timeout(SOON):
                 while counter.leaving or peer.open:  # closed once its last call is answered
@@ -266,17 +266,17 @@
     ("takes", "outcomes"),
     [
         # far away: the first is given up, late as it comes it tells how far, and later ones are waited for
-        ([0.05, 0.06, 0.15, 0.05], ["timed out", "served", "served", "served"]),
+        ([0.05, 0.06, 0.15, 0.05], ["timed out", "success", "success", "success"]),
         # near, and one stands in its line: given up as the settings have it
-        ([0.002, 0.06, 0.002, 0.025], ["served", "timed out", "served", "served"]),
+        ([0.002, 0.06, 0.002, 0.025], ["success", "timed out", "success", "success"]),
         # far away, and one stands in line all the same
-        ([0.05, 0.3, 0.06], ["timed out", "timed out", "served"]),
+        ([0.05, 0.3, 0.06], ["timed out", "timed out", "success"]),
     ],
 )
 def test_answers_are_waited_for_by_how_far_the_counter_is(takes: list[float], outcomes: list[str]) -> None:
     # at a patience of 30 ms 45% of the calls to a counter 21 to 95 ms away had no answer in time
     async def test() -> None:
-        peer, told = Far(*takes), asyncio.Queue[Counted]()
+        peer, told = Far(*takes), asyncio.Queue[CounterReply]()
         await peer.start()
         counter = Counter(
             asyncio.get_running_loop().time, read_address(peer.address), 0.03, 5.0, told.put_nowait
--- a/tests/test_descriptor_exhaustion.py
+++ b/tests/test_descriptor_exhaustion.py
@@ -10,8 +10,8 @@
 
 import pytest
 
-from tests.harness import READY, Bed, request, run
 from tests.fakes import HOST, SOON, Asked, message
+from tests.harness import READY, Bed, request, run
 from tests.test_gateway_process import process
 
 LIMITS = [256, 1024]
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -6,7 +6,6 @@
 
 import pytest
 
-from quota_gateway.model.endpoints import ListKind, Status
 from quota_gateway.discovery import client
 from quota_gateway.discovery.client import (
     BadList,
@@ -17,8 +16,9 @@
     read_listing,
     read_seconds,
 )
-from tests.harness import Bed, request, roomy_settings, run, running
+from quota_gateway.model.endpoints import EndpointListKind, EndpointStatus
 from tests.fakes import DiscoveryPeer, message, read_message
+from tests.harness import Bed, request, roomy_settings, run, running
 
 
 async def follow(peer: DiscoveryPeer) -> tuple[Discovery, asyncio.Queue[Listing]]:
@@ -39,7 +39,10 @@
         await peer.until_asked(2)
         await peer.change(peer.entry("a", "127.0.0.1:9", "DRAINING"))
         second = await told.get()
-        assert second.kind is ListKind.CHANGES and second.entries[0].backend.status is Status.DRAINING
+        assert (
+            second.kind is EndpointListKind.DELTA
+            and second.entries[0].backend.status is EndpointStatus.DRAINING
+        )
         await peer.until_asked(3)
         assert "since=2&" in peer.asked[2] and peer.connections == 1
         discovery.stop()
@@ -76,7 +79,7 @@
         await peer.until_asked(4)
         assert "timeout_ms=2000 " in peer.asked[3]
         await peer.change({"instanceId": "a", "lifecycle": "DELETED"})
-        assert (await told.get()).entries[0].backend.status is Status.GONE
+        assert (await told.get()).entries[0].backend.status is EndpointStatus.REMOVED
         discovery.stop()
         await peer.stop()
 
@@ -207,7 +210,7 @@
             peer.mute = False
             await peer.change(peer.entry("a", "127.0.0.1:9", "DRAINING"))
             time.expire()  # the call after it
-            assert (await told.get()).entries[0].backend.status is Status.DRAINING
+            assert (await told.get()).entries[0].backend.status is EndpointStatus.DRAINING
             assert time.spent <= client.TOLD_WITHIN
             made.stop()
         await peer.stop()
@@ -288,7 +291,7 @@
         await peer.change(peer.entry("a", "127.0.0.1:9", "DRAINING"))
         made = Discovery(read_address(peer.address), 5.0, told.put_nowait, known=1)
         made.start()
-        assert (await told.get()).kind is ListKind.CHANGES
+        assert (await told.get()).kind is EndpointListKind.DELTA
         await peer.until_asked(2)
         assert "since=1&timeout_ms=0 " in peer.asked[0] and "since=2&timeout_ms=2000 " in peer.asked[1]
         made.stop()
@@ -324,7 +327,7 @@
             for writer in list(peer.open):
                 writer.write(message(200, wrong))
             await peer.change(peer.entry("a", "127.0.0.1:9"))
-            assert (await told.get()).entries[0].backend.address == "a"
+            assert (await told.get()).entries[0].backend.endpoint_id == "a"
         made.stop()
         await peer.stop()
 
@@ -363,14 +366,14 @@
         async with new.changed:  # holds back the new one's answer
             discovery.move(read_address(new.address))
             await old.change(old.entry("a", "127.0.0.1:9", "DRAINING"))
-            assert (await told.get()).entries[0].backend.status is Status.DRAINING
+            assert (await told.get()).entries[0].backend.status is EndpointStatus.DRAINING
             new.entries = {"b": new.entry("b", "127.0.0.1:8")}
         listing = await told.get()
-        assert listing.whole and listing.entries[0].backend.address == "b"
+        assert listing.whole and listing.entries[0].backend.endpoint_id == "b"
         await new.until_asked(2)
         await old.change(old.entry("c", "127.0.0.1:7"))
         await new.change(new.entry("d", "127.0.0.1:6"))
-        assert (await told.get()).entries[0].backend.address == "d"  # and nothing of the old one's
+        assert (await told.get()).entries[0].backend.endpoint_id == "d"  # and nothing of the old one's
         discovery.stop()
         await old.stop()
         await new.stop()
@@ -390,7 +393,7 @@
         discovery.move(read_address(never.address))
         discovery.move(read_address(old.address))  # put back, as after a mistake
         await old.change(old.entry("a", "127.0.0.1:9"))
-        assert (await told.get()).entries[0].backend.address == "a"
+        assert (await told.get()).entries[0].backend.endpoint_id == "a"
         assert len(discovery.agents) == 1 and old.connections == 1
         discovery.stop()
         await old.stop()
@@ -408,7 +411,7 @@
             await bed.discovery.change(bed.discovery.entry("new", bed.backends[0].address))
             await bed.discovery.until_asked(asked + 1)
             driver = bed.program.driver
-            assert {"new"} == set(driver.pool.lines) == set(driver.gateway.servers)
+            assert {"new"} == set(driver.pool.lines) == set(driver.gateway.endpoints)
             assert (await client.ask(request(2)))[0] == 200
             assert bed.backends[0].connections == 2  # none that was dialled for the old one
 
--- a/tests/test_endpoint_updates.py
+++ b/tests/test_endpoint_updates.py
@@ -13,12 +13,12 @@
 
 import pytest
 
-from quota_gateway.model.endpoints import Status
 from quota_gateway.discovery import client
 from quota_gateway.discovery.client import TOLD_WITHIN, Discovery, Listing, Pace, pace_of, read_address
+from quota_gateway.model.endpoints import EndpointStatus
+from tests.fakes import HOST, DiscoveryPeer, message, read_message
 from tests.harness import Bed, request, roomy_settings
 from tests.virtual_clock import run_clocked, start_clock
-from tests.fakes import HOST, DiscoveryPeer, message, read_message
 
 GRACE = 2.0
 AGENTS = 16
@@ -104,7 +104,7 @@
         self.discovery = Discovery(read_address(address), dial_timeout, self.told, 1, pace)
 
     def told(self, listing: Listing) -> None:
-        drains = any(e.backend.status is Status.DRAINING for e in listing.entries)
+        drains = any(e.backend.status is EndpointStatus.DRAINING for e in listing.entries)
         if drains and not self.known_at:
             self.known_at = self.loop.time()
 
@@ -214,7 +214,7 @@
             while not told:
                 await asyncio.sleep(0.05)
             counts.append((count, loop.time() - began))
-            assert [e.backend.address for e in told[0].entries] == ["a"] and told[0].whole
+            assert [e.backend.endpoint_id for e in told[0].entries] == ["a"] and told[0].whole
             made.stop()
         assert len(counts) == size
         await peer.stop()
--- a/tests/test_fleet_of_engines.py
+++ b/tests/test_fleet_of_engines.py
@@ -9,12 +9,18 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from quota_gateway.policy.engine import Gateway
-from quota_gateway.model.actions import Action, Count, Refuse, Send, SetTimer
-from quota_gateway.model.endpoints import ListKind
-from quota_gateway.model.events import BackendList, Counted, Probed, Request, TimerDue
+from quota_gateway.model.actions import Action, IncrementCounter, Reject, SetTimer, StartAttempt
+from quota_gateway.model.endpoints import EndpointListKind
+from quota_gateway.model.events import (
+    CounterReply,
+    EndpointListUpdate,
+    HealthCheckResult,
+    RequestReceived,
+    TimerFired,
+)
 from quota_gateway.model.outcomes import Outcome
 from quota_gateway.model.settings import Plan
+from quota_gateway.policy.engine import PolicyEngine
 from tests.policy_harness import CAPPED, PLAN, SETTINGS, backend, backends, ended, gateway, request
 
 STEPS = st.lists(st.tuples(st.integers(0, 10**6), st.floats(0.0, 0.4)), min_size=40, max_size=160)
@@ -24,7 +30,7 @@
     """Gateways in front of one counter and backends that answer at once; keeps what was sent on and when."""
 
     def __init__(self, width: int, plan: Plan, now: float = 100.0) -> None:
-        self.settings = replace(SETTINGS, gateways=width, plans=(plan,))
+        self.settings = replace(SETTINGS, gateway_count=width, plans=(plan,))
         self.width, self.now = width, now
         self.gateways = [self.start(me) for me in range(width)]
         self.sums: dict[str, float] = {}
@@ -32,8 +38,8 @@
         self.sent: list[tuple[float, float]] = []
         self.calls = 0
 
-    def start(self, me: int) -> Gateway:
-        made = Gateway(self.settings, me, self.now)
+    def start(self, me: int) -> PolicyEngine:
+        made = PolicyEngine(self.settings, me, self.now)
         made.handle(backends(backend("a"), backend("b", 1)), self.now)
         return made
 
@@ -41,15 +47,15 @@
         for action in actions:
             if isinstance(action, SetTimer):
                 self.timers.append((self.now + action.delay, me, action.key))
-            elif isinstance(action, Count):
+            elif isinstance(action, IncrementCounter):
                 self.calls += 1
                 self.sums[action.name] = self.sums.get(action.name, 0.0) + action.amount
-                told = Counted(action.name, Outcome.SERVED, 0.001, self.sums[action.name])
+                told = CounterReply(action.name, Outcome.SUCCESS, 0.001, self.sums[action.name])
                 self.take(me, self.gateways[me].handle(told, self.now))
-            elif isinstance(action, Send):
-                job = self.gateways[me].jobs[action.request]
+            elif isinstance(action, StartAttempt):
+                job = self.gateways[me].jobs[action.request_id]
                 self.sent.append((self.now, job.request.units))
-                over = ended(action.request, 0, action.backend, Outcome.SERVED)
+                over = ended(action.request_id, 0, action.endpoint_id, Outcome.SUCCESS)
                 self.take(me, self.gateways[me].handle(over, self.now))
 
     def go_to(self, until: float) -> None:
@@ -57,12 +63,12 @@
             due = min(self.timers)
             self.timers.remove(due)
             self.now = max(self.now, due[0])
-            self.take(due[1], self.gateways[due[1]].handle(TimerDue(due[2]), self.now))
+            self.take(due[1], self.gateways[due[1]].handle(TimerFired(due[2]), self.now))
         self.now = until
 
     def ask(self, me: int, number: int, units: float, repeat: bool = False) -> None:
         plan, end = self.settings.plans[0].name, self.now + 4
-        asked = Request(number, "read", plan, "c", end, units, self.width, 0, repeat)
+        asked = RequestReceived(number, "read", plan, "c", end, units, self.width, 0, repeat)
         self.take(me, self.gateways[me].handle(asked, self.now))
 
 
@@ -80,9 +86,9 @@
             fleet.gateways[me] = fleet.start(me)
         fleet.ask(pick // 7 % width, number, 1.0 + pick % 2)
         fleet.go_to(fleet.now + span)
-    store, last = CAPPED.ceiling_depth, 100.0
+    store, last = CAPPED.hard_limit_burst, 100.0
     for at, units in fleet.sent:
-        store = min(CAPPED.ceiling_depth, store + CAPPED.ceiling_rate * (at - last)) - units
+        store = min(CAPPED.hard_limit_burst, store + CAPPED.hard_limit_rate * (at - last)) - units
         last = at
         assert store >= -1e-6
 
@@ -110,12 +116,12 @@
 
 
 def test_a_silent_counter_leaves_the_even_slice() -> None:
-    made = gateway(gateways=100)
+    made = gateway(gateway_count=100)
     for number in range(3):
         actions = made.handle(request(number, width=100), 100.0 + number)
         for action in actions:
-            if isinstance(action, Count):
-                made.handle(Counted(action.name, Outcome.TIMED_OUT, 0.05, 0.0), 100.05 + number)
+            if isinstance(action, IncrementCounter):
+                made.handle(CounterReply(action.name, Outcome.TIMED_OUT, 0.05, 0.0), 100.05 + number)
     throttle = made.throttles["c"]
     assert throttle.share == 1 / 100 and throttle.bank == PLAN.burst / 100
 
@@ -138,39 +144,39 @@
 
 def test_events_of_backends_that_are_gone_and_empty_lists_are_harmless() -> None:
     made = gateway()
-    sent = next(a for a in made.handle(request(1), 100.0) if isinstance(a, Send))
-    made.handle(BackendList(ListKind.WHOLE, ()), 100.1)
-    made.handle(Probed(sent.backend, Outcome.SERVED, 0.01, (1.0, 2.0, 3.0)), 100.2)
-    made.handle(ended(1, 0, sent.backend, Outcome.SERVED), 100.3)
-    assert isinstance(made.handle(request(2), 100.4)[-1], Refuse)
+    sent = next(a for a in made.handle(request(1), 100.0) if isinstance(a, StartAttempt))
+    made.handle(EndpointListUpdate(EndpointListKind.FULL, ()), 100.1)
+    made.handle(HealthCheckResult(sent.endpoint_id, Outcome.SUCCESS, 0.01, (1.0, 2.0, 3.0)), 100.2)
+    made.handle(ended(1, 0, sent.endpoint_id, Outcome.SUCCESS), 100.3)
+    assert isinstance(made.handle(request(2), 100.4)[-1], Reject)
 
 
 def test_settings_of_nought_raise_nothing_on_the_way() -> None:
     nought = replace(
         SETTINGS,
         plans=(replace(PLAN, rate=0.0, burst=0.0), CAPPED),
-        warm_within=0.0,
-        fall_multiple=0.0,
-        overload_for=0.0,
-        counter_patience=0.0,
-        ask_every=0.0,
-        cold_from=0.0,
-        most_units=0.0,
-        classes=tuple(replace(c, aim=0.0) for c in SETTINGS.classes),
+        slow_start_window=0.0,
+        slow_start_overload_ratio=0.0,
+        overload_duration=0.0,
+        counter_timeout=0.0,
+        poll_interval=0.0,
+        slow_start_minimum=0.0,
+        max_request_units=0.0,
+        request_classes=tuple(replace(c, latency_objective=0.0) for c in SETTINGS.request_classes),
     )
-    made = Gateway(nought, 1, 100.0)
+    made = PolicyEngine(nought, 1, 100.0)
     made.handle(backends(backend("a", started=100.0)), 100.0)
     for number in range(20):
         for action in made.handle(request(number, plan=("small", "capped")[number % 2]), 101.0 + number / 10):
             if isinstance(action, SetTimer):
                 assert action.delay > 0
-                made.handle(TimerDue(action.key), 101.0 + number / 10 + action.delay)
+                made.handle(TimerFired(action.key), 101.0 + number / 10 + action.delay)
 
 
 def test_an_unknown_report_is_passed_over() -> None:
-    made = gateway(report_fields=("never seen",))
-    sent = next(a for a in made.handle(request(1), 100.0) if isinstance(a, Send))
-    over = replace(ended(1, 0, sent.backend, Outcome.SERVED), load=(9.0, 9.0))
+    made = gateway(load_report_fields=("never seen",))
+    sent = next(a for a in made.handle(request(1), 100.0) if isinstance(a, StartAttempt))
+    over = replace(ended(1, 0, sent.endpoint_id, Outcome.SUCCESS), load_report=(9.0, 9.0))
     made.handle(over, 100.1)
     assert made.jobs == {}
 
@@ -226,7 +232,7 @@
         arrivals = [120.0 + number / rate for number in range(int(60 * rate))]
         sent = passed_by_a_fleet(arrivals, PLAN)
         over, late = beyond(sent, PLAN), beyond(passed_by_a_late_view(arrivals, PLAN, 0.5), PLAN)
-        more += PLAN.beyond_cost * (over - late)
+        more += PLAN.over_quota_cost * (over - late)
         asked += min(rate * 60.0, PLAN.rate * 60.0 + PLAN.burst)
         served += len(sent) - over
     assert more <= 0.1 * asked and served >= 0.95 * asked
--- a/tests/test_gateway_process.py
+++ b/tests/test_gateway_process.py
@@ -20,8 +20,8 @@
 
 import pytest
 
-from tests.harness import READY, Bed, Client, request, roomy_settings, run
 from tests.fakes import HOST, SOON, CounterPeer, DiscoveryPeer, serve_after
+from tests.harness import READY, Bed, Client, request, roomy_settings, run
 
 ROOT = pathlib.Path(__file__).parent.parent
 # the deploy file's command where .ci/run names it, so that what is deployed is what is tested
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -7,8 +7,8 @@
 import pytest
 
 from quota_gateway.__main__ import LAST_BYTES, Program, build_configuration
-from tests.harness import Bed, Client, request, roomy_settings, run, running
 from tests.fakes import Asked, serve_after
+from tests.harness import Bed, Client, request, roomy_settings, run, running
 
 
 @pytest.fixture(autouse=True)
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -14,27 +14,31 @@
 
 import pytest
 
-from quota_gateway.policy.state_snapshot import estate_of
-from quota_gateway.model.actions import Send
-from quota_gateway.model.charges import Charged
-from quota_gateway.model.events import Drain, Estate, Maintain, Paired
-from quota_gateway.model.outcomes import Outcome
 from quota_gateway.hot_restart import coordinator
 from quota_gateway.hot_restart.coordinator import NAME
+from quota_gateway.model.actions import StartAttempt
+from quota_gateway.model.charges import UnitsCharged
+from quota_gateway.model.events import PeerProcessChanged, SetDraining, SetMaintenance, StateSnapshot
+from quota_gateway.model.outcomes import Outcome
+from quota_gateway.policy.state_snapshot import estate_of
+from tests.fakes import HOST, SOON, serve_after
 from tests.harness import READY, Bed, Client, request, roomy_settings, run, running
 from tests.policy_harness import ended, gateway
 from tests.policy_harness import request as asked_for
-from tests.fakes import HOST, SOON, serve_after
 from tests.test_gateway_process import ROOT, RUN
 
 
 def sent_on(made: Any, number: int, units: float, now: float = 100.0) -> list[Any]:
-    return [a for a in made.handle(asked_for(number, units=units), now) if isinstance(a, Send | Charged)]
+    return [
+        a
+        for a in made.handle(asked_for(number, units=units), now)
+        if isinstance(a, StartAttempt | UnitsCharged)
+    ]
 
 
-def handed(made: Any) -> Estate:
+def handed(made: Any) -> StateSnapshot:
     """The estate as it comes through the link."""
-    return Estate(json.loads(json.dumps(estate_of(made).state)))
+    return StateSnapshot(json.loads(json.dumps(estate_of(made).state)))
 
 
 def test_a_quota_spent_at_the_older_process_is_spent_at_the_newer() -> None:
@@ -54,31 +58,31 @@
 
 
 def test_what_one_of_two_sends_on_is_taken_at_the_other() -> None:
-    old, new = gateway(settles=True), gateway(settles=True)
+    old, new = gateway(settles_actual_units=True), gateway(settles_actual_units=True)
     new.handle(handed(old), 100.0)
-    assert not [a for a in sent_on(old, 1, 1.0) if isinstance(a, Charged)]  # alone, it tells nobody
+    assert not [a for a in sent_on(old, 1, 1.0) if isinstance(a, UnitsCharged)]  # alone, it tells nobody
     for made in (old, new):
-        made.handle(Paired(True), 100.0)
+        made.handle(PeerProcessChanged(True), 100.0)
     actions = sent_on(old, 2, 2.0)
-    charge = next(a for a in actions if isinstance(a, Charged))
-    assert charge == Charged("c", "small", 2, 2.0)
+    charge = next(a for a in actions if isinstance(a, UnitsCharged))
+    assert charge == UnitsCharged("c", "small", 2, 2.0)
     new.handle(charge, 100.0)
     assert new.throttles["c"].level == 2.0
-    where = next(a.backend for a in actions if isinstance(a, Send))
-    settled = old.handle(ended(2, 0, where, Outcome.SERVED, true_units=3.0), 100.0)
-    new.handle(next(a for a in settled if isinstance(a, Charged)), 100.0)
+    where = next(a.endpoint_id for a in actions if isinstance(a, StartAttempt))
+    settled = old.handle(ended(2, 0, where, Outcome.SUCCESS, true_units=3.0), 100.0)
+    new.handle(next(a for a in settled if isinstance(a, UnitsCharged)), 100.0)
     assert new.throttles["c"].level == 1.0
 
 
 def test_bans_a_drain_and_a_return_go_over() -> None:
     old, new = gateway(), gateway(now=101.0)
-    old.handle(Maintain("a", True), 100.0)
-    old.handle(Maintain("b", True), 100.0)
-    old.handle(Maintain("b", False), 100.5)
-    old.handle(Drain(True), 100.0)
+    old.handle(SetMaintenance("a", True), 100.0)
+    old.handle(SetMaintenance("b", True), 100.0)
+    old.handle(SetMaintenance("b", False), 100.5)
+    old.handle(SetDraining(True), 100.0)
     new.handle(handed(old), 101.0)
-    assert new.banned == {"a"} and [s.backend.address for s in new.order] == ["b"] and new.draining
-    assert new.servers["b"].cold_share(101.0, new.settings) < 0.5
+    assert new.banned == {"a"} and [s.backend.endpoint_id for s in new.order] == ["b"] and new.draining
+    assert new.endpoints["b"].cold_share(101.0, new.settings) < 0.5
 
 
 class Pair:
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from quota_gateway.model.actions import Dismiss, Rest, Send
-from quota_gateway.model.endpoints import Status
-from quota_gateway.model.events import Drain, Maintain
+from quota_gateway.model.actions import CloseIdleConnections, DrainClientConnections, StartAttempt
+from quota_gateway.model.endpoints import EndpointStatus
+from quota_gateway.model.events import SetDraining, SetMaintenance
 from quota_gateway.policy.maintenance import avoided, knows
 from tests.policy_harness import backend, backends, gateway, request
 
@@ -13,16 +13,16 @@
     found: set[str] = set()
     for number in numbers:
         actions = made.handle(request(number, customer=f"c{number}"), 100.0)  # type: ignore[attr-defined]
-        found |= {a.backend for a in actions if isinstance(a, Send)}
+        found |= {a.endpoint_id for a in actions if isinstance(a, StartAttempt)}
     return found
 
 
 def test_a_ban_outlives_lists_and_restarts() -> None:
     made = gateway()
-    assert made.handle(Maintain("a", True), 100.0) == [Rest("a")]
+    assert made.handle(SetMaintenance("a", True), 100.0) == [CloseIdleConnections("a")]
     assert sends(made, range(20)) == {"b"}
     for listed in (
-        backends(backend("a", status=Status.GONE), backend("b")),
+        backends(backend("a", status=EndpointStatus.REMOVED), backend("b")),
         backends(backend("a", started=99.0), backend("b")),
     ):
         made.handle(listed, 100.0)
@@ -33,26 +33,28 @@
 def test_every_backend_banned_leaves_none_to_serve_with() -> None:
     made = gateway()
     for name in "ab":
-        made.handle(Maintain(name, True), 100.0)
-    assert not made.takes_clients() and sends(made, range(3)) == set()
+        made.handle(SetMaintenance(name, True), 100.0)
+    assert not made.accepts_clients() and sends(made, range(3)) == set()
 
 
 def test_what_is_put_back_is_cold_whatever_the_list_says() -> None:
     made = gateway()
     for out in (True, True, False, False):  # two calls out need one call back
-        made.handle(Maintain("a", out), 100.0)
-    server = made.servers["a"]
-    assert server.cold_share(100.0, made.settings) == made.settings.cold_from
+        made.handle(SetMaintenance("a", out), 100.0)
+    server = made.endpoints["a"]
+    assert server.cold_share(100.0, made.settings) == made.settings.slow_start_minimum
     made.handle(backends(backend("a"), backend("b")), 101.0)  # not told of the restart yet
-    assert made.servers["a"] is server
+    assert made.endpoints["a"] is server
     made.handle(backends(backend("a", started=99.5), backend("b")), 101.0)
-    assert made.servers["a"] is server
+    assert made.endpoints["a"] is server
     made.handle(backends(backend("a", started=102.0), backend("b")), 103.0)
-    assert made.servers["a"].backend.started == 102.0
+    assert made.endpoints["a"].backend.started_at == 102.0
 
 
 def test_a_drain_changes_no_admission() -> None:
     made = gateway()
-    assert made.handle(Drain(True), 100.0) == [Dismiss(True)]
-    assert not made.takes_clients() and sends(made, range(4))
-    assert made.handle(Drain(False), 100.0) == [Dismiss(False)] and made.takes_clients()
+    assert made.handle(SetDraining(True), 100.0) == [DrainClientConnections(True)]
+    assert not made.accepts_clients() and sends(made, range(4))
+    assert (
+        made.handle(SetDraining(False), 100.0) == [DrainClientConnections(False)] and made.accepts_clients()
+    )
--- a/tests/test_no_attempt_after_disconnect.py
+++ b/tests/test_no_attempt_after_disconnect.py
@@ -14,11 +14,11 @@
 import pytest
 
 from quota_gateway.body_streaming import HELD
-from quota_gateway.downstream.client_connection import MOST_PIPELINED, ClientConnection
 from quota_gateway.dispatch.dispatcher import Driver
+from quota_gateway.downstream.client_connection import MOST_PIPELINED, ClientConnection
+from tests.fakes import Asked, BackendPeer, message, serve, settings_text
 from tests.harness import Bed, Client, request, roomy_settings, running
 from tests.virtual_clock import run_clocked, start_clock, this_loop
-from tests.fakes import Asked, BackendPeer, message, serve, settings_text
 
 ALLOWED = 0.1  # seconds
 AFTER = [0.02, 0.105, 0.125, 0.15, 0.4]  # seconds after the client's end at which what is waited for comes
@@ -256,7 +256,7 @@
             bed.counter.free.clear()
             if state == "dial":
                 loop.late = {port_of(b): 0.12 for b in bed.backends}
-                for server in driver.gateway.servers.values():
+                for server in driver.gateway.endpoints.values():
                     server.limit = BURST
             for number, client in enumerate(clients):
                 client.send(request(number, customer=f"{number:016x}"))
--- a/tests/test_rate_limiting.py
+++ b/tests/test_rate_limiting.py
@@ -6,17 +6,17 @@
 
 import pytest
 
-from quota_gateway.policy.engine import Gateway
-from quota_gateway.model.actions import Count, Refuse, Send, SetTimer
-from quota_gateway.model.events import Counted, TimerDue
+from quota_gateway.model.actions import IncrementCounter, Reject, SetTimer, StartAttempt
+from quota_gateway.model.events import CounterReply, TimerFired
 from quota_gateway.model.outcomes import Outcome
+from quota_gateway.policy.engine import PolicyEngine
 from quota_gateway.policy.slow_start import cold_chance
 from quota_gateway.policy.token_bucket import EPS, Throttle
 from tests.policy_harness import CAPPED, PLAN, SETTINGS, Watch, backend, backends, ended, gateway, request
 
 
 def sends(actions: list[object]) -> int:
-    return sum(isinstance(a, Send) for a in actions)
+    return sum(isinstance(a, StartAttempt) for a in actions)
 
 
 def test_starts_full_then_holds_then_overflows() -> None:
@@ -25,13 +25,13 @@
         assert sends(list(made.handle(request(number), 100.0))) == 1
     # the bank is empty: one unit is half a second away, over the bound
     actions = made.handle(request(4), 100.0)
-    assert isinstance(actions[-1], Refuse) and actions[-1].retry_after == pytest.approx(0.5)
+    assert isinstance(actions[-1], Reject) and actions[-1].retry_after == pytest.approx(0.5)
     # 0.3 s on 0.6 units are there: 0.2 s away, inside the bound, so it is held, and released exactly then
     held = made.handle(request(5), 100.3)
     assert sends(list(held)) == 0
     timer = next(a for a in held if isinstance(a, SetTimer) and a.key.startswith("r"))
     assert timer.delay == pytest.approx(0.2)
-    assert sends(list(made.handle(TimerDue(timer.key), 100.3 + timer.delay))) == 1
+    assert sends(list(made.handle(TimerFired(timer.key), 100.3 + timer.delay))) == 1
 
 
 def test_large_request_leaves_when_the_bank_is_full() -> None:
@@ -49,10 +49,10 @@
 
 
 def test_settling_goes_below_nought_and_back() -> None:
-    made = gateway(settles=True)
+    made = gateway(settles_actual_units=True)
     made.handle(request(1, units=4.0), 100.0)
-    sent = next(iter(made.jobs.values())).attempts[0].server.backend.address
-    made.handle(ended(1, 0, sent, Outcome.SERVED, true_units=7.0), 100.0)
+    sent = next(iter(made.jobs.values())).attempts[0].server.backend.endpoint_id
+    made.handle(ended(1, 0, sent, Outcome.SUCCESS, true_units=7.0), 100.0)
     assert made.throttles["c"].level == pytest.approx(-3.0)
 
 
@@ -88,8 +88,8 @@
     made = gateway()
     for number in range(4):
         made.handle(request(number), 100.0)
-    made.handle(Counted("c.100", Outcome.NO_CONNECTION, 0.0, 0.0), 101.0)
-    assert not any(isinstance(a, Count) for a in made.handle(TimerDue("cc"), 101.1))
+    made.handle(CounterReply("c.100", Outcome.CONNECT_FAILED, 0.0, 0.0), 101.0)
+    assert not any(isinstance(a, IncrementCounter) for a in made.handle(TimerFired("cc"), 101.1))
 
 
 def test_ceiling_grants_only_what_refilled_since_start() -> None:
@@ -105,10 +105,10 @@
     made = gateway()
     made.handle(request(1), 100.0)
     assert "c" in made.throttles
-    where = made.jobs[1].attempts[0].server.backend.address
-    made.handle(ended(1, 0, where, Outcome.SERVED), 100.1)
+    where = made.jobs[1].attempts[0].server.backend.endpoint_id
+    made.handle(ended(1, 0, where, Outcome.SUCCESS), 100.1)
     for second in range(101, 106):
-        made.handle(TimerDue("cc"), float(second))
+        made.handle(TimerFired("cc"), float(second))
     for number in range(2, 5):
         made.handle(request(number, customer=f"other{number}", deadline=204.0), 200.0)
     assert "c" not in made.throttles
@@ -118,18 +118,15 @@
     made = gateway()  # two attempts open in all, over two gateways: one here
     assert sends(list(made.handle(request(1, plan="open"), 100.0))) == 1
     assert sends(list(made.handle(request(2, plan="open"), 100.0))) == 0
-    where = made.jobs[1].attempts[0].server.backend.address
-    assert sends(list(made.handle(ended(1, 0, where, Outcome.SERVED), 100.1))) == 1
+    where = made.jobs[1].attempts[0].server.backend.endpoint_id
+    assert sends(list(made.handle(ended(1, 0, where, Outcome.SUCCESS), 100.1))) == 1
 
 
-@pytest.mark.parametrize("plan", ["rate", "burst"])
-def test_settings_below_nought_are_named(plan: str) -> None:
-    from dataclasses import replace
-
-    wrong = replace(PLAN, rate=-1.0) if plan == "rate" else replace(PLAN, burst=-1.0)
-    bad = replace(SETTINGS, plans=(wrong,))
-    with pytest.raises(ValueError, match=plan):
-        Gateway(bad, 1, 0.0)
+@pytest.mark.parametrize(("attribute", "setting"), [("rate", "units_per_s"), ("burst", "peak_units")])
+def test_negative_settings_are_named_as_in_the_file(attribute: str, setting: str) -> None:
+    wrong = replace(PLAN, **{attribute: -1.0})  # type: ignore[arg-type]
+    with pytest.raises(ValueError, match=f"^settings: {setting} of plan small is negative$"):
+        PolicyEngine(replace(SETTINGS, plans=(wrong,)), 1, 0.0)
 
 
 def test_a_held_request_behind_the_head_is_answered_in_its_own_time() -> None:
@@ -142,29 +139,29 @@
     watch.tell(request(5, "pay", deadline=101.04, units=0.01))  # behind it, with 0.52 to go
     watch.gateway.throttles["c"].set_share(0.001, 100.0)  # and then the slice moves elsewhere
     watch.run_to(100.9)
-    assert isinstance(watch.answered[5], Refuse) and isinstance(watch.answered[4], Refuse)
+    assert isinstance(watch.answered[5], Reject) and isinstance(watch.answered[4], Reject)
 
 
 def test_a_plan_that_pays_beyond_its_quota_is_refused_only_while_the_fleet_is_pressed() -> None:
     # to refuse there earns nothing: what is beyond the quota costs nothing, and may be within it elsewhere
-    made = gateway(plans=(replace(PLAN, beyond_worth=0.3, beyond_cost=0.0),))
+    made = gateway(plans=(replace(PLAN, over_quota_value=0.3, over_quota_cost=0.0),))
     for number in range(12):
         assert sends(list(made.handle(request(number), 100.0))) == 1
-        where = made.jobs[number].attempts[0].server.backend.address
-        made.handle(ended(number, 0, where, Outcome.SERVED), 100.0)
+        where = made.jobs[number].attempts[0].server.backend.endpoint_id
+        made.handle(ended(number, 0, where, Outcome.SUCCESS), 100.0)
     assert made.throttles["c"].level > -EPS  # uncharged: it is no debt of what comes later
     made.passed = 0.9
-    assert isinstance(made.handle(request(20), 100.0)[-1], Refuse)
+    assert isinstance(made.handle(request(20), 100.0)[-1], Reject)
 
 
 def test_a_cold_backend_takes_its_share_also_while_the_others_are_late() -> None:
     # cut by every late answer of the rest, it stood idle just when half a fleet had come back and was needed
-    cold = replace(backend("b"), started=98.0)
+    cold = replace(backend("b"), started_at=98.0)
     made = gateway(listed=backends(backend("a"), cold))
-    share = made.servers["b"].cold_share(100.0, made.settings)
+    share = made.endpoints["b"].cold_share(100.0, made.settings)
     assert 0.2 < share < 1.0
     made.fleet_fails = 0.9
-    assert cold_chance(made, made.servers["b"]) > 0.5 * share
+    assert cold_chance(made, made.endpoints["b"]) > 0.5 * share
 
 
 def test_what_is_learned_is_bounded_whatever_units_clients_name() -> None:
@@ -172,6 +169,6 @@
     for number in range(200):
         made.handle(request(number, customer=str(number), units=1.0 + number / 1000), 100.0)
         if number in made.jobs:
-            where = made.jobs[number].attempts[0].server.backend.address
-            made.handle(ended(number, 0, where, Outcome.SERVED), 100.0)
+            where = made.jobs[number].attempts[0].server.backend.endpoint_id
+            made.handle(ended(number, 0, where, Outcome.SUCCESS), 100.0)
     assert 0 < len(made.usual) <= 3
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -11,11 +11,11 @@
 
 import pytest
 
-from tests.harness import READY, Bed, request, roomy_settings, run
-from tests.virtual_clock import run_clocked, start_clock
 from tests.fakes import HOST, BackendPeer, settings_text
-from tests.test_gateway_process import ROOT, RUN
+from tests.harness import READY, Bed, request, roomy_settings, run
 from tests.test_endpoint_updates import Discoverer
+from tests.test_gateway_process import ROOT, RUN
+from tests.virtual_clock import run_clocked, start_clock
 
 READY_WITHIN = 10.0  # seconds, for nine in ten
 FLEET = 12
--- a/tests/test_recorded_messages.py
+++ b/tests/test_recorded_messages.py
@@ -9,10 +9,10 @@
 
 import pytest
 
-from quota_gateway.policy.state_snapshot import estate_of
-from quota_gateway.model.charges import Charged
-from quota_gateway.model.events import Estate
 from quota_gateway.hot_restart.coordinator import Handover, Link
+from quota_gateway.model.charges import UnitsCharged
+from quota_gateway.model.events import StateSnapshot
+from quota_gateway.policy.state_snapshot import estate_of
 from tests.harness import Bed, run, running
 from tests.policy_harness import gateway
 
@@ -114,7 +114,7 @@
     now = max(row[STAMP] for row in state["throttles"])  # as then: nothing is refilled meanwhile
     state["granted"] = [["small", *row[1:]] for row in state["granted"] if row[0] == "basis"]
     made = gateway(now=now)
-    made.handle(Estate(json.loads(json.dumps(state))), now)
+    made.handle(StateSnapshot(json.loads(json.dumps(state))), now)
     again = json.loads(json.dumps(estate_of(made).state))
     assert list(again) == list(state)
     mine = [row for row in again["granted"] if row[0] == "small"]
@@ -159,7 +159,7 @@
         async with running(2) as bed:
             made, _, written = link_of(bed, tmp_path, older=False)
             bed.program.handover = made
-            bed.program.charge(Charged("0000000000000006", "basis", 2, 1.0))
+            bed.program.charge(UnitsCharged("0000000000000006", "basis", 2, 1.0))
             bed.program.drain(True)
             assert written.lines() == [CHARGED, '{"drain": true}']
             made.close()
--- a/tests/test_request_dispatcher.py
+++ b/tests/test_request_dispatcher.py
@@ -6,11 +6,11 @@
 
 import pytest
 
-from quota_gateway.policy.engine import Gateway
-from quota_gateway.model.actions import Action, Fail, Send
-from quota_gateway.model.events import Event, Request
-from tests.harness import Bed, request, roomy_settings, run, running
+from quota_gateway.model.actions import Action, FailRequest, StartAttempt
+from quota_gateway.model.events import Event, RequestReceived
+from quota_gateway.policy.engine import PolicyEngine
 from tests.fakes import Asked, Step, message, serve
+from tests.harness import Bed, request, roomy_settings, run, running
 
 
 def says(text: bytes) -> Step:
@@ -104,15 +104,15 @@
 
 @pytest.mark.parametrize("answer", ["nothing", "an error"])
 def test_the_guard_answers_what_the_module_leaves(answer: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    def handle(self: Gateway, event: Event, now: float) -> list[Action]:
-        if answer == "an error" and isinstance(event, Request):
+    def handle(self: PolicyEngine, event: Event, now: float) -> list[Action]:
+        if answer == "an error" and isinstance(event, RequestReceived):
             raise RuntimeError("it broke")
         return []
 
     async def test() -> None:
         async with running() as bed:
             client = await bed.client()
-            monkeypatch.setattr(Gateway, "handle", handle)
+            monkeypatch.setattr(PolicyEngine, "handle", handle)
             status, _, _ = await client.ask(request(1, budget=0.3))
             assert status == 504 and not bed.program.driver.pending
 
@@ -120,15 +120,19 @@
 
 
 def test_a_second_final_answer_and_a_send_after_it_go_nowhere(monkeypatch: pytest.MonkeyPatch) -> None:
-    def handle(self: Gateway, event: Event, now: float) -> list[Action]:
-        if isinstance(event, Request):
-            return [Fail(event.id), Fail(event.id), Send(event.id, "b0", 1.0)]
+    def handle(self: PolicyEngine, event: Event, now: float) -> list[Action]:
+        if isinstance(event, RequestReceived):
+            return [
+                FailRequest(event.request_id),
+                FailRequest(event.request_id),
+                StartAttempt(event.request_id, "b0", 1.0),
+            ]
         return []
 
     async def test() -> None:
         async with running() as bed:
             client = await bed.client()
-            monkeypatch.setattr(Gateway, "handle", handle)
+            monkeypatch.setattr(PolicyEngine, "handle", handle)
             assert (await client.ask(request(1)))[0] == 502
             assert (await client.ask(request(2)))[0] == 502  # the next answer is its own, not a leftover
             assert not bed.seen()
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -11,8 +11,8 @@
 
 import pytest
 
-from quota_gateway.simulator.adapter import Host, Malformed, serve
 from quota_gateway.configuration.settings_reader import read_settings
+from quota_gateway.simulator.adapter import Host, Malformed, serve
 
 HERE = pathlib.Path(__file__).parent
 FRAMES = (HERE / "batch.txt").read_text()
@@ -67,12 +67,12 @@
 
 
 def test_an_exception_goes_out_as_crash(monkeypatch: pytest.MonkeyPatch) -> None:
-    from quota_gateway.policy.engine import Gateway
+    from quota_gateway.policy.engine import PolicyEngine
 
     def fail(*_: object) -> None:
         raise RuntimeError("it broke")
 
-    monkeypatch.setattr(Gateway, "handle", fail)
+    monkeypatch.setattr(PolicyEngine, "handle", fail)
     assert "crash\tRuntimeError: it broke" in play(FRAMES)
 
 
