--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -6,11 +6,12 @@
 
 import pytest
 
-from quota_gateway.policy.engine import Gateway
-from quota_gateway.model.actions import Send
-from quota_gateway.model.events import Maintain
-from quota_gateway.policy.slow_start import PART, budget, cold_chance
+from quota_gateway.model.actions import StartAttempt
+from quota_gateway.model.events import SetMaintenance
+from quota_gateway.policy.endpoint_registry import set_near
+from quota_gateway.policy.engine import PolicyEngine
 from quota_gateway.policy.records import SHUN
+from quota_gateway.policy.slow_start import PART, budget, cold_chance
 from tests.fleet import Result, cases, play
 from tests.policy_harness import SETTINGS, backend, backends, gateway, request
 
@@ -20,21 +21,24 @@
     # left to a part of an even share each, cold ones stood idle while the few sound ones were pushed over
     warm = [backend(f"w{n}") for n in range(5 - cold)]
     made = gateway(now=100.0, listed=backends(*warm, *(backend(f"c{n}", started=95.0) for n in range(cold))))
-    server = made.servers["c0"]
+    server = made.endpoints["c0"]
     share = server.cold_share(100.0, made.settings)
     for n in range(sick):
-        made.servers[f"w{n}"].bad = SHUN
-    most = made.settings.fall_multiple * PART * share
+        made.endpoints[f"w{n}"].bad = SHUN
+    most = made.settings.slow_start_overload_ratio * PART * share
     even = share * 5 / (5 - cold - sick + cold * share)  # of what each of the sound ones can do
     # never more than is safe, and that where the others could not take the rest
     assert cold_chance(made, server) == pytest.approx(min(even, most))
     assert (even > most) == (sick > 0)
 
 
-def fleet_of(width: int, count: int) -> list[Gateway]:
+def fleet_of(width: int, count: int) -> list[PolicyEngine]:
     """Gateways before so many backends, the first of which has come back a second ago."""
     listed = backends(backend("c", started=99.0), *(backend(f"w{n}") for n in range(count - 1)))
-    made = [Gateway(replace(SETTINGS, gateways=width, me=me), me, 100.0) for me in range(width)]
+    made = [
+        PolicyEngine(replace(SETTINGS, gateway_count=width, gateway_index=me), me, 100.0)
+        for me in range(width)
+    ]
     for each in made:
         each.handle(listed, 100.0)
     return made
@@ -48,37 +52,41 @@
     # a gateway that saw others fail raised its part by what it alone saw, and so did those that had widened
     fleet = fleet_of(width, count)
     for me, made in enumerate(fleet):
-        made.settings = replace(made.settings, fall_multiple=multiple)
+        made.settings = replace(made.settings, slow_start_overload_ratio=multiple)
         for server in made.near:
-            server.bad = SHUN * (server.backend.address != "c" and me % 3 > 0)  # most see all others as bad
-        made.set_near()
+            server.bad = SHUN * (
+                server.backend.endpoint_id != "c" and me % 3 > 0
+            )  # most see all others as bad
+        set_near(made)
     rates = [1.0 + 9.0 * (me % 7 == 0) for me in range(width)]  # some have ten times what others have
-    reach = [me for me, made in enumerate(fleet) if made.servers["c"] in made.own]
+    reach = [me for me, made in enumerate(fleet) if made.endpoints["c"] in made.own]
     even = sum(rates[me] / len(fleet[me].own) for me in reach)  # a second, to a warm one
-    share = fleet[0].servers["c"].cold_share(100.0, fleet[0].settings)
+    share = fleet[0].endpoints["c"].cold_share(100.0, fleet[0].settings)
     drawn = [rates[me] / len(made.near) for me, made in enumerate(fleet)]
-    most = sum(rate * budget(made, made.servers["c"]) for rate, made in zip(drawn, fleet, strict=True))
-    kept = sum(rate * cold_chance(made, made.servers["c"]) for rate, made in zip(drawn, fleet, strict=True))
+    most = sum(rate * budget(made, made.endpoints["c"]) for rate, made in zip(drawn, fleet, strict=True))
+    kept = sum(rate * cold_chance(made, made.endpoints["c"]) for rate, made in zip(drawn, fleet, strict=True))
     assert most == pytest.approx(PART * multiple * share * even)
     assert kept <= most + 1e-9
-    assert all(cold_chance(made, made.servers["c"]) == 0 for me, made in enumerate(fleet) if me not in reach)
+    assert all(
+        cold_chance(made, made.endpoints["c"]) == 0 for me, made in enumerate(fleet) if me not in reach
+    )
 
 
 @pytest.mark.parametrize("way", ["new", "reborn at its id", "put back"])
 def test_a_backend_is_cold_however_it_came_back(way: str) -> None:
-    made = gateway(now=100.0, listed=backends(backend("a"), backend("b")), fall_multiple=0.0)
+    made = gateway(now=100.0, listed=backends(backend("a"), backend("b")), slow_start_overload_ratio=0.0)
     if way == "new":
         made.handle(backends(backend("a"), backend("c", started=100.0)), 100.0)
     elif way == "reborn at its id":
         made.handle(backends(backend("a"), backend("b", started=100.0)), 100.0)
     else:
-        made.handle(Maintain("b", True), 100.0)
-        made.handle(Maintain("b", False), 100.0)
+        made.handle(SetMaintenance("b", True), 100.0)
+        made.handle(SetMaintenance("b", False), 100.0)
     sent = [
-        action.backend
+        action.endpoint_id
         for number in range(100)
         for action in made.handle(request(number, customer=f"c{number}"), 100.0)
-        if isinstance(action, Send)
+        if isinstance(action, StartAttempt)
     ]
     assert sent and set(sent) == {"a"}  # nothing is allowed for a cold one: only the warm one is left
 
--- a/tests/test_subsetting.py
+++ b/tests/test_subsetting.py
@@ -6,10 +6,10 @@
 from collections.abc import Iterable
 from dataclasses import replace
 
-from quota_gateway.model.actions import Send
-from quota_gateway.model.endpoints import Backend, ListKind, Status
-from quota_gateway.policy.subsetting import LEAST_SIZE, size_of, subset
+from quota_gateway.model.actions import StartAttempt
+from quota_gateway.model.endpoints import Endpoint, EndpointListKind, EndpointStatus
 from quota_gateway.policy.records import Server
+from quota_gateway.policy.subsetting import LEAST_SIZE, size_of, subset
 from tests.policy_harness import backends, gateway, request
 
 ZONES = ("a", "b", "c")
@@ -18,7 +18,8 @@
 
 def fleet(backends: Iterable[int]) -> list[Server]:
     return [
-        Server(Backend(f"s{n}", ZONES[n % 3], "k", n, Status.SERVING, 1.0, None), 1.0, 0.0) for n in backends
+        Server(Endpoint(f"s{n}", ZONES[n % 3], "k", n, EndpointStatus.SERVING, 1.0, None), 1.0, 0.0)
+        for n in backends
     ]
 
 
@@ -27,7 +28,7 @@
 
 
 def names(servers: Iterable[Server]) -> set[str]:
-    return {s.backend.address for s in servers}
+    return {s.backend.endpoint_id for s in servers}
 
 
 def parts(servers: list[Server], gateways: int = GATEWAYS) -> list[set[str]]:
@@ -68,7 +69,7 @@
     servers = fleet(range(60))
     own = names(subset(servers, 7, GATEWAYS, sound))
     for server in servers:
-        server.bad = 1.0 if server.backend.address in own else 0.0
+        server.bad = 1.0 if server.backend.endpoint_id in own else 0.0
     wider = subset(servers, 7, GATEWAYS, sound)
     assert own < names(wider) and sum(map(sound, wider)) >= 9
     for server in servers:
@@ -78,16 +79,16 @@
 
 def test_a_gateway_of_a_large_fleet_sends_to_its_own_part_and_beyond_it_when_that_fails() -> None:
     listed = [s.backend for s in fleet(range(60))]
-    made = gateway(listed=backends(*listed), gateways=GATEWAYS, me=3)
+    made = gateway(listed=backends(*listed), gateway_count=GATEWAYS, gateway_index=3)
     own = names(made.near)
     assert len(own) == size_of(60, GATEWAYS)
     sent = {
-        a.backend
+        a.endpoint_id
         for n in range(10)
         for a in made.handle(request(n, customer=f"c{n}"), 100.1)
-        if isinstance(a, Send)
+        if isinstance(a, StartAttempt)
     }
     assert sent and sent <= own
-    drained = [replace(b, status=Status.DRAINING) for b in listed if b.address in own]
-    made.handle(backends(*drained, kind=ListKind.CHANGES), 100.2)
+    drained = [replace(b, status=EndpointStatus.DRAINING) for b in listed if b.endpoint_id in own]
+    made.handle(backends(*drained, kind=EndpointListKind.DELTA), 100.2)
     assert len(made.near) >= LEAST_SIZE and not names(made.near) & own
--- a/tests/test_upstream_connections.py
+++ b/tests/test_upstream_connections.py
@@ -11,12 +11,12 @@
 
 import pytest
 
+from quota_gateway.body_streaming import HELD
 from quota_gateway.model.outcomes import Outcome
 from quota_gateway.upstream import connection_pool
 from quota_gateway.upstream.connection_pool import MOST_HEAD, RESTED, Answer, Attempt, Pool
-from quota_gateway.body_streaming import HELD
-from tests.harness import run
 from tests.fakes import HOST, SOON, Asked, BackendPeer, Step, message
+from tests.harness import run
 
 HEAD = b"POST /api HTTP/1.1\r\nX-Call-Id: 1\r\nContent-Length: 2\r\n"
 
@@ -100,27 +100,27 @@
 @pytest.mark.parametrize(
     ("text", "outcome"),
     [
-        (message(200, b"x"), Outcome.SERVED),
-        (b"HTTP/1.1 100 Continue\r\n\r\n" + message(200, b"x"), Outcome.SERVED),
-        (message(200, b"x", "Connection: close"), Outcome.SERVED),
-        (message(200, b"x") + message(200, b"y"), Outcome.SERVED),
+        (message(200, b"x"), Outcome.SUCCESS),
+        (b"HTTP/1.1 100 Continue\r\n\r\n" + message(200, b"x"), Outcome.SUCCESS),
+        (message(200, b"x", "Connection: close"), Outcome.SUCCESS),
+        (message(200, b"x") + message(200, b"y"), Outcome.SUCCESS),
         (message(500), Outcome.ERROR),
         (message(204), Outcome.ERROR),
         (message(503), Outcome.ERROR),
         (message(500, b"", "X-Rejected: 1"), Outcome.ERROR),
-        (message(503, b"", "X-Rejected: 1"), Outcome.TURNED_AWAY),
-        (message(504, b"", "X-Rejected: 1"), Outcome.TURNED_AWAY),
+        (message(503, b"", "X-Rejected: 1"), Outcome.REJECTED),
+        (message(504, b"", "X-Rejected: 1"), Outcome.REJECTED),
         (message(504, b"", "X-Rejected: 0"), Outcome.ERROR),
-        (b"rubbish\r\n\r\n", Outcome.BROKEN),
-        (message(200, b"x" * HELD), Outcome.SERVED),
-        (message(200, b"x" * (HELD + 1)), Outcome.BROKEN),
+        (b"rubbish\r\n\r\n", Outcome.BROKEN_RESPONSE),
+        (message(200, b"x" * HELD), Outcome.SUCCESS),
+        (message(200, b"x" * (HELD + 1)), Outcome.BROKEN_RESPONSE),
     ],
 )
 def test_an_answer_tells_whether_the_attempt_ran(text: bytes, outcome: Outcome) -> None:
     async def test() -> None:
         async with sending(says(text)) as (sender, peer):
             assert await sender.outcome() is outcome
-            assert await sender.outcome() is Outcome.SERVED  # whatever it was, the next attempt is not hurt
+            assert await sender.outcome() is Outcome.SUCCESS  # whatever it was, the next attempt is not hurt
             assert len(peer.seen) == 2
 
     run(test)
@@ -129,12 +129,12 @@
 @pytest.mark.parametrize(
     ("text", "outcome"),
     [
-        (b"HTTP/1.1 200 \r\ncontent-LENGTH:\t 1 \t\r\nX-Note:\r\n\r\nx", Outcome.SERVED),
+        (b"HTTP/1.1 200 \r\ncontent-LENGTH:\t 1 \t\r\nX-Note:\r\n\r\nx", Outcome.SUCCESS),
         (
             b"HTTP/1.1 200 OK\r\nTransfer-Encoding:  chunked \r\n\r\n1;a=b\r\nx\r\n0\r\nX-Sum: 1\r\n\r\n",
-            Outcome.SERVED,
+            Outcome.SUCCESS,
         ),
-        (b"HTTP/1.1 503 X\r\nX-Rejected: 1 \r\nContent-Length:0 \r\n\r\n", Outcome.TURNED_AWAY),
+        (b"HTTP/1.1 503 X\r\nX-Rejected: 1 \r\nContent-Length:0 \r\n\r\n", Outcome.REJECTED),
     ],
 )
 def test_an_answer_cut_at_any_byte_is_read(text: bytes, outcome: Outcome) -> None:
@@ -163,7 +163,7 @@
 def test_a_connection_that_breaks_after_the_write_may_have_run(step: Step) -> None:
     async def test() -> None:
         async with sending(step) as (sender, _):
-            assert await sender.outcome() is Outcome.BROKEN
+            assert await sender.outcome() is Outcome.BROKEN_RESPONSE
 
     run(test)
 
@@ -171,9 +171,9 @@
 def test_a_kept_connection_that_is_dead_after_the_write_is_no_free_retry() -> None:
     async def test() -> None:
         async with sending(says(message(200)), cuts) as (sender, peer):
-            assert await sender.outcome() is Outcome.SERVED
+            assert await sender.outcome() is Outcome.SUCCESS
             await asyncio.sleep(2 * RESTED)
-            assert await sender.outcome() is Outcome.BROKEN
+            assert await sender.outcome() is Outcome.BROKEN_RESPONSE
             assert len(peer.seen) == 2 and peer.connections == 1
 
     run(test)
@@ -183,7 +183,7 @@
     async def test() -> None:
         async with sending() as (sender, peer):
             await peer.stop()
-            assert await sender.outcome() is Outcome.NO_CONNECTION
+            assert await sender.outcome() is Outcome.CONNECT_FAILED
 
     run(test)
 
@@ -203,7 +203,7 @@
         async with sending() as (sender, _):
             sender.pool.set_address("b", server.sockets[0].getsockname())
             _, ended = sender.start(body=b"x" * 30_000_000)
-            assert (await ended).outcome is Outcome.NO_CONNECTION
+            assert (await ended).outcome is Outcome.CONNECT_FAILED
         server.close()
 
     run(test)
@@ -218,7 +218,7 @@
             attempt.end(Answer(Outcome.CANCELLED))
             assert (await ended).outcome is Outcome.CANCELLED
             await peer.until(lambda: peer.ended == 2)
-            assert not sender.pool.connections or await sender.outcome() is Outcome.SERVED
+            assert not sender.pool.connections or await sender.outcome() is Outcome.SUCCESS
 
     run(test)
 
@@ -250,7 +250,7 @@
                 sender.pool.forget_others([])
             elif way == "end":
                 attempt.end(Answer(Outcome.NOT_SENT))
-            assert (await ended).outcome.never_ran
+            assert (await ended).outcome.proves_not_executed
             await asyncio.sleep(0)
             assert not sender.pool.dialling and not sender.pool.connections
             assert not attempt.written
@@ -258,7 +258,7 @@
     run(test)
 
 
-@pytest.mark.parametrize(("within", "outcome"), [(1.0, Outcome.NO_CONNECTION), (3.0, Outcome.SERVED)])
+@pytest.mark.parametrize(("within", "outcome"), [(1.0, Outcome.CONNECT_FAILED), (3.0, Outcome.SUCCESS)])
 def test_a_dial_that_comes_up_after_the_time_to_write_is_over_is_not_written(
     within: float, outcome: Outcome
 ) -> None:
@@ -274,7 +274,7 @@
             pool.start(attempt)
             later = 2.0  # while the dial is under way
             assert (await owner.answer).outcome is outcome
-            assert len(peer.seen) == (outcome is Outcome.SERVED)
+            assert len(peer.seen) == (outcome is Outcome.SUCCESS)
 
     run(test)
 
@@ -283,7 +283,7 @@
     async def test() -> None:
         async with hanging() as (sender, _):
             sender.pool.dial_timeout = 0.05
-            assert await sender.outcome() is Outcome.NO_CONNECTION
+            assert await sender.outcome() is Outcome.CONNECT_FAILED
 
     run(test)
 
@@ -293,11 +293,11 @@
         now = 0.0
         async with sending(keepalive=10.0) as (sender, peer):
             sender.pool.clock = lambda: now
-            assert await sender.outcome() is Outcome.SERVED
+            assert await sender.outcome() is Outcome.SUCCESS
             now = 4.9
-            assert await sender.outcome() is Outcome.SERVED and peer.connections == 1
+            assert await sender.outcome() is Outcome.SUCCESS and peer.connections == 1
             now = 10.0
-            assert await sender.outcome() is Outcome.SERVED and peer.connections == 2
+            assert await sender.outcome() is Outcome.SUCCESS and peer.connections == 2
             now = 16.0
             sender.pool.sweep()
             await peer.until(lambda: peer.ended == 2)
@@ -315,15 +315,15 @@
             await peer.until(lambda: len(peer.seen) == 1)
             _, second = sender.start(5.0)
             await peer.until(lambda: len(peer.seen) == 2)
-            assert await sender.outcome() is Outcome.SERVED  # a third connection, kept
+            assert await sender.outcome() is Outcome.SUCCESS  # a third connection, kept
             line = sender.pool.lines["b"]
             assert len(line.idle) == 1
             attempt = next(c.attempt for c in sender.pool.connections if c.attempt is not None)
             attempt.time_out()
             assert not line.idle and (first.done() or second.done())
-            assert await sender.outcome() is Outcome.SERVED and peer.connections == 4
+            assert await sender.outcome() is Outcome.SUCCESS and peer.connections == 4
             sender.pool.set_address("b", sender.pool.lines["b"].address, 7.0)
-            assert await sender.outcome() is Outcome.SERVED and peer.connections == 5
+            assert await sender.outcome() is Outcome.SUCCESS and peer.connections == 5
 
     run(test)
 
@@ -334,11 +334,11 @@
             sender.pool.most = 2
             first, _ = sender.start()
             second, _ = sender.start()
-            assert await sender.outcome() is Outcome.NO_CONNECTION
+            assert await sender.outcome() is Outcome.CONNECT_FAILED
             await peer.until(lambda: len(peer.seen) == 2)
             first.end(Answer(Outcome.CANCELLED))
             await peer.until(lambda: peer.ended == 1)
-            assert await sender.outcome() is Outcome.SERVED
+            assert await sender.outcome() is Outcome.SUCCESS
             sender.pool.set_address("c", sender.pool.lines["b"].address)
             now = sender.pool.clock()
             sender.pool.start(Attempt("c", HEAD, b"ab", now, now + 5, 0, Ended()))
@@ -366,7 +366,7 @@
         async with sending(later, says(message(200, b"next"))) as (sender, peer):
             _, first = sender.start()
             answer = await first
-            assert (answer.outcome, answer.body, answer.units) == (Outcome.SERVED, b"mine", 2.0)
+            assert (answer.outcome, answer.body, answer.units) == (Outcome.SUCCESS, b"mine", 2.0)
             await asyncio.sleep(2 * RESTED)
             assert (await sender.start()[1]).body == b"next"
             assert peer.connections == 2  # what brings more than it was asked for is not used again
@@ -403,11 +403,11 @@
         async with sending(says(ahead + message(status, b"real")), says(message(200))) as (sender, peer):
             answer = await sender.start()[1]
             if status == 200:
-                assert answer == Answer(Outcome.SERVED, b"real", 0.0, b"")
+                assert answer == Answer(Outcome.SUCCESS, b"real", 0.0, b"")
             else:
                 assert answer.outcome is Outcome.ERROR  # the rejection was not the real answer's
             await asyncio.sleep(2 * RESTED)
-            assert await sender.outcome() is Outcome.SERVED and peer.connections == 1
+            assert await sender.outcome() is Outcome.SUCCESS and peer.connections == 1
 
     run(test)
 
@@ -433,7 +433,7 @@
         if len(text) > 50 or b"\r\n\r\n" in text and b": 10\r" not in text:  # all but those that just stop
             monkeypatch.setattr(connection_pool, "STALLED", 1000.0)
         async with sending(says(text)) as (sender, peer):
-            assert await sender.outcome(1000.0) is Outcome.BROKEN
+            assert await sender.outcome(1000.0) is Outcome.BROKEN_RESPONSE
             await peer.until(lambda: peer.ended == 1)
 
     run(test)
@@ -450,7 +450,7 @@
             delay, stalled = await timers.until("has_stalled")
             assert delay == pytest.approx(patience, rel=0.01)
             stalled()
-            assert (await ended).outcome is Outcome.BROKEN
+            assert (await ended).outcome is Outcome.BROKEN_RESPONSE
 
     run(test)
 
@@ -487,15 +487,15 @@
         now = 0.0
         async with sending(says(message(200)), cuts, keepalive=60.0) as (sender, peer):
             sender.pool.clock = lambda: now
-            assert await sender.outcome() is Outcome.SERVED
+            assert await sender.outcome() is Outcome.SUCCESS
             now = 5.0
-            assert await sender.outcome() is Outcome.BROKEN and peer.connections == 1
-            assert await sender.outcome() is Outcome.SERVED and peer.connections == 2
+            assert await sender.outcome() is Outcome.BROKEN_RESPONSE and peer.connections == 1
+            assert await sender.outcome() is Outcome.SUCCESS and peer.connections == 2
             now = 9.0  # as long as was too long
-            assert await sender.outcome() is Outcome.SERVED and peer.connections == 3
+            assert await sender.outcome() is Outcome.SUCCESS and peer.connections == 3
             now = 11.0
             before = sender.pool.idle_limit
-            assert await sender.outcome() is Outcome.SERVED and peer.connections == 3
+            assert await sender.outcome() is Outcome.SUCCESS and peer.connections == 3
             assert before < sender.pool.idle_limit < 30.0  # one that lives tells that longer would do as well
 
     run(test)
