--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -8,40 +8,40 @@
 
 from quota_gateway.discovery import client
 from quota_gateway.discovery.client import (
-    BadList,
-    Discovery,
-    Listing,
-    pace_of,
+    DiscoveryClient,
+    EndpointListError,
+    EndpointUpdate,
+    poll_schedule_for,
     read_address,
-    read_listing,
+    read_endpoint_update,
     read_seconds,
 )
 from quota_gateway.model.endpoints import EndpointListKind, EndpointStatus
-from tests.fakes import DiscoveryPeer, message, read_message
-from tests.harness import Bed, request, roomy_settings, run, running
+from tests.fakes import FakeDiscovery, message, read_message
+from tests.harness import GatewayHarness, request, roomy_settings, run, running
 
 
-async def follow(peer: DiscoveryPeer) -> tuple[Discovery, asyncio.Queue[Listing]]:
-    told: asyncio.Queue[Listing] = asyncio.Queue()
-    discovery = Discovery(read_address(peer.address), 5.0, told.put_nowait)
+async def follow(peer: FakeDiscovery) -> tuple[DiscoveryClient, asyncio.Queue[EndpointUpdate]]:
+    told: asyncio.Queue[EndpointUpdate] = asyncio.Queue()
+    discovery = DiscoveryClient(read_address(peer.address), 5.0, told.put_nowait)
     discovery.start()
     return discovery, told
 
 
 def test_the_whole_list_then_watches_over_one_connection() -> None:
     async def test() -> None:
-        peer = DiscoveryPeer()
+        peer = FakeDiscovery()
         await peer.start()
         peer.entries = {"a": peer.entry("a", "127.0.0.1:9")}
         discovery, told = await follow(peer)
         first = await told.get()
-        assert first.whole and first.entries[0].address == ("127.0.0.1", 9)
+        assert first.is_full and first.entries[0].address == ("127.0.0.1", 9)
         await peer.until_asked(2)
         await peer.change(peer.entry("a", "127.0.0.1:9", "DRAINING"))
         second = await told.get()
         assert (
             second.kind is EndpointListKind.DELTA
-            and second.entries[0].backend.status is EndpointStatus.DRAINING
+            and second.entries[0].endpoint.status is EndpointStatus.DRAINING
         )
         await peer.until_asked(3)
         assert "since=2&" in peer.asked[2] and peer.connections == 1
@@ -55,7 +55,7 @@
 def test_after_a_failed_watch_what_has_changed_is_asked_for(way: str) -> None:
     # a watch that waits would wait for a next change; after a refusal it would be refused again
     async def test() -> None:
-        peer = DiscoveryPeer()
+        peer = FakeDiscovery()
         await peer.start()
         discovery, told = await follow(peer)
         await told.get()
@@ -74,12 +74,12 @@
                 writer.write(text[way])
         listing = await told.get()
         kept = way in ("broken", "busy")
-        assert listing.whole != kept
+        assert listing.is_full != kept
         assert peer.asked[2].startswith("GET /v1/endpoints?since=1&timeout_ms=0 ") == kept
         await peer.until_asked(4)
         assert "timeout_ms=2000 " in peer.asked[3]
         await peer.change({"instanceId": "a", "lifecycle": "DELETED"})
-        assert (await told.get()).entries[0].backend.status is EndpointStatus.REMOVED
+        assert (await told.get()).entries[0].endpoint.status is EndpointStatus.REMOVED
         discovery.stop()
         await peer.stop()
 
@@ -97,12 +97,12 @@
                 done.set()
                 await asyncio.Event().wait()
 
-        async def refuse(agent: client.Agent) -> Listing:
-            raise BadList("status 503", 3.0 if len(slept) == 7 else 0.0)
+        async def refuse(agent: client.EndpointPoller) -> EndpointUpdate:
+            raise EndpointListError("status 503", 3.0 if len(slept) == 7 else 0.0)
 
         monkeypatch.setattr("quota_gateway.discovery.client.asyncio.sleep", sleep)
-        monkeypatch.setattr(client.Agent, "call", refuse)
-        agent = client.Agent(("127.0.0.1", 9), 1.0, lambda agent, listing: None)
+        monkeypatch.setattr(client.EndpointPoller, "call", refuse)
+        agent = client.EndpointPoller(("127.0.0.1", 9), 1.0, lambda agent, listing: None)
         await done.wait()
         agent.stop()
         return slept
@@ -119,19 +119,22 @@
 
 def test_failed_calls_of_a_large_fleet_come_no_faster_than_those_of_a_small_one() -> None:
     # discovery answers so many calls a second, whoever makes them: past that each one is given up in its line
-    small, large = pace_of(4, False, 2.0), pace_of(40, False, 2.0)
-    assert large.first == 0.75 > 3 * small.first and large.most == small.most == 1.0
-    assert pace_of(1000, False, 2.0) == large
-    assert pace_of(1, False, 2.0) == client.LONE == client.Pace(2.0, 1.0, 2, 0.05, 1.0)
+    small, large = poll_schedule_for(4, False, 2.0), poll_schedule_for(40, False, 2.0)
+    assert (
+        large.first_backoff == 0.75 > 3 * small.first_backoff
+        and large.max_backoff == small.max_backoff == 1.0
+    )
+    assert poll_schedule_for(1000, False, 2.0) == large
+    assert poll_schedule_for(1, False, 2.0) == client.LONE == client.PollSchedule(2.0, 1.0, 2, 0.05, 1.0)
 
 
 @pytest.mark.parametrize("grace", [0.5, 2.0])
 def test_an_agent_that_lists_are_pushed_to_is_asked_twice_within_the_time_to_stop(grace: float) -> None:
     # it answers at no cost, and what it has at its return, or at a start, counts as told at once
     for gateways in (1, 3, 40, 200):
-        pace = pace_of(gateways, True, grace)
-        assert 2 * pace.within + pace.most < grace and pace.patience == 1
-        assert pace == pace_of(1, True, grace)
+        pace = poll_schedule_for(gateways, True, grace)
+        assert 2 * pace.answer_timeout + pace.max_backoff < grace and pace.max_timeout_factor == 1
+        assert pace == poll_schedule_for(1, True, grace)
 
 
 DIAL = 0.25  # seconds
@@ -162,7 +165,7 @@
         limit.reschedule(asyncio.get_running_loop().time())
 
 
-class Mute(DiscoveryPeer):
+class Mute(FakeDiscovery):
     """Leaves calls unanswered while it is mute, or answers them byte by byte and never to the end."""
 
     mute = trickles = False
@@ -191,15 +194,18 @@
 ) -> None:
     # counted as told 6 s after the silence began: also where the next call has no whole answer either
     async def test() -> None:
-        peer, time, told = Mute(), Time(), asyncio.Queue[Listing]()
+        peer, time, told = Mute(), Time(), asyncio.Queue[EndpointUpdate]()
         await peer.start()
         peer.entries = {"a": peer.entry("a", "127.0.0.1:9")}
         peer.trickles = trickles
         with monkeypatch.context() as patch:
             patch.setattr(client, "asyncio", time)
             patch.setattr("quota_gateway.discovery.client.random.uniform", lambda least, most: most)
-            made = Discovery(
-                read_address(peer.address), DIAL, told.put_nowait, pace=pace_of(gateways, pushed, 2.0)
+            made = DiscoveryClient(
+                read_address(peer.address),
+                DIAL,
+                told.put_nowait,
+                pace=poll_schedule_for(gateways, pushed, 2.0),
             )
             made.start()
             await told.get()
@@ -210,7 +216,7 @@
             peer.mute = False
             await peer.change(peer.entry("a", "127.0.0.1:9", "DRAINING"))
             time.expire()  # the call after it
-            assert (await told.get()).entries[0].backend.status is EndpointStatus.DRAINING
+            assert (await told.get()).entries[0].endpoint.status is EndpointStatus.DRAINING
             assert time.spent <= client.TOLD_WITHIN
             made.stop()
         await peer.stop()
@@ -220,7 +226,7 @@
 
 def test_a_list_nested_without_end_or_past_all_numbers_does_not_end_the_following() -> None:
     async def test() -> None:
-        peer = DiscoveryPeer()
+        peer = FakeDiscovery()
         await peer.start()
         made, told = await follow(peer)
         await told.get()
@@ -229,7 +235,7 @@
             await peer.until_asked(2 + 2 * number)
             for writer in list(peer.open):
                 writer.write(message(200, wrong))
-            assert (await told.get()).whole
+            assert (await told.get()).is_full
         made.stop()
         await peer.stop()
 
@@ -237,17 +243,19 @@
 
 
 def test_a_gateway_whose_first_call_finds_no_room_serves_from_the_list_that_it_knows() -> None:
-    class Full(DiscoveryPeer):
+    class Full(FakeDiscovery):
         async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             self.asked.append((await read_message(reader))[0])
             writer.write(message(503))
 
     async def test() -> None:
-        peer, told = Full(), asyncio.Queue[Listing]()
+        peer, told = Full(), asyncio.Queue[EndpointUpdate]()
         await peer.start()
-        made = Discovery(read_address(peer.address), 5.0, told.put_nowait, 1, pace_of(40, False, 2.0))
+        made = DiscoveryClient(
+            read_address(peer.address), 5.0, told.put_nowait, 1, poll_schedule_for(40, False, 2.0)
+        )
         made.start()
-        await made.heard.wait()  # what the start waits for
+        await made.answered.wait()  # what the start waits for
         assert len(peer.asked) == 1 and told.empty()
         made.stop()
         await peer.stop()
@@ -256,13 +264,13 @@
 
 
 def test_a_start_is_not_held_up_by_a_line_at_discovery() -> None:
-    class Silent(DiscoveryPeer):
+    class Silent(FakeDiscovery):
         async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             self.asked.append((await read_message(reader))[0])
             await asyncio.Event().wait()
 
     async def test() -> None:
-        bed = Bed(1)
+        bed = GatewayHarness(1)
         bed.discovery = Silent()
         with pytest.MonkeyPatch.context() as patch:
             waits: list[float | None] = []
@@ -272,12 +280,12 @@
                 waits.append(seconds)
                 return timeout(seconds)
 
-            patch.setattr("quota_gateway.__main__.asyncio.timeout", listen)
+            patch.setattr("quota_gateway.gateway_process.asyncio.timeout", listen)
             await bed.start(roomy_settings(dial_timeout=40.0), 1024)
         assert 0.04 in waits and 1.0 not in waits
         client = await bed.client()
         assert (await client.ask(request(1)))[0] == 200
-        await bed.program.stop(0.0, 0.0)
+        await bed.process.stop(0.0, 0.0)
         for peer in (*bed.backends, bed.discovery, bed.counter):
             await peer.stop()
 
@@ -286,10 +294,10 @@
 
 def test_a_process_starts_from_the_version_that_it_was_given() -> None:
     async def test() -> None:
-        peer, told = DiscoveryPeer(), asyncio.Queue[Listing]()
+        peer, told = FakeDiscovery(), asyncio.Queue[EndpointUpdate]()
         await peer.start()
         await peer.change(peer.entry("a", "127.0.0.1:9", "DRAINING"))
-        made = Discovery(read_address(peer.address), 5.0, told.put_nowait, known=1)
+        made = DiscoveryClient(read_address(peer.address), 5.0, told.put_nowait, known=1)
         made.start()
         assert (await told.get()).kind is EndpointListKind.DELTA
         await peer.until_asked(2)
@@ -302,13 +310,13 @@
 
 def test_a_call_that_had_no_answer_is_waited_for_longer_the_next_time() -> None:
     async def test() -> None:
-        agent = client.Agent(("127.0.0.1", 9), 1.0, lambda agent, listing: None, generation=7)
+        agent = client.EndpointPoller(("127.0.0.1", 9), 1.0, lambda agent, listing: None, generation=7)
         for unanswered in (1, 2):
             agent.failed(TimeoutError())
             assert (agent.unanswered, agent.generation) == (unanswered, 7)
-        agent.failed(client.Unanswered("status 503"))
+        agent.failed(client.DiscoveryUnavailableError("status 503"))
         assert (agent.unanswered, agent.generation) == (2, 7)
-        agent.failed(BadList("status 410"))
+        agent.failed(EndpointListError("status 410"))
         assert agent.generation is None
         agent.stop()
 
@@ -317,7 +325,7 @@
 
 def test_a_list_that_can_not_be_used_is_told_of_in_one_plain_line(caplog: pytest.LogCaptureFixture) -> None:
     async def test() -> None:
-        peer = DiscoveryPeer()
+        peer = FakeDiscovery()
         await peer.start()
         made, told = await follow(peer)
         await told.get()
@@ -327,7 +335,7 @@
             for writer in list(peer.open):
                 writer.write(message(200, wrong))
             await peer.change(peer.entry("a", "127.0.0.1:9"))
-            assert (await told.get()).entries[0].backend.endpoint_id == "a"
+            assert (await told.get()).entries[0].endpoint.endpoint_id == "a"
         made.stop()
         await peer.stop()
 
@@ -338,8 +346,12 @@
 
 def test_a_streak_of_failures_is_told_of_once(caplog: pytest.LogCaptureFixture) -> None:
     async def test() -> None:
-        agent = client.Agent(("127.0.0.1", 9), 1.0, lambda agent, listing: None, generation=7)
-        for error in (TimeoutError(), BadList("bad\nlist"), client.Unanswered("status 503")):
+        agent = client.EndpointPoller(("127.0.0.1", 9), 1.0, lambda agent, listing: None, generation=7)
+        for error in (
+            TimeoutError(),
+            EndpointListError("bad\nlist"),
+            client.DiscoveryUnavailableError("status 503"),
+        ):
             agent.failed(error)
         agent.stop()
 
@@ -357,7 +369,7 @@
 def test_a_new_agent_takes_over_with_its_first_whole_list() -> None:
     # until then what the old one tells still counts: a drain told in between has to be kept
     async def test() -> None:
-        old, new = DiscoveryPeer(), DiscoveryPeer()
+        old, new = FakeDiscovery(), FakeDiscovery()
         await old.start()
         await new.start()
         discovery, told = await follow(old)
@@ -366,14 +378,14 @@
         async with new.changed:  # holds back the new one's answer
             discovery.move(read_address(new.address))
             await old.change(old.entry("a", "127.0.0.1:9", "DRAINING"))
-            assert (await told.get()).entries[0].backend.status is EndpointStatus.DRAINING
+            assert (await told.get()).entries[0].endpoint.status is EndpointStatus.DRAINING
             new.entries = {"b": new.entry("b", "127.0.0.1:8")}
         listing = await told.get()
-        assert listing.whole and listing.entries[0].backend.endpoint_id == "b"
+        assert listing.is_full and listing.entries[0].endpoint.endpoint_id == "b"
         await new.until_asked(2)
         await old.change(old.entry("c", "127.0.0.1:7"))
         await new.change(new.entry("d", "127.0.0.1:6"))
-        assert (await told.get()).entries[0].backend.endpoint_id == "d"  # and nothing of the old one's
+        assert (await told.get()).entries[0].endpoint.endpoint_id == "d"  # and nothing of the old one's
         discovery.stop()
         await old.stop()
         await new.stop()
@@ -383,7 +395,7 @@
 
 def test_an_agent_that_can_not_be_reached_leaves_the_old_one_in_place() -> None:
     async def test() -> None:
-        old, never = DiscoveryPeer(), DiscoveryPeer()
+        old, never = FakeDiscovery(), FakeDiscovery()
         await old.start()
         await never.start()
         await never.stop()
@@ -393,8 +405,8 @@
         discovery.move(read_address(never.address))
         discovery.move(read_address(old.address))  # put back, as after a mistake
         await old.change(old.entry("a", "127.0.0.1:9"))
-        assert (await told.get()).entries[0].backend.endpoint_id == "a"
-        assert len(discovery.agents) == 1 and old.connections == 1
+        assert (await told.get()).entries[0].endpoint.endpoint_id == "a"
+        assert len(discovery.pollers) == 1 and old.connections == 1
         discovery.stop()
         await old.stop()
 
@@ -410,8 +422,8 @@
             asked = len(bed.discovery.asked)
             await bed.discovery.change(bed.discovery.entry("new", bed.backends[0].address))
             await bed.discovery.until_asked(asked + 1)
-            driver = bed.program.driver
-            assert {"new"} == set(driver.pool.lines) == set(driver.gateway.endpoints)
+            driver = bed.process.dispatcher
+            assert {"new"} == set(driver.pool.endpoints) == set(driver.engine.endpoints)
             assert (await client.ask(request(2)))[0] == 200
             assert bed.backends[0].connections == 2  # none that was dialled for the old one
 
@@ -434,8 +446,8 @@
     ],
 )
 def test_a_list_out_of_form_is_told(wrong: object) -> None:
-    with pytest.raises(BadList):
-        read_listing(wrong)
+    with pytest.raises(EndpointListError):
+        read_endpoint_update(wrong)
 
 
 def test_nothing_is_written_to_a_backend_that_drains() -> None:
--- a/tests/test_endpoint_updates.py
+++ b/tests/test_endpoint_updates.py
@@ -14,18 +14,25 @@
 import pytest
 
 from quota_gateway.discovery import client
-from quota_gateway.discovery.client import TOLD_WITHIN, Discovery, Listing, Pace, pace_of, read_address
+from quota_gateway.discovery.client import (
+    TOLD_WITHIN,
+    DiscoveryClient,
+    EndpointUpdate,
+    PollSchedule,
+    poll_schedule_for,
+    read_address,
+)
 from quota_gateway.model.endpoints import EndpointStatus
-from tests.fakes import HOST, DiscoveryPeer, message, read_message
-from tests.harness import Bed, request, roomy_settings
-from tests.virtual_clock import run_clocked, start_clock
+from tests.fakes import HOST, FakeDiscovery, message, read_message
+from tests.harness import GatewayHarness, request, roomy_settings
+from tests.virtual_clock import run_on_virtual_clock, start_clock
 
 GRACE = 2.0
 AGENTS = 16
 FAULTS = ["refused", "busy", "dial hangs", "silent", "trickles", "cut", "rubbish"]
 
 
-class Discoverer(DiscoveryPeer):
+class Discoverer(FakeDiscovery):
     """Discovery with a fault that can be set, and one change, told from when the fault is over."""
 
     fault = ""
@@ -98,18 +105,18 @@
 class Follower:
     """One agent's side: when it first knew that the backend drains."""
 
-    def __init__(self, address: str, pace: Pace, dial_timeout: float = 0.25) -> None:
+    def __init__(self, address: str, pace: PollSchedule, dial_timeout: float = 0.25) -> None:
         self.known_at = 0.0
         self.loop = asyncio.get_running_loop()
-        self.discovery = Discovery(read_address(address), dial_timeout, self.told, 1, pace)
+        self.discovery = DiscoveryClient(read_address(address), dial_timeout, self.told, 1, pace)
 
-    def told(self, listing: Listing) -> None:
-        drains = any(e.backend.status is EndpointStatus.DRAINING for e in listing.entries)
+    def told(self, listing: EndpointUpdate) -> None:
+        drains = any(e.endpoint.status is EndpointStatus.DRAINING for e in listing.entries)
         if drains and not self.known_at:
             self.known_at = self.loop.time()
 
 
-async def staggered(address: str, number: int, pace: Pace, every: float) -> list[Follower]:
+async def staggered(address: str, number: int, pace: PollSchedule, every: float) -> list[Follower]:
     followers = [Follower(address, pace) for _ in range(number)]
     for follower in followers:
         follower.discovery.start()
@@ -126,7 +133,7 @@
     return max(f.known_at for f in followers) - since
 
 
-def longest_after(fault: str, lasts: float, pace: Pace, seed: int) -> float:
+def longest_after(fault: str, lasts: float, pace: PollSchedule, seed: int) -> float:
     """Seconds from the fault's end to the last of the agents that knows."""
     longest = []
 
@@ -144,7 +151,7 @@
         await peer.stop()
 
     random.seed(seed)
-    run_clocked(test)
+    run_on_virtual_clock(test)
     return longest[0]
 
 
@@ -152,31 +159,37 @@
 @pytest.mark.parametrize("fault", FAULTS)
 def test_a_change_is_known_in_time_whatever_failed_before(fault: str, pushed: bool) -> None:
     # a 503 with a long Retry-After put the next call off by 4 s, and lost calls by 4.5 s each
-    pace = pace_of(200, pushed, GRACE)
+    pace = poll_schedule_for(200, pushed, GRACE)
     worst = max(longest_after(fault, lasts, pace, seed) for seed, lasts in enumerate((1.3, 6.7, 12.0)))
-    print(f"told: {fault}, pushed {pushed}: {worst:.2f} s of {pace.told_within:.2f}")
-    assert worst <= pace.told_within + 0.05
+    print(f"told: {fault}, pushed {pushed}: {worst:.2f} s of {pace.propagation_bound:.2f}")
+    assert worst <= pace.propagation_bound + 0.05
 
 
 def test_the_bound_holds_for_every_fleet() -> None:
     for gateways in range(1, 7801):
-        asked = pace_of(gateways, False, GRACE)
-        assert asked.told_within <= TOLD_WITHIN and 0 < asked.first <= asked.most
-        assert asked == pace_of(gateways, False, 0.5)  # the grace is not spent on this
+        asked = poll_schedule_for(gateways, False, GRACE)
+        assert asked.propagation_bound <= TOLD_WITHIN and 0 < asked.first_backoff <= asked.max_backoff
+        assert asked == poll_schedule_for(gateways, False, 0.5)  # the grace is not spent on this
     for grace in (0.1, 0.5, 2.0, 6.0, 60.0):
-        pushed = pace_of(1, True, grace)
-        assert pushed.told_within <= TOLD_WITHIN
-        assert all(pace_of(gateways, True, grace) == pushed for gateways in range(1, 7801))
+        pushed = poll_schedule_for(1, True, grace)
+        assert pushed.propagation_bound <= TOLD_WITHIN
+        assert all(poll_schedule_for(gateways, True, grace) == pushed for gateways in range(1, 7801))
 
 
 def test_no_pause_is_longer_than_the_bound_allows_and_advice_is_kept_to_within_it() -> None:
     for gateways in (1, 3, 40, 200, 7800):
         for pushed in (False, True):
-            pace = pace_of(gateways, pushed, GRACE)
-            drawn = [pace.pause(pace.first, advised) for advised in (0.0, 0.1, 3.0, 1e9) for _ in range(200)]
-            assert max(drawn) <= pace.most and len(set(drawn)) > 700  # a herd that was told the same spreads
-            kept = min(0.1, pace.most * client.LEAST_PART)
-            assert min(pace.pause(pace.first, 0.1) for _ in range(200)) >= kept - 1e-9
+            pace = poll_schedule_for(gateways, pushed, GRACE)
+            drawn = [
+                pace.pause(pace.first_backoff, advised)
+                for advised in (0.0, 0.1, 3.0, 1e9)
+                for _ in range(200)
+            ]
+            assert (
+                max(drawn) <= pace.max_backoff and len(set(drawn)) > 700
+            )  # a herd that was told the same spreads
+            kept = min(0.1, pace.max_backoff * client.LEAST_PART)
+            assert min(pace.pause(pace.first_backoff, 0.1) for _ in range(200)) >= kept - 1e-9
 
 
 def test_an_answer_that_is_reset_at_any_byte_is_no_list_and_the_next_one_is() -> None:
@@ -204,25 +217,25 @@
         peer, loop = Resets(), asyncio.get_running_loop()
         await peer.start()
         peer.entries = {"a": peer.entry("a", "127.0.0.1:9")}
-        pace = pace_of(200, False, GRACE)
+        pace = poll_schedule_for(200, False, GRACE)
         size = len(message(200, peer.listing(True, list(peer.entries.values()))))
         for count in range(size):
-            told: list[Listing] = []
-            made = Discovery(read_address(peer.address), 0.25, told.append, 1, pace)
+            told: list[EndpointUpdate] = []
+            made = DiscoveryClient(read_address(peer.address), 0.25, told.append, 1, pace)
             peer.count, began = count, loop.time()
             made.start()
             while not told:
                 await asyncio.sleep(0.05)
             counts.append((count, loop.time() - began))
-            assert [e.backend.endpoint_id for e in told[0].entries] == ["a"] and told[0].whole
+            assert [e.endpoint.endpoint_id for e in told[0].entries] == ["a"] and told[0].is_full
             made.stop()
         assert len(counts) == size
         await peer.stop()
 
-    run_clocked(test)
+    run_on_virtual_clock(test)
     worst = max(seconds for _, seconds in counts)
     print(f"told: reset at each of {len(counts)} byte counts: {worst:.2f} s")
-    assert worst <= pace_of(200, False, GRACE).most + 0.1
+    assert worst <= poll_schedule_for(200, False, GRACE).max_backoff + 0.1
 
 
 def test_a_new_address_is_followed_in_time_though_its_first_call_hangs() -> None:
@@ -235,7 +248,7 @@
         await new.start()
         for peer in (old, new):
             peer.entries = {"a": peer.entry("a", "127.0.0.1:9")}
-        followers = await staggered(old.address, AGENTS, pace_of(200, False, GRACE), 0.1)
+        followers = await staggered(old.address, AGENTS, poll_schedule_for(200, False, GRACE), 0.1)
         await old.begin("refused")
         await asyncio.sleep(7.0)
         await new.begin("silent")
@@ -248,7 +261,7 @@
         await old.stop()
         await new.stop()
 
-    run_clocked(test)
+    run_on_virtual_clock(test)
     print(f"told: SIGHUP to an agent that hangs at first: {worst[0]:.2f} s")
     assert worst[0] <= 4.0
 
@@ -285,7 +298,7 @@
         peer, loop = Overbooked(), asyncio.get_running_loop()
         await peer.start()
         peer.entries = {"a": peer.entry("a", "127.0.0.1:9")}
-        followers = await staggered(peer.address, 200, pace_of(200, False, GRACE), 0.0)
+        followers = await staggered(peer.address, 200, poll_schedule_for(200, False, GRACE), 0.0)
         await asyncio.sleep(6.0)
         await peer.begin(fault)
         await asyncio.sleep(8.0)
@@ -295,7 +308,7 @@
         await peer.stop()
 
     random.seed(7)
-    run_clocked(test)
+    run_on_virtual_clock(test)
     print(f"told: 200 gateways, {fault}, 150 calls a second: {worst[0]:.2f} s")
     assert worst[0] <= TOLD_WITHIN
 
@@ -306,12 +319,12 @@
 
     async def test() -> None:
         loop = asyncio.get_running_loop()
-        bed = Bed(2)
+        bed = GatewayHarness(2)
         peer = bed.discovery = Discoverer()
         env = roomy_settings(dial_timeout=250.0)
         env["membership_mode"], env["balancers"] = "on_request", 200
         with pytest.MonkeyPatch.context() as patch:
-            patch.setattr("quota_gateway.__main__.start_clock", start_clock)
+            patch.setattr("quota_gateway.gateway_process.start_clock", start_clock)
             await bed.start(env, 1024)
         await peer.begin("busy")
         await asyncio.sleep(9.0)
@@ -326,11 +339,11 @@
             await asyncio.sleep(0.05)
         assert len(bed.backends[1].seen) > number / 2
         client.writer.close()
-        await bed.program.stop(0.0, 0.0)
+        await bed.process.stop(0.0, 0.0)
         for each in (*bed.backends, peer, bed.counter):
             await each.stop()
 
-    run_clocked(test)
+    run_on_virtual_clock(test)
     print(f"told: last send to a backend that drains: {max(late, default=0.0):.2f} s")
     assert max(late, default=0.0) <= TOLD_WITHIN
 
@@ -350,4 +363,4 @@
         writer.close()
         await peer.stop()
 
-    run_clocked(test)
+    run_on_virtual_clock(test)
--- a/tests/test_gateway_process.py
+++ b/tests/test_gateway_process.py
@@ -20,8 +20,8 @@
 
 import pytest
 
-from tests.fakes import HOST, SOON, CounterPeer, DiscoveryPeer, serve_after
-from tests.harness import READY, Bed, Client, request, roomy_settings, run
+from tests.fakes import HOST, SOON, FakeCounter, FakeDiscovery, serve_after
+from tests.harness import READY, Client, GatewayHarness, request, roomy_settings, run
 
 ROOT = pathlib.Path(__file__).parent.parent
 # the deploy file's command where .ci/run names it, so that what is deployed is what is tested
@@ -87,9 +87,9 @@
 @asynccontextmanager
 async def process(
     tmp_path: pathlib.Path, descriptors: int = 0, pinned: bool = False, console: bool = False
-) -> AsyncIterator[tuple[Bed, Any]]:
+) -> AsyncIterator[tuple[GatewayHarness, Any]]:
     """The program as a process of its own, with the peers in this one; it knows the first backend."""
-    bed = Bed(2 if console else 1)
+    bed = GatewayHarness(2 if console else 1)
     for peer in (*bed.backends, bed.discovery, bed.counter):
         await peer.start()
     environ = {"RELAY_DISCOVERY": bed.discovery.address} if pinned else {}
@@ -97,11 +97,11 @@
     with socket.socket() as probe, socket.socket() as other:
         probe.bind((HOST, 0))
         other.bind((HOST, 0))
-        bed.port, bed.console_port = probe.getsockname()[1], other.getsockname()[1]
+        bed.port, bed.admin_port = probe.getsockname()[1], other.getsockname()[1]
     if console:
-        environ["RELAY_CONSOLE"] = f"{HOST}:{bed.console_port}"
+        environ["RELAY_CONSOLE"] = f"{HOST}:{bed.admin_port}"
     path = tmp_path / "config.json"
-    path.write_text(json.dumps({**bed.told(roomy_settings(), 1024), "listen": f"{HOST}:{bed.port}"}))
+    path.write_text(json.dumps({**bed.configuration(roomy_settings(), 1024), "listen": f"{HOST}:{bed.port}"}))
 
     def limit() -> None:
         if descriptors:
@@ -127,7 +127,7 @@
             await peer.stop()
 
 
-async def until_ready(bed: Bed) -> None:
+async def until_ready(bed: GatewayHarness) -> None:
     async with asyncio.timeout(SOON):
         while True:
             try:
@@ -202,7 +202,7 @@
             async with asyncio.timeout(SOON):
                 assert b"stays as it was" in await child.stderr.readline()
             assert (await client.ask(request(1)))[0] == 200
-            discovery, counter = DiscoveryPeer(), CounterPeer()
+            discovery, counter = FakeDiscovery(), FakeCounter()
             await discovery.start()
             await counter.start()
             discovery.entries = bed.discovery.entries
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -6,15 +6,16 @@
 
 import pytest
 
-from quota_gateway.__main__ import LAST_BYTES, Program, build_configuration
+from quota_gateway.configuration.file import build_configuration
+from quota_gateway.gateway_process import LAST_BYTES, GatewayProcess
 from tests.fakes import Asked, serve_after
-from tests.harness import Bed, Client, request, roomy_settings, run, running
+from tests.harness import Client, GatewayHarness, request, roomy_settings, run, running
 
 
 @pytest.fixture(autouse=True)
 def at_once(monkeypatch: pytest.MonkeyPatch) -> None:
     for name in ("LAST_READ", "LAST_LOOK"):
-        monkeypatch.setattr(f"quota_gateway.__main__.{name}", 0.0)
+        monkeypatch.setattr(f"quota_gateway.gateway_process.{name}", 0.0)
 
 
 @pytest.mark.parametrize("deadline", [0.8, 1.5, 2.5, 3.0, 8.0])
@@ -24,21 +25,23 @@
         env = roomy_settings()
         for klass in env["services"]:
             klass.update(deadline=1000.0 * deadline, aim=300.0)
-        program = Program(
+        program = GatewayProcess(
             build_configuration(
-                Bed(0).told(env, 1024) | {"discovery": "127.0.0.1:1", "counter": "127.0.0.1:1"}, {}
+                GatewayHarness(0).configuration(env, 1024)
+                | {"discovery": "127.0.0.1:1", "counter": "127.0.0.1:1"},
+                {},
             )
         )
-        assert min(deadline, 3.0) < program.all_answered < min(deadline, 3.0) + 0.7 - LAST_BYTES
-        program.front.close()
+        assert min(deadline, 3.0) < program.answer_timeout < min(deadline, 3.0) + 0.7 - LAST_BYTES
+        program.listener.close()
         program.pool.close()
 
     run(test)
 
 
-async def stopping(bed: Bed) -> tuple[asyncio.Task[None], asyncio.Event]:
+async def stopping(bed: GatewayHarness) -> tuple[asyncio.Task[None], asyncio.Event]:
     """Begins the end; the event is set once the first idle connections have been closed."""
-    front, closed = bed.program.front, asyncio.Event()
+    front, closed = bed.process.listener, asyncio.Event()
     close_idle = front.close_idle
 
     def listen() -> None:
@@ -46,7 +49,7 @@
         closed.set()
 
     front.close_idle = listen  # type: ignore[method-assign]
-    return asyncio.get_running_loop().create_task(bed.program.stop(0.0, 8.0)), closed
+    return asyncio.get_running_loop().create_task(bed.process.stop(0.0, 8.0)), closed
 
 
 @pytest.mark.parametrize("cut", [20, len(request(1)) - 1])
@@ -56,7 +59,7 @@
         async with running() as bed:
             client = await bed.client()
             client.send(request(1)[:cut])
-            front = bed.program.front
+            front = bed.process.listener
             while not any(c.in_request for c in front.connections):
                 await asyncio.sleep(0)
             task, closed = await stopping(bed)
@@ -81,7 +84,7 @@
             task, closed = await stopping(bed)
             await closed.wait()
             client.send(request(2) + request(3)[:30])
-            while len(bed.program.driver.pending) < 2:
+            while len(bed.process.dispatcher.active_requests) < 2:
                 await asyncio.sleep(0)
             free.set()
             assert [(await client.answer())[0] for _ in range(2)] == [200, 200]
@@ -105,7 +108,7 @@
             client = await bed.client()
             client.send(request(1, "extract"))
             await bed.backends[0].until(lambda: len(bed.seen()) == 1)
-            await bed.program.stop(0.0, 0.0)
+            await bed.process.stop(0.0, 0.0)
             assert (await client.answer())[0] == 504 and await client.closed()
             assert len(bed.seen()) == 1
 
@@ -115,7 +118,7 @@
 def test_all_that_wait_in_the_listener_s_queue_are_taken_in_however_many() -> None:
     async def test() -> None:
         async with running(sockets=1024) as bed:
-            front, clients = bed.program.front, list[Client]()
+            front, clients = bed.process.listener, list[Client]()
             assert front.listener is not None
             front.loop.remove_reader(front.listener)
             front.listener.listen(256)
@@ -123,7 +126,7 @@
                 client = await bed.client()
                 client.send(request(number))
                 clients.append(client)
-            await bed.program.stop(0.0, 8.0)
+            await bed.process.stop(0.0, 8.0)
             statuses = [(await client.answer())[0] for client in clients]
             assert set(statuses) <= {200, 429} and statuses.count(200) >= 4
 
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -22,7 +22,7 @@
 from quota_gateway.model.outcomes import Outcome
 from quota_gateway.policy.state_snapshot import estate_of
 from tests.fakes import HOST, SOON, serve_after
-from tests.harness import READY, Bed, Client, request, roomy_settings, run, running
+from tests.harness import READY, Client, GatewayHarness, request, roomy_settings, run, running
 from tests.policy_harness import ended, gateway
 from tests.policy_harness import request as asked_for
 from tests.test_gateway_process import ROOT, RUN
@@ -88,7 +88,7 @@
 class Pair:
     """Processes of one gateway at one listening socket, as the platform starts them."""
 
-    def __init__(self, bed: Bed, listener: socket.socket, folder: pathlib.Path) -> None:
+    def __init__(self, bed: GatewayHarness, listener: socket.socket, folder: pathlib.Path) -> None:
         self.bed, self.listener, self.folder = bed, listener, folder
         self.children: list[asyncio.subprocess.Process] = []
         bed.port = listener.getsockname()[1]
@@ -101,7 +101,7 @@
         path = self.folder / "config.json"
         env = roomy_settings()
         env["services"][0]["aim"] = env["services"][0]["deadline"] = 1e6  # no time-out ends one in a test
-        path.write_text(json.dumps(self.bed.told(env, 1024)))
+        path.write_text(json.dumps(self.bed.configuration(env, 1024)))
         descriptor = self.listener.fileno()
         child = await asyncio.create_subprocess_exec(
             "/bin/sh",
@@ -125,15 +125,15 @@
         return child, console
 
     async def call(self, console: int, method: str, path: str) -> int:
-        self.bed.console_port = console
+        self.bed.admin_port = console
         try:
             return (await self.bed.call(method, path))[0]
         except (OSError, asyncio.IncompleteReadError):
             return 0  # not there yet
 
     async def figures(self, console: int) -> dict[str, int]:
-        self.bed.console_port = console
-        return await self.bed.figures()
+        self.bed.admin_port = console
+        return await self.bed.metrics()
 
     async def served(self, number: int) -> int:
         client = await self.bed.client()
@@ -144,7 +144,7 @@
 
 @asynccontextmanager
 async def pair(folder: pathlib.Path) -> AsyncIterator[Pair]:
-    bed = Bed(2)
+    bed = GatewayHarness(2)
     for peer in (*bed.backends, bed.discovery, bed.counter):
         await peer.start()
     entries = [bed.discovery.entry(f"b{n}", b.address) for n, b in enumerate(bed.backends)]
@@ -258,20 +258,20 @@
             hung.bind(str(tmp_path / NAME))
             hung.listen()
             async with running() as bed:
-                program = bed.program
+                program = bed.process
                 succession: list[bool] = []
-                made = coordinator.Handover(
-                    str(tmp_path), program.driver, program.discovery.heard, succession.append
+                made = coordinator.HotRestartCoordinator(
+                    str(tmp_path), program.dispatcher, program.discovery.answered, succession.append
                 )
-                await made.inherit()
+                await made.restore_from_older()
                 assert len(made.links) == 1
-                program.driver.maintain("b0", True)
-                made.tell(maintain=["b0", True])
+                program.dispatcher.set_maintenance("b0", True)
+                made.broadcast(maintain=["b0", True])
                 older, _ = hung.accept()
-                estate = {**program.driver.estate().state, "banned": []}
+                estate = {**program.dispatcher.state_snapshot().state, "banned": []}
                 link = next(iter(made.links))
                 link.data_received(json.dumps({"estate": estate, "list": []}).encode() + b"\n")
-                assert program.driver.gateway.banned == {"b0"}  # what was said meanwhile holds
+                assert program.dispatcher.engine.banned == {"b0"}  # what was said meanwhile holds
                 link.data_received(b"[nonsense\n")
                 made.close()
                 older.close()
--- a/tests/test_no_attempt_after_disconnect.py
+++ b/tests/test_no_attempt_after_disconnect.py
@@ -14,11 +14,11 @@
 import pytest
 
 from quota_gateway.body_streaming import HELD
-from quota_gateway.dispatch.dispatcher import Driver
+from quota_gateway.dispatch.dispatcher import RequestDispatcher
 from quota_gateway.downstream.client_connection import MOST_PIPELINED, ClientConnection
-from tests.fakes import Asked, BackendPeer, message, serve, settings_text
-from tests.harness import Bed, Client, request, roomy_settings, running
-from tests.virtual_clock import run_clocked, start_clock, this_loop
+from tests.fakes import Asked, FakeBackend, message, serve, settings_text
+from tests.harness import Client, GatewayHarness, request, roomy_settings, running
+from tests.virtual_clock import run_on_virtual_clock, start_clock, this_loop
 
 ALLOWED = 0.1  # seconds
 AFTER = [0.02, 0.105, 0.125, 0.15, 0.4]  # seconds after the client's end at which what is waited for comes
@@ -29,7 +29,7 @@
 
 @pytest.fixture(autouse=True)
 def on_this_clock(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("quota_gateway.__main__.start_clock", start_clock)
+    monkeypatch.setattr("quota_gateway.gateway_process.start_clock", start_clock)
 
 
 class Timed(list[Asked]):
@@ -44,7 +44,7 @@
         super().append(asked)
 
 
-class Recorder(BackendPeer):
+class Recorder(FakeBackend):
     """Notes when a request came, and the first byte of each connection: of a long one no more may come."""
 
     def __init__(self) -> None:
@@ -90,7 +90,7 @@
 class Waiting:
     """A gateway whose client's last request waits for `come`, as its state has it."""
 
-    def __init__(self, bed: Bed, client: Client, come: Callable[[], None]) -> None:
+    def __init__(self, bed: GatewayHarness, client: Client, come: Callable[[], None]) -> None:
         self.bed, self.client, self.come = bed, client, come
 
     @property
@@ -99,14 +99,14 @@
 
 
 @asynccontextmanager
-async def recorded(backends: int, env: dict[str, Any]) -> AsyncIterator[Bed]:
+async def recorded(backends: int, env: dict[str, Any]) -> AsyncIterator[GatewayHarness]:
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr("tests.harness.BackendPeer", Recorder)
+        patch.setattr("tests.harness.FakeBackend", Recorder)
         async with running(backends, patient(env)) as bed:
             yield bed
 
 
-def port_of(backend: BackendPeer) -> int:
+def port_of(backend: FakeBackend) -> int:
     return int(backend.address.rpartition(":")[2])
 
 
@@ -131,7 +131,7 @@
     loop, event = this_loop(), asyncio.Event()
     env = settings_text() if state in ("counter", "held", "pipelined", "paused") else roomy_settings()
     async with recorded(2, env) as bed:
-        client, pool, driver = await bed.client(), bed.program.pool, bed.program.driver
+        client, pool, driver = await bed.client(), bed.process.pool, bed.process.dispatcher
         come = event.set
         dials = {port_of(b): comes for b in bed.backends}
         if state in ("counter", "pipelined", "paused"):
@@ -139,30 +139,30 @@
             come = bed.counter.free.set
             number = {"counter": 1, "pipelined": 2, "paused": 8 * MOST_PIPELINED}[state]
             client.send(b"".join(request(n) for n in range(number)))
-            await until(lambda: len(driver.pending) >= min(number, MOST_PIPELINED))
+            await until(lambda: len(driver.active_requests) >= min(number, MOST_PIPELINED))
             if state == "paused":
-                await until(lambda: any(c.paused for c in bed.program.front.connections))
+                await until(lambda: any(c.paused for c in bed.process.listener.connections))
         elif state == "held":
             for backend in bed.backends:
                 backend.script = [plain, plain]
             for number, units in enumerate(("8", "4")):  # all of the bank
                 assert (await client.ask(request(number, plan="pro", units=units)))[0] == 200
             client.send(request(9, plan="pro"))
-            (throttle,) = driver.gateway.throttles.values()
+            (throttle,) = driver.engine.throttles.values()
             await until(lambda: bool(throttle.queue))
 
             def come() -> None:
                 throttle.level += 4.0
-                driver.gateway.now = driver.clock()
-                driver.timer_due("r" + throttle.customer, driver.clock())
+                driver.engine.now = driver.clock()
+                driver.timer_fired("r" + throttle.customer, driver.clock())
         elif state == "uploading":
             loop.late = dials
             client.send(request(9, "extract", body=b"x" * 4 * HELD)[: 2 * HELD])
-            await until(lambda: bool(pool.dialling))
+            await until(lambda: bool(pool.connecting))
         elif state == "dial":
             loop.late = dials
             client.send(request(9))
-            await until(lambda: bool(pool.dialling))
+            await until(lambda: bool(pool.connecting))
         else:
             answer = step(event, "cut" if state == "dial again" else state)
             for backend in bed.backends:
@@ -172,7 +172,7 @@
             if state == "dial again":
                 loop.late = dials
                 event.set()
-                await until(lambda: bool(pool.dialling))
+                await until(lambda: bool(pool.connecting))
         yield Waiting(bed, client, come)
 
 
@@ -190,13 +190,17 @@
                 case.come()
                 await asyncio.sleep(3.0)
                 latest.extend(t - end for t in case.begun)
-                driver = case.bed.program.driver
-                assert not driver.gateway.jobs and not driver.pending and not case.bed.program.pool.dialling
-                for throttle in driver.gateway.throttles.values():
+                driver = case.bed.process.dispatcher
+                assert (
+                    not driver.engine.jobs
+                    and not driver.active_requests
+                    and not case.bed.process.pool.connecting
+                )
+                for throttle in driver.engine.throttles.values():
                     assert throttle.held == 0 and not throttle.queue and not throttle.open
             this_loop().late = {}
 
-    run_clocked(test)
+    run_on_virtual_clock(test)
     print(f"gone: {state}, {how}: latest begin {max(latest, default=-1.0):.3f} s after the end")
     assert max(latest, default=0.0) <= ALLOWED
 
@@ -206,7 +210,7 @@
     async def test() -> None:
         for state in ("counter", "dial"):
             async with waiting(state, 0.2) as case:
-                (throttle,) = case.bed.program.driver.gateway.throttles.values()
+                (throttle,) = case.bed.process.dispatcher.engine.throttles.values()
                 throttle.rate = 0.0  # so that time brings none
                 before = throttle.level + (1.0 if state == "dial" else throttle.held)
                 leave(case.client, how)
@@ -220,7 +224,7 @@
                 assert told == pytest.approx(0.0)  # what the counter was told, less what it is yet to be
             this_loop().late = {}
 
-    run_clocked(test)
+    run_on_virtual_clock(test)
 
 
 @pytest.mark.parametrize("how", ENDS)
@@ -231,9 +235,9 @@
     """Each event takes 0.4 ms: the last end is read 0.2 s after it came, what it waited for comes before."""
     cost, busy = 0.0004, False
     reacted: list[float] = []
-    handle, close = Driver.handle, ClientConnection.client_closed
+    handle, close = RequestDispatcher.handle, ClientConnection.client_closed
 
-    def slow(driver: Driver, event: Any, due: float) -> None:
+    def slow(driver: RequestDispatcher, event: Any, due: float) -> None:
         if busy:
             this_loop().now += cost
         handle(driver, event, due)
@@ -244,24 +248,24 @@
         reacted.append(this_loop().now)
         close(connection)
 
-    monkeypatch.setattr(Driver, "handle", slow)
+    monkeypatch.setattr(RequestDispatcher, "handle", slow)
     monkeypatch.setattr(ClientConnection, "client_closed", closed)
 
     async def test() -> None:
         nonlocal busy
         loop = this_loop()
         async with recorded(2, settings_text() if state == "counter" else roomy_settings()) as bed:
-            driver = bed.program.driver
+            driver = bed.process.dispatcher
             clients = [await bed.client() for _ in range(BURST)]
             bed.counter.free.clear()
             if state == "dial":
                 loop.late = {port_of(b): 0.12 for b in bed.backends}
-                for server in driver.gateway.endpoints.values():
+                for server in driver.engine.endpoints.values():
                     server.limit = BURST
             for number, client in enumerate(clients):
                 client.send(request(number, customer=f"{number:016x}"))
-            await until(lambda: len(driver.pending) >= 0.6 * BURST)
-            before, end, busy = len(driver.pending), loop.now, True
+            await until(lambda: len(driver.active_requests) >= 0.6 * BURST)
+            before, end, busy = len(driver.active_requests), loop.now, True
             for client in clients:
                 leave(client, how)
             if state == "counter":
@@ -275,6 +279,6 @@
             )
             assert max(late, default=0.0) <= ALLOWED
             await asyncio.sleep(3.0)
-            assert not driver.gateway.jobs and not driver.pending
+            assert not driver.engine.jobs and not driver.active_requests
 
-    run_clocked(test)
+    run_on_virtual_clock(test)
--- a/tests/test_policy_invariants.py
+++ b/tests/test_policy_invariants.py
@@ -14,7 +14,7 @@
 from quota_gateway.model.events import ClientDisconnected, TimerFired
 from quota_gateway.model.outcomes import Outcome
 from quota_gateway.policy.engine import PolicyEngine
-from tests.policy_harness import CAPPED, SETTINGS, Watch, backend, backends, ended, gateway, request
+from tests.policy_harness import CAPPED, SETTINGS, EngineHarness, backend, backends, ended, gateway, request
 
 STEP = st.tuples(
     st.sampled_from(["ask", "end", "end", "wait", "leave", "drain", "count", "silence"]),
@@ -35,7 +35,7 @@
 @settings(derandomize=True, max_examples=150, deadline=None)
 @given(st.lists(STEP, max_size=60))
 def test_random_events_break_no_rule(steps: list[tuple[str, int, float]]) -> None:
-    watch = Watch(gateway())
+    watch = EngineHarness(gateway())
     names = ["a", "b", "c", "d"]
     watch.tell(backends(*(backend(n, i // 2) for i, n in enumerate(names))))
     asked = 0
--- a/tests/test_rate_limiting.py
+++ b/tests/test_rate_limiting.py
@@ -12,7 +12,17 @@
 from quota_gateway.policy.engine import PolicyEngine
 from quota_gateway.policy.slow_start import cold_chance
 from quota_gateway.policy.token_bucket import EPS, Throttle
-from tests.policy_harness import CAPPED, PLAN, SETTINGS, Watch, backend, backends, ended, gateway, request
+from tests.policy_harness import (
+    CAPPED,
+    PLAN,
+    SETTINGS,
+    EngineHarness,
+    backend,
+    backends,
+    ended,
+    gateway,
+    request,
+)
 
 
 def sends(actions: list[object]) -> int:
@@ -76,7 +86,7 @@
 
 
 def test_counter_calls_add_then_read_one_name() -> None:
-    watch = Watch(gateway())
+    watch = EngineHarness(gateway())
     watch.tell(backends(backend("a")))
     for number in range(4):
         watch.tell(request(number, deadline=108.0))
@@ -131,7 +141,7 @@
 
 def test_a_held_request_behind_the_head_is_answered_in_its_own_time() -> None:
     """Found on a day of impatient clients: only the head of the buffer was looked at."""
-    watch = Watch(gateway())
+    watch = EngineHarness(gateway())
     watch.tell(backends(backend("a"), backend("b", 1)))
     for number in range(4):
         watch.tell(request(number, "pay", deadline=106.0))
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -11,11 +11,11 @@
 
 import pytest
 
-from tests.fakes import HOST, BackendPeer, settings_text
-from tests.harness import READY, Bed, request, roomy_settings, run
+from tests.fakes import HOST, FakeBackend, settings_text
+from tests.harness import READY, GatewayHarness, request, roomy_settings, run
 from tests.test_endpoint_updates import Discoverer
 from tests.test_gateway_process import ROOT, RUN
-from tests.virtual_clock import run_clocked, start_clock
+from tests.virtual_clock import run_on_virtual_clock, start_clock
 
 READY_WITHIN = 10.0  # seconds, for nine in ten
 FLEET = 12
@@ -25,7 +25,7 @@
 class Restarted:
     """One gateway's program and the seconds from its start until it was ready and had a request served."""
 
-    def __init__(self, bed: Bed, number: int) -> None:
+    def __init__(self, bed: GatewayHarness, number: int) -> None:
         self.bed, self.number = bed, number
         self.took = float("inf")
 
@@ -49,16 +49,16 @@
             client.writer.close()
 
 
-async def beds_of(number: int, fault: str) -> tuple[list[Bed], Discoverer]:
+async def beds_of(number: int, fault: str) -> tuple[list[GatewayHarness], Discoverer]:
     """Beds that share a discovery with this fault, a counter that is down, and two backends."""
-    discovery, backends = Discoverer(), [BackendPeer(), BackendPeer()]
+    discovery, backends = Discoverer(), [FakeBackend(), FakeBackend()]
     for peer in (discovery, *backends):
         await peer.start()
     entries = [discovery.entry(f"b{n}", b.address) for n, b in enumerate(backends)]
     discovery.entries = {e["instanceId"]: e for e in entries}
     beds = []
     for _ in range(number):
-        bed = Bed(0)
+        bed = GatewayHarness(0)
         bed.backends, bed.discovery = backends, discovery
         await bed.counter.start()
         await bed.counter.stop()
@@ -82,7 +82,7 @@
     async def test() -> None:
         beds, discovery = await beds_of(FLEET, fault)
         with pytest.MonkeyPatch.context() as patch:
-            patch.setattr("quota_gateway.__main__.start_clock", start_clock)
+            patch.setattr("quota_gateway.gateway_process.start_clock", start_clock)
             fleet = [Restarted(bed, number) for number, bed in enumerate(beds)]
 
             async def start(restarted: Restarted) -> None:
@@ -93,11 +93,11 @@
 
             await asyncio.gather(*(start(each) for each in fleet))
         for bed in beds:
-            await bed.program.stop(0.0, 0.0)
+            await bed.process.stop(0.0, 0.0)
         for peer in (discovery, *beds[0].backends):
             await peer.stop()
 
-    run_clocked(test)
+    run_on_virtual_clock(test)
     print(f"ready: {FLEET} gateways, {fault}: {max(took):.2f} s at most")
     assert max(took) <= 1.5  # what a start waits for is bounded by one dial, and a little
 
@@ -116,7 +116,7 @@
                 probe.bind((HOST, 0))
                 bed.port = probe.getsockname()[1]
             path = tmp_path / f"{number}.json"
-            told = bed.told(fleet_settings(FLEET), 1024) | {"listen": f"{HOST}:{bed.port}"}
+            told = bed.configuration(fleet_settings(FLEET), 1024) | {"listen": f"{HOST}:{bed.port}"}
             path.write_text(json.dumps(told))
             children.append(
                 await asyncio.create_subprocess_exec(
@@ -149,10 +149,10 @@
     """Ready is a promise to serve: with nothing to serve with it is not made."""
 
     async def test() -> None:
-        bed = Bed(1)
+        bed = GatewayHarness(1)
         peer = bed.discovery = Discoverer()
         with pytest.MonkeyPatch.context() as patch:
-            patch.setattr("quota_gateway.__main__.start_clock", start_clock)
+            patch.setattr("quota_gateway.gateway_process.start_clock", start_clock)
             for each in (*bed.backends, peer, bed.counter):
                 await each.start()
             await peer.begin("busy")
@@ -163,8 +163,8 @@
         await asyncio.sleep(1.5)
         assert (await client.ask(READY))[0] == 200 and (await client.ask(request(1)))[0] == 200
         client.writer.close()
-        await bed.program.stop(0.0, 0.0)
+        await bed.process.stop(0.0, 0.0)
         for each in (*bed.backends, peer, bed.counter):
             await each.stop()
 
-    run_clocked(test)
+    run_on_virtual_clock(test)
--- a/tests/test_recorded_messages.py
+++ b/tests/test_recorded_messages.py
@@ -9,11 +9,11 @@
 
 import pytest
 
-from quota_gateway.hot_restart.coordinator import Handover, Link
+from quota_gateway.hot_restart.coordinator import HotRestartCoordinator, ProcessLink
 from quota_gateway.model.charges import UnitsCharged
 from quota_gateway.model.events import StateSnapshot
 from quota_gateway.policy.state_snapshot import estate_of
-from tests.harness import Bed, run, running
+from tests.harness import GatewayHarness, run, running
 from tests.policy_harness import gateway
 
 RECORDED = json.loads((pathlib.Path(__file__).parent / "recorded/hot_restart_messages.json").read_text())
@@ -38,11 +38,13 @@
         return self.text.decode().splitlines()
 
 
-def link_of(bed: Bed, folder: pathlib.Path, older: bool) -> tuple[Handover, Link, Written]:
+def link_of(
+    bed: GatewayHarness, folder: pathlib.Path, older: bool
+) -> tuple[HotRestartCoordinator, ProcessLink, Written]:
     """A link whose other end is played by the test; `older` where that end is the older process."""
-    program = bed.program
-    made = Handover(str(folder), program.driver, program.discovery.heard, lambda on: None)
-    link, written = Link(made, older), Written()
+    program = bed.process
+    made = HotRestartCoordinator(str(folder), program.dispatcher, program.discovery.answered, lambda on: None)
+    link, written = ProcessLink(made, older), Written()
     link.connection_made(cast(asyncio.Transport, written))
     return made, link, written
 
@@ -60,7 +62,7 @@
 def test_what_an_older_process_of_then_says_is_read(tmp_path: pathlib.Path) -> None:
     async def test() -> None:
         async with running(2) as bed:
-            engine = bed.program.driver.gateway
+            engine = bed.process.dispatcher.engine
             made, link, _ = link_of(bed, tmp_path, older=True)
             told = json.loads(FROM_OLDER[0])
             link.data_received(FROM_OLDER[0].encode() + b"\n")
@@ -84,11 +86,11 @@
 def test_what_a_newer_process_of_then_says_is_read(tmp_path: pathlib.Path) -> None:
     async def test() -> None:
         async with running(2) as bed:
-            engine = bed.program.driver.gateway
+            engine = bed.process.dispatcher.engine
             made, link, written = link_of(bed, tmp_path, older=False)
             for line in FROM_NEWER:
                 link.data_received(line.encode() + b"\n")
-            assert engine.banned == {"b0"} and engine.draining and made.heir is link
+            assert engine.banned == {"b0"} and engine.draining and made.successor is link
             assert "000000000000001a" in engine.throttles
             answer, before = json.loads(written.lines()[0]), json.loads(FROM_OLDER[0])
             assert list(answer) == list(before)
@@ -147,7 +149,7 @@
         assert recorded in FROM_OLDER + FROM_NEWER
         async with running(2) as bed:
             made, link, written = link_of(bed, tmp_path, older=True)
-            link.tell(**message)
+            link.send(**message)
             assert written.lines() == [recorded]
             made.close()
 
@@ -158,9 +160,9 @@
     async def test() -> None:
         async with running(2) as bed:
             made, _, written = link_of(bed, tmp_path, older=False)
-            bed.program.handover = made
-            bed.program.charge(UnitsCharged("0000000000000006", "basis", 2, 1.0))
-            bed.program.drain(True)
+            bed.process.hot_restart = made
+            bed.process.forward_units(UnitsCharged("0000000000000006", "basis", 2, 1.0))
+            bed.process.set_draining(True)
             assert written.lines() == [CHARGED, '{"drain": true}']
             made.close()
 
--- a/tests/test_request_dispatcher.py
+++ b/tests/test_request_dispatcher.py
@@ -10,7 +10,7 @@
 from quota_gateway.model.events import Event, RequestReceived
 from quota_gateway.policy.engine import PolicyEngine
 from tests.fakes import Asked, Step, message, serve
-from tests.harness import Bed, request, roomy_settings, run, running
+from tests.harness import GatewayHarness, request, roomy_settings, run, running
 
 
 def says(text: bytes) -> Step:
@@ -21,7 +21,7 @@
     writer.transport.abort()
 
 
-def scripted(bed: Bed, step: Step) -> None:
+def scripted(bed: GatewayHarness, step: Step) -> None:
     """The first attempt meets `step`, whichever backend the module draws for it."""
     done: list[bool] = []
 
@@ -114,7 +114,7 @@
             client = await bed.client()
             monkeypatch.setattr(PolicyEngine, "handle", handle)
             status, _, _ = await client.ask(request(1, budget=0.3))
-            assert status == 504 and not bed.program.driver.pending
+            assert status == 504 and not bed.process.dispatcher.active_requests
 
     run(test)
 
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -12,7 +12,7 @@
 import pytest
 
 from quota_gateway.configuration.settings_reader import read_settings
-from quota_gateway.simulator.adapter import Host, Malformed, serve
+from quota_gateway.simulator.adapter import SimulatorHost, SimulatorProtocolError, serve
 
 HERE = pathlib.Path(__file__).parent
 FRAMES = (HERE / "batch.txt").read_text()
@@ -53,7 +53,7 @@
     ],
 )
 def test_malformed_input_is_told(text: str) -> None:
-    with pytest.raises(Malformed):
+    with pytest.raises(SimulatorProtocolError):
         play(text)
 
 
@@ -100,7 +100,7 @@
 
 
 def test_instances_share_nothing() -> None:
-    host = Host()
+    host = SimulatorHost()
     up = next(x for x in FRAMES.splitlines() if x.startswith("up\t"))
     host.batch(1.0, ["about\t0", up, "about\t1", up])
     host.batch(1.1, ["about\t1", "retire"])
--- a/tests/test_upstream_connections.py
+++ b/tests/test_upstream_connections.py
@@ -14,8 +14,14 @@
 from quota_gateway.body_streaming import HELD
 from quota_gateway.model.outcomes import Outcome
 from quota_gateway.upstream import connection_pool
-from quota_gateway.upstream.connection_pool import MOST_HEAD, RESTED, Answer, Attempt, Pool
-from tests.fakes import HOST, SOON, Asked, BackendPeer, Step, message
+from quota_gateway.upstream.connection_pool import (
+    MOST_HEAD,
+    RESTED,
+    AttemptResult,
+    ConnectionPool,
+    UpstreamAttempt,
+)
+from tests.fakes import HOST, SOON, Asked, FakeBackend, Step, message
 from tests.harness import run
 
 HEAD = b"POST /api HTTP/1.1\r\nX-Call-Id: 1\r\nContent-Length: 2\r\n"
@@ -25,9 +31,9 @@
     """An attempt's owner, for whom its answer is waited."""
 
     def __init__(self) -> None:
-        self.answer: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
+        self.answer: asyncio.Future[AttemptResult] = asyncio.get_running_loop().create_future()
 
-    def attempt_ended(self, attempt: Attempt, answer: Answer) -> None:
+    def attempt_ended(self, attempt: UpstreamAttempt, answer: AttemptResult) -> None:
         self.answer.set_result(answer)
 
     def may_begin(self, now: float) -> bool:
@@ -37,13 +43,15 @@
 class Sender:
     """A pool with one backend, and attempts whose ends are waited for."""
 
-    def __init__(self, pool: Pool) -> None:
+    def __init__(self, pool: ConnectionPool) -> None:
         self.pool = pool
 
-    def start(self, wait: float = 5.0, body: bytes = b"ab") -> tuple[Attempt, asyncio.Future[Answer]]:
+    def start(
+        self, wait: float = 5.0, body: bytes = b"ab"
+    ) -> tuple[UpstreamAttempt, asyncio.Future[AttemptResult]]:
         owner, now = Ended(), self.pool.clock()
         head = HEAD.replace(b"2\r", b"%d\r" % len(body))
-        attempt = Attempt("b", head, body, now, now + wait, 0, owner)
+        attempt = UpstreamAttempt("b", head, body, now, now + wait, 0, owner)
         self.pool.start(attempt)
         return attempt, owner.answer
 
@@ -72,11 +80,11 @@
 
 
 @asynccontextmanager
-async def sending(*script: Step, keepalive: float = 60.0) -> AsyncIterator[tuple[Sender, BackendPeer]]:
-    peer = BackendPeer()
+async def sending(*script: Step, keepalive: float = 60.0) -> AsyncIterator[tuple[Sender, FakeBackend]]:
+    peer = FakeBackend()
     await peer.start()
     peer.script = list(script)
-    pool = Pool(asyncio.get_running_loop().time, 0.25, keepalive, 10)
+    pool = ConnectionPool(asyncio.get_running_loop().time, 0.25, keepalive, 10)
     host, _, port = peer.address.rpartition(":")
     pool.set_address("b", (host, int(port)))
     yield Sender(pool), peer
@@ -215,7 +223,7 @@
             assert await sender.outcome(0.05) is Outcome.TIMED_OUT
             attempt, ended = sender.start()
             await peer.until(lambda: len(peer.seen) == 2)
-            attempt.end(Answer(Outcome.CANCELLED))
+            attempt.end(AttemptResult(Outcome.CANCELLED))
             assert (await ended).outcome is Outcome.CANCELLED
             await peer.until(lambda: peer.ended == 2)
             assert not sender.pool.connections or await sender.outcome() is Outcome.SUCCESS
@@ -230,7 +238,7 @@
         listener.bind((HOST, 0))
         listener.listen(0)
         filler.connect(listener.getsockname())
-        pool = Pool(asyncio.get_running_loop().time, 30.0, 60.0, 10)
+        pool = ConnectionPool(asyncio.get_running_loop().time, 30.0, 60.0, 10)
         pool.set_address("b", listener.getsockname())
         yield Sender(pool), listener
         pool.close()
@@ -243,16 +251,16 @@
         async with hanging() as (sender, listener):
             attempt, ended = sender.start(0.05 if way == "time-out" else 20.0)
             await asyncio.sleep(0)
-            assert sender.pool.dialling
+            assert sender.pool.connecting
             if way == "drain":
                 sender.pool.retire("b")
             elif way == "gone":
-                sender.pool.forget_others([])
+                sender.pool.retain_only([])
             elif way == "end":
-                attempt.end(Answer(Outcome.NOT_SENT))
+                attempt.end(AttemptResult(Outcome.NOT_SENT))
             assert (await ended).outcome.proves_not_executed
             await asyncio.sleep(0)
-            assert not sender.pool.dialling and not sender.pool.connections
+            assert not sender.pool.connecting and not sender.pool.connections
             assert not attempt.written
 
     run(test)
@@ -269,8 +277,8 @@
             clock = pool.clock
             pool.clock = lambda: clock() + later
             owner, now = Ended(), pool.clock()
-            attempt = Attempt("b", HEAD, b"ab", now, now + 5.0, 0, owner)
-            attempt.write_by = now + within
+            attempt = UpstreamAttempt("b", HEAD, b"ab", now, now + 5.0, 0, owner)
+            attempt.send_deadline = now + within
             pool.start(attempt)
             later = 2.0  # while the dial is under way
             assert (await owner.answer).outcome is outcome
@@ -282,7 +290,7 @@
 def test_a_dial_that_does_not_come_up_ends_in_time() -> None:
     async def test() -> None:
         async with hanging() as (sender, _):
-            sender.pool.dial_timeout = 0.05
+            sender.pool.connect_timeout = 0.05
             assert await sender.outcome() is Outcome.CONNECT_FAILED
 
     run(test)
@@ -316,13 +324,13 @@
             _, second = sender.start(5.0)
             await peer.until(lambda: len(peer.seen) == 2)
             assert await sender.outcome() is Outcome.SUCCESS  # a third connection, kept
-            line = sender.pool.lines["b"]
+            line = sender.pool.endpoints["b"]
             assert len(line.idle) == 1
             attempt = next(c.attempt for c in sender.pool.connections if c.attempt is not None)
             attempt.time_out()
             assert not line.idle and (first.done() or second.done())
             assert await sender.outcome() is Outcome.SUCCESS and peer.connections == 4
-            sender.pool.set_address("b", sender.pool.lines["b"].address, 7.0)
+            sender.pool.set_address("b", sender.pool.endpoints["b"].address, 7.0)
             assert await sender.outcome() is Outcome.SUCCESS and peer.connections == 5
 
     run(test)
@@ -331,17 +339,17 @@
 def test_the_pool_is_bounded_and_idle_connections_make_way() -> None:
     async def test() -> None:
         async with sending(says(b""), says(b"")) as (sender, peer):
-            sender.pool.most = 2
+            sender.pool.max_connections = 2
             first, _ = sender.start()
             second, _ = sender.start()
             assert await sender.outcome() is Outcome.CONNECT_FAILED
             await peer.until(lambda: len(peer.seen) == 2)
-            first.end(Answer(Outcome.CANCELLED))
+            first.end(AttemptResult(Outcome.CANCELLED))
             await peer.until(lambda: peer.ended == 1)
             assert await sender.outcome() is Outcome.SUCCESS
-            sender.pool.set_address("c", sender.pool.lines["b"].address)
+            sender.pool.set_address("c", sender.pool.endpoints["b"].address)
             now = sender.pool.clock()
-            sender.pool.start(Attempt("c", HEAD, b"ab", now, now + 5, 0, Ended()))
+            sender.pool.start(UpstreamAttempt("c", HEAD, b"ab", now, now + 5, 0, Ended()))
             await peer.until(lambda: peer.ended >= 2)
 
     run(test)
@@ -403,7 +411,7 @@
         async with sending(says(ahead + message(status, b"real")), says(message(200))) as (sender, peer):
             answer = await sender.start()[1]
             if status == 200:
-                assert answer == Answer(Outcome.SUCCESS, b"real", 0.0, b"")
+                assert answer == AttemptResult(Outcome.SUCCESS, b"real", 0.0, b"")
             else:
                 assert answer.outcome is Outcome.ERROR  # the rejection was not the real answer's
             await asyncio.sleep(2 * RESTED)
@@ -465,7 +473,7 @@
             writer.write(message(200, b"old"))
 
         async with sending(slow) as (sender, peer):
-            other = BackendPeer()
+            other = FakeBackend()
             await other.start()
             other.script = [says(message(200, b"new"))]
             _, first = sender.start()
--- a/tests/virtual_clock.py
+++ b/tests/virtual_clock.py
@@ -16,10 +16,10 @@
     Events = list[tuple[selectors.SelectorKey, int]]
 
 
-class Skipping(selectors.DefaultSelector):
+class VirtualClockSelector(selectors.DefaultSelector):
     """Waits for sockets in real time, and only briefly: then the clock jumps to the next timer."""
 
-    loop: ClockedLoop
+    loop: VirtualClockLoop
 
     def select(self, timeout: float | None = None) -> Events:
         ready: Events = super().select(0)
@@ -35,7 +35,7 @@
         return ready
 
 
-class ClockedLoop(asyncio.SelectorEventLoop):
+class VirtualClockLoop(asyncio.SelectorEventLoop):
     """`now` is its time in seconds; it starts at 1,000, and all timers, sleeps and timeouts go by it.
 
     A dial to a port in `late` comes up so many seconds later; adding to `now` makes for a busy core.
@@ -43,7 +43,7 @@
 
     def __init__(self) -> None:
         self.late: dict[int, float] = {}
-        selector = Skipping()
+        selector = VirtualClockSelector()
         self.now = 1000.0
         selector.loop = self
         super().__init__(selector)
@@ -59,9 +59,9 @@
         return await super().create_connection(protocol_factory, host, port, **more)
 
 
-def this_loop() -> ClockedLoop:
+def this_loop() -> VirtualClockLoop:
     loop = asyncio.get_running_loop()
-    assert isinstance(loop, ClockedLoop)
+    assert isinstance(loop, VirtualClockLoop)
     return loop
 
 
@@ -71,12 +71,12 @@
     return lambda: 1.7e9 + loop.now
 
 
-def run_clocked(test: Callable[[], Awaitable[None]], at_most: float = 600.0) -> None:
+def run_on_virtual_clock(test: Callable[[], Awaitable[None]], at_most: float = 600.0) -> None:
     """Runs the test on such a loop; it fails after so many seconds of that clock."""
 
     async def bounded() -> None:
         async with asyncio.timeout(at_most):
             await test()
 
-    with asyncio.Runner(loop_factory=ClockedLoop) as runner:
+    with asyncio.Runner(loop_factory=VirtualClockLoop) as runner:
         runner.run(bounded())
