--- a/quota_gateway/__main__.py
+++ b/quota_gateway/__main__.py
@@ -9,7 +9,8 @@
 
 import uvloop
 
-from quota_gateway.configuration.file import Configuration, ConfigurationError, read_configuration
+from quota_gateway.configuration.file import Configuration, read_configuration
+from quota_gateway.errors import ConfigurationError
 from quota_gateway.gateway_process import GatewayProcess
 
 
--- a/quota_gateway/configuration/file.py
+++ b/quota_gateway/configuration/file.py
@@ -12,22 +12,14 @@
     read_connection_limits,
     read_settings,
 )
-from quota_gateway.discovery.client import (
-    EndpointListError,
-    EndpointUpdate,
-    read_address,
-    read_endpoint_update,
-)
+from quota_gateway.discovery.client import EndpointUpdate, read_address, read_endpoint_update
+from quota_gateway.errors import ConfigurationError, EndpointListError
 from quota_gateway.model.endpoints import EndpointListKind
 from quota_gateway.model.settings import Settings
 
 LEAST_SOCKETS = 32  # with fewer there is nothing left to serve with
 
 
-class ConfigurationError(Exception):
-    """The gateway can't start with what it was told."""
-
-
 @dataclass(frozen=True, slots=True)
 class Configuration:
     name: str
--- a/quota_gateway/discovery/client.py
+++ b/quota_gateway/discovery/client.py
@@ -14,6 +14,7 @@
 import httptools
 
 from quota_gateway.configuration.settings_reader import STATUSES
+from quota_gateway.errors import DiscoveryUnavailableError, EndpointListError
 from quota_gateway.model.endpoints import Endpoint, EndpointListKind, EndpointStatus
 from quota_gateway.sockets.dialing import connect_with_retry, ignore_descriptor_exhaustion
 
@@ -33,18 +34,6 @@
 log = logging.getLogger("quota_gateway")
 
 
-class EndpointListError(Exception):
-    """A list that the protocol does not allow, or no list at all."""
-
-    def __init__(self, text: str, retry_after: float = 0.0) -> None:
-        super().__init__(text)
-        self.retry_after = retry_after
-
-
-class DiscoveryUnavailableError(EndpointListError):
-    """No list came, or no room was left for the call: what was known of the list is as good as before."""
-
-
 @dataclass(frozen=True, slots=True)
 class EndpointEntry:
     endpoint: Endpoint
--- a/quota_gateway/dispatch/dispatcher.py
+++ b/quota_gateway/dispatch/dispatcher.py
@@ -47,6 +47,7 @@
     TimerFired,
 )
 from quota_gateway.model.outcomes import Outcome
+from quota_gateway.model.timers import Timer
 from quota_gateway.policy.engine import PolicyEngine
 from quota_gateway.upstream.connection_pool import AttemptResult, ConnectionPool, UpstreamAttempt
 
@@ -301,9 +302,9 @@
     def handle_counter_reply(self, counted: CounterReply) -> None:
         self.post(counted)
 
-    def timer_fired(self, key: str, due: float) -> None:
+    def timer_fired(self, timer: Timer, due: float) -> None:
         # the loop counts whole milliseconds and may come early: for the module a timer is never early
-        self.post(TimerFired(key), due)
+        self.post(TimerFired(timer), due)
 
     def attempt_ended(self, pending: ActiveRequest, attempt: UpstreamAttempt, answer: AttemptResult) -> None:
         pending.in_flight -= 1
@@ -402,7 +403,7 @@
 
     def set_timer(self, action: SetTimer) -> None:
         due = self.clock() + action.delay
-        self.loop.call_later(action.delay, self.timer_fired, action.key, due)
+        self.loop.call_later(action.delay, self.timer_fired, action.timer, due)
 
     def count(self, action: IncrementCounter) -> None:
         if self.counter is None:
--- a/quota_gateway/downstream/client_connection.py
+++ b/quota_gateway/downstream/client_connection.py
@@ -16,8 +16,9 @@
 from quota_gateway.body_streaming import HELD, MOST_BODY, READ_AT_ONCE, RequestBodyStream
 from quota_gateway.dispatch.dispatcher import ClientRequest, RequestDispatcher
 from quota_gateway.downstream.disconnect_monitor import DisconnectMonitor
-from quota_gateway.downstream.request_parser import InvalidRequestError, RequestParser
+from quota_gateway.downstream.request_parser import RequestParser
 from quota_gateway.downstream.response_writer import ResponseWriter
+from quota_gateway.errors import InvalidRequestError
 from quota_gateway.model.settings import Settings
 from quota_gateway.sockets.dialing import AGAIN, LACKING
 
--- a/quota_gateway/downstream/request_parser.py
+++ b/quota_gateway/downstream/request_parser.py
@@ -11,6 +11,7 @@
 
 from quota_gateway.body_streaming import RequestBodyStream
 from quota_gateway.dispatch.dispatcher import ClientRequest
+from quota_gateway.errors import InvalidRequestError
 from quota_gateway.model.settings import Idempotency, Settings
 
 CALL_ID = re.compile(rb"[0-9A-Za-z_.-]{1,64}")
@@ -23,14 +24,6 @@
 OVER_DEADLINE = 1.01  # times its class's deadline that a budget may be: what rounding makes of it
 
 
-class InvalidRequestError(Exception):
-    """What a client sent is not in the protocol's form."""
-
-    def __init__(self, status: int, text: str, headers: bytes = b"") -> None:
-        super().__init__(text)
-        self.status, self.headers = status, headers
-
-
 @lru_cache(maxsize=4096)
 def read_quota(text: bytes) -> tuple[float, int, int]:
     """Units, spread and first of a Quota-Info; kept, since few different ones come again and again."""
--- a/quota_gateway/model/actions.py
+++ b/quota_gateway/model/actions.py
@@ -5,6 +5,7 @@
 from dataclasses import dataclass
 
 from quota_gateway.model.charges import UnitsCharged
+from quota_gateway.model.timers import Timer
 
 
 @dataclass(frozen=True, slots=True)
@@ -44,7 +45,7 @@
 @dataclass(frozen=True, slots=True)
 class SetTimer:
     delay: float
-    key: str
+    timer: Timer
 
 
 @dataclass(frozen=True, slots=True)
--- a/quota_gateway/model/events.py
+++ b/quota_gateway/model/events.py
@@ -8,6 +8,7 @@
 from quota_gateway.model.charges import UnitsCharged
 from quota_gateway.model.endpoints import Endpoint, EndpointListKind
 from quota_gateway.model.outcomes import Outcome
+from quota_gateway.model.timers import Timer
 
 
 @dataclass(frozen=True, slots=True)
@@ -101,7 +102,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    key: str
+    timer: Timer
 
 
 @dataclass(frozen=True, slots=True)
--- a/quota_gateway/policy/endpoint_registry.py
+++ b/quota_gateway/policy/endpoint_registry.py
@@ -8,6 +8,7 @@
 from quota_gateway.model.actions import PollEndpoints, SetTimer
 from quota_gateway.model.endpoints import Endpoint, EndpointListKind, EndpointStatus
 from quota_gateway.model.events import EndpointListUpdate
+from quota_gateway.model.timers import PollEndpointsTimer
 from quota_gateway.policy.records import SHUN, START_LIMIT, Server
 from quota_gateway.policy.subsetting import subset
 from quota_gateway.policy.token_bucket import EPS
@@ -19,7 +20,7 @@
 def list_changed(gateway: PolicyEngine, event: EndpointListUpdate) -> None:
     if event.kind is EndpointListKind.FAILED:
         delay = gateway.settings.poll_interval / 8 * (0.5 + gateway.random.random())
-        return gateway.actions.append(SetTimer(max(delay, EPS), "list"))
+        return gateway.actions.append(SetTimer(max(delay, EPS), PollEndpointsTimer()))
     if event.kind is not EndpointListKind.DELTA:
         named = {b.endpoint_id for b in event.endpoints}
         gateway.endpoints = {a: s for a, s in gateway.endpoints.items() if a in named}
--- a/quota_gateway/policy/engine.py
+++ b/quota_gateway/policy/engine.py
@@ -40,6 +40,15 @@
 from quota_gateway.model.outcomes import Outcome
 from quota_gateway.model.settings import Idempotency, IdempotencyScope, Plan, RequestClass, Settings
 from quota_gateway.model.settings_validation import validate_settings
+from quota_gateway.model.timers import (
+    LateAttemptTimer,
+    PollEndpointsTimer,
+    QueueTimeoutTimer,
+    ReadDemandTimer,
+    ReleaseQueueTimer,
+    ReportDemandTimer,
+    Timer,
+)
 from quota_gateway.policy.endpoint_registry import list_changed, set_near
 from quota_gateway.policy.maintenance import avoided, knows, maintain
 from quota_gateway.policy.records import (
@@ -135,7 +144,7 @@
         elif isinstance(event, AttemptEnded):
             self.attempt_ended(event)
         elif isinstance(event, TimerFired):
-            self.timer_due(event.key)
+            self.timer_due(event.timer)
         elif isinstance(event, CounterReply):
             self.counted(event)
         elif isinstance(event, EndpointListUpdate):
@@ -199,7 +208,7 @@
         throttle.held += units
         throttle.level -= units
         self.release(throttle)
-        self.actions.append(SetTimer(max(bound, 1e-6), f"h{request.request_id}"))
+        self.actions.append(SetTimer(max(bound, 1e-6), QueueTimeoutTimer(request.request_id)))
 
     def waited(self, request: RequestReceived, klass: RequestClass) -> float:
         """Seconds since the client first asked: the answer to a repeat is wanted by the first try's time.
@@ -274,7 +283,7 @@
                 due = self.now + wait
                 if throttle.has_open() and (throttle.timer <= self.now or due < throttle.timer - EPS):
                     throttle.timer = due
-                    self.actions.append(SetTimer(max(wait, 1e-6), "r" + throttle.customer))
+                    self.actions.append(SetTimer(max(wait, 1e-6), ReleaseQueueTimer(throttle.customer)))
                 return
 
     def join(self, customer: str, spread: int, plan: Plan) -> Throttle:
@@ -300,7 +309,7 @@
             return
         throttle.counting = True
         due = (self.now // PERIOD + 1 + (zlib.crc32(throttle.customer.encode()) % 997) / 1250) * PERIOD
-        self.actions.append(SetTimer(max(due - self.now, 1e-6), "c" + throttle.customer))
+        self.actions.append(SetTimer(max(due - self.now, 1e-6), ReportDemandTimer(throttle.customer)))
 
     def add_demand(self, throttle: Throttle) -> None:
         """Adds the finished second's demand; skips customers far from their quota, who could not need it."""
@@ -324,7 +333,7 @@
             if asked > 0:
                 self.actions.append(IncrementCounter(f"{throttle.customer}.{second}", asked, 4 * PERIOD))
             wait = max(self.settings.counter_timeout, EPS)
-            self.actions.append(SetTimer(wait, f"d{second} {throttle.customer}"))
+            self.actions.append(SetTimer(wait, ReadDemandTimer(throttle.customer, second)))
         self.release(throttle)
 
     def counted(self, event: CounterReply) -> None:
@@ -409,7 +418,8 @@
         throttle.uncounted += units
         if not throttle.counting:
             throttle.counting = True
-            self.actions.append(SetTimer(SOON * PERIOD / self.counted_part, "c" + throttle.customer))
+            self.actions.append(
+                SetTimer(SOON * PERIOD / self.counted_part, ReportDemandTimer(throttle.customer)))
 
     def level_read(self, throttle: Throttle, event: CounterReply) -> None:
         """Sets the level by the units sent on since the name's start; keeps the sum near a burst of it."""
@@ -560,7 +570,7 @@
     def watch_late(self, job: Job, number: int) -> None:
         if not job.request.body_incomplete:  # its time has not begun
             delay = max(LATE_AT * job.klass.latency_objective, EPS)
-            self.actions.append(SetTimer(delay, f"o{number} {job.request.request_id}"))
+            self.actions.append(SetTimer(delay, LateAttemptTimer(job.request.request_id, number)))
 
     def useful_for(self, job: Job) -> float:
         """Seconds until an attempt is given up: its answer is worth little then, and such work piles up."""
@@ -679,34 +689,37 @@
             if attempt.out and self.settings.cancellation_allowed and not job.streaming:
                 self.actions.append(CancelAttempt(job.request.request_id, number))
 
-    def timer_due(self, key: str) -> None:
-        if key == "list":
-            return self.actions.append(PollEndpoints())
-        kind, rest = key[:1], key[1:]
-        second, _, after = rest.partition(" ")
-        if kind in "oh":
-            job = self.jobs.get(int(after or rest))
-            if job is not None and kind == "o" and job.attempts[int(second)].timed:
-                self.attempt_late(job, job.attempts[int(second)])
-            elif job is not None and kind == "h" and job in job.throttle.queue:
-                # each held one has its own end, wherever it stands: its client may have less patience
-                job.throttle.refill(self.now)
-                self.drop_held(job)
-                self.release(job.throttle)
-            return
-        rest = after if kind == "d" else rest
-        throttle = self.throttles.get(rest)
-        if throttle is None:
-            return
-        if kind == "r":
+    def timer_due(self, timer: Timer) -> None:
+        match timer:
+            case PollEndpointsTimer():
+                self.actions.append(PollEndpoints())
+            case LateAttemptTimer(request_id, number):
+                job = self.jobs.get(request_id)
+                if job is not None and job.attempts[number].timed:
+                    self.attempt_late(job, job.attempts[number])
+            case QueueTimeoutTimer(request_id):
+                job = self.jobs.get(request_id)
+                if job is not None and job in job.throttle.queue:
+                    # each held one has its own end, wherever it stands: its client may have less patience
+                    job.throttle.refill(self.now)
+                    self.drop_held(job)
+                    self.release(job.throttle)
+            case _:
+                throttle = self.throttles.get(timer.customer)
+                if throttle is not None:
+                    self.throttle_timer_due(throttle, timer)
+
+    def throttle_timer_due(
+        self, throttle: Throttle, timer: ReleaseQueueTimer | ReportDemandTimer | ReadDemandTimer
+    ) -> None:
+        if isinstance(timer, ReleaseQueueTimer):
             throttle.timer = 0.0
             self.release(throttle)
-        elif kind == "c":
+        elif isinstance(timer, ReportDemandTimer):
             self.add_demand(throttle)
-        elif kind == "d" and self.now >= self.quiet_until:
-            throttle.reading = f"{rest}.{second}"
+        elif self.now >= self.quiet_until:
+            throttle.reading = f"{timer.customer}.{timer.period}"
             self.actions.append(IncrementCounter(throttle.reading, 0.0, 4 * PERIOD))
-        return None
 
     def knows_endpoint(self, endpoint_id: str) -> bool:
         return knows(self, endpoint_id)
--- a/quota_gateway/simulator/adapter.py
+++ b/quota_gateway/simulator/adapter.py
@@ -8,6 +8,7 @@
 from typing import Any, TextIO
 
 from quota_gateway.configuration.settings_reader import STATUSES, read_settings
+from quota_gateway.errors import SimulatorProtocolError
 from quota_gateway.model.actions import (
     Action,
     CancelAttempt,
@@ -31,6 +32,7 @@
     TimerFired,
 )
 from quota_gateway.model.outcomes import Outcome
+from quota_gateway.model.timers import decode_timer, encode_timer
 from quota_gateway.policy.engine import PolicyEngine
 
 OUTCOMES = {
@@ -51,10 +53,6 @@
 }
 
 
-class SimulatorProtocolError(Exception):
-    """A line that the wire does not allow."""
-
-
 def pick(table: dict[str, Any], value: str) -> Any:
     if value not in table:
         raise SimulatorProtocolError(f"unknown value {value!r}")
@@ -112,7 +110,7 @@
             load_report=read_load(parts, 9),
         )
     if what == "deadline_hit":
-        return TimerFired(parts[1])
+        return TimerFired(decode_timer(parts[1]))
     if what == "counted":
         total = float(value(parts, 3, "0"))
         return CounterReply(parts[1], pick(OUTCOMES, parts[4]), float(parts[2]) / 1000.0, total)
@@ -140,7 +138,7 @@
     if isinstance(action, StartAttempt):
         return f"issue\t{action.request_id}\t{max(action.timeout * 1000.0, 0.001):.3f}\t{action.endpoint_id}"
     if isinstance(action, SetTimer):
-        return f"timer\t{action.delay * 1000.0:.3f}\t{action.key}"
+        return f"timer\t{action.delay * 1000.0:.3f}\t{encode_timer(action.timer)}"
     if isinstance(action, Reject):
         return f"deny\t{action.request_id}\t{action.retry_after * 1000.0:.3f}"
     if isinstance(action, FailRequest):
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -26,6 +26,7 @@
 )
 from quota_gateway.model.outcomes import Outcome
 from quota_gateway.model.settings import Idempotency, IdempotencyScope, Plan, RequestClass, Settings
+from quota_gateway.model.timers import Timer
 from quota_gateway.policy.engine import PolicyEngine
 from tests.policy_harness import SETTINGS
 
@@ -131,7 +132,7 @@
     def tell(self, me: int, event: Event) -> None:
         for action in self.gateways[me].handle(event, self.now):
             if isinstance(action, SetTimer):
-                self.at(self.now + action.delay, "timer", (me, action.key))
+                self.at(self.now + action.delay, "timer", (me, action.timer))
             elif isinstance(action, StartAttempt):
                 place = self.attempts.get((me, action.request_id), 0)
                 self.attempts[me, action.request_id] = place + 1
@@ -150,7 +151,7 @@
             me, RequestReceived(self.number, "read", "open", "c", self.now + 2.4, 1.0, 1, 0, False, 2.5)
         )
 
-    def timer(self, data: tuple[int, str]) -> None:
+    def timer(self, data: tuple[int, Timer]) -> None:
         self.tell(data[0], TimerFired(data[1]))
 
     def come(self, data: tuple[tuple[int, int, int], str, float]) -> None:
--- a/tests/policy_harness.py
+++ b/tests/policy_harness.py
@@ -17,6 +17,7 @@
 )
 from quota_gateway.model.outcomes import Outcome
 from quota_gateway.model.settings import Idempotency, IdempotencyScope, Plan, RequestClass, Settings
+from quota_gateway.model.timers import decode_timer, encode_timer
 from quota_gateway.policy.engine import PolicyEngine
 
 SAFE = RequestClass("read", Idempotency.IDEMPOTENT, IdempotencyScope.ALL, 5.0, 1.0, 4.0, 0.0, 1.0, False)
@@ -144,7 +145,7 @@
     def check(self, action: Action) -> None:
         if isinstance(action, SetTimer):
             assert action.delay > 0
-            self.timers.append((self.now + action.delay, action.key))
+            self.timers.append((self.now + action.delay, encode_timer(action.timer)))
         elif isinstance(action, IncrementCounter):
             self.counts.append(action.name)
         elif isinstance(action, StartAttempt):
@@ -189,7 +190,7 @@
             if due[0] <= late[0]:
                 self.timers.remove(due)
                 self.now = max(self.now, due[0])
-                self.tell(TimerFired(due[1]))
+                self.tell(TimerFired(decode_timer(due[1])))
             else:
                 self.now = max(self.now, late[0])
                 for n in self.out(late[1]):
--- a/tests/recorder.py
+++ b/tests/recorder.py
@@ -48,6 +48,7 @@
 )
 from quota_gateway.model.outcomes import Outcome
 from quota_gateway.model.settings import Plan, Settings
+from quota_gateway.model.timers import encode_timer
 from quota_gateway.policy.engine import PolicyEngine
 from quota_gateway.policy.maintenance import avoided
 from quota_gateway.policy.state_snapshot import estate_of
@@ -139,7 +140,7 @@
 
     def act(self, engine: int, action: Action) -> None:
         if isinstance(action, SetTimer):
-            self.later(action.delay, engine, "timer", action.key)
+            self.later(action.delay, engine, "timer", action.timer)
         elif isinstance(action, StartAttempt):
             key = (engine, action.request_id)
             attempts = self.sent.setdefault(key, [])
@@ -348,7 +349,7 @@
     if isinstance(action, CancelAttempt):
         return f"cancel {action.request_id} {action.attempt_index}"
     if isinstance(action, SetTimer):
-        return f"timer {action.delay!r} {action.key}"
+        return f"timer {action.delay!r} {encode_timer(action.timer)}"
     if isinstance(action, IncrementCounter):
         return f"count {action.name} {action.amount!r} {action.expire_after!r}"
     if isinstance(action, CloseIdleConnections):
--- a/tests/test_body_streaming.py
+++ b/tests/test_body_streaming.py
@@ -19,6 +19,7 @@
     TimerFired,
 )
 from quota_gateway.model.outcomes import Outcome
+from quota_gateway.model.timers import LateAttemptTimer
 from tests.fakes import SOON, Asked, message, read_message, serve, serve_after
 from tests.harness import READY, Client, GatewayHarness, request, run, running
 from tests.policy_harness import ended, gateway
@@ -310,9 +311,13 @@
     made = gateway()
     actions = made.handle(replace(asked_for(1, "pay", deadline=106.0), body_incomplete=True), 100.0)
     (send,) = (a for a in actions if isinstance(a, StartAttempt))
-    assert send.timeout == 0.0 and not [a for a in actions if isinstance(a, SetTimer) and a.key[0] == "o"]
+    assert send.timeout == 0.0 and not [
+        a for a in actions if isinstance(a, SetTimer) and isinstance(a.timer, LateAttemptTimer)
+    ]
     actions = made.handle(RequestBodyReceived(1, 156.0), 150.0)
-    assert [a.key for a in actions if isinstance(a, SetTimer)] == ["o0 1"]  # from now on it may be late
+    assert [a.timer for a in actions if isinstance(a, SetTimer)] == [
+        LateAttemptTimer(1, 0)
+    ]  # from now on it may be late
     assert made.jobs[1].request.deadline == 156.0 and made.jobs[1].asked == 150.0
 
 
@@ -330,7 +335,7 @@
     (send,) = (a for a in made.handle(asked_for(1), 100.0) if isinstance(a, StartAttempt))
     made.handle(ResponseStreamStarted(1, 0, 0.05), 100.05)
     assert made.flight == 0 and made.endpoints[send.endpoint_id].flight == 0
-    made.handle(TimerFired("o0 1"), 101.0)
+    made.handle(TimerFired(LateAttemptTimer(1, 0)), 101.0)
     assert made.passed == 1.0 and made.endpoints[send.endpoint_id].bad == 0.0
     assert made.handle(ended(1, 0, send.endpoint_id, Outcome.BROKEN_RESPONSE, over=True), 140.0) == []
     assert made.flight == 0 and not made.jobs
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -9,13 +9,13 @@
 from quota_gateway.discovery import client
 from quota_gateway.discovery.client import (
     DiscoveryClient,
-    EndpointListError,
     EndpointUpdate,
     poll_schedule_for,
     read_address,
     read_endpoint_update,
     read_seconds,
 )
+from quota_gateway.errors import DiscoveryUnavailableError, EndpointListError
 from quota_gateway.model.endpoints import EndpointListKind, EndpointStatus
 from tests.fakes import FakeDiscovery, message, read_message
 from tests.harness import GatewayHarness, request, roomy_settings, run, running
@@ -314,7 +314,7 @@
         for unanswered in (1, 2):
             agent.failed(TimeoutError())
             assert (agent.unanswered, agent.generation) == (unanswered, 7)
-        agent.failed(client.DiscoveryUnavailableError("status 503"))
+        agent.failed(DiscoveryUnavailableError("status 503"))
         assert (agent.unanswered, agent.generation) == (2, 7)
         agent.failed(EndpointListError("status 410"))
         assert agent.generation is None
@@ -350,7 +350,7 @@
         for error in (
             TimeoutError(),
             EndpointListError("bad\nlist"),
-            client.DiscoveryUnavailableError("status 503"),
+            DiscoveryUnavailableError("status 503"),
         ):
             agent.failed(error)
         agent.stop()
--- a/tests/test_fleet_of_engines.py
+++ b/tests/test_fleet_of_engines.py
@@ -20,6 +20,7 @@
 )
 from quota_gateway.model.outcomes import Outcome
 from quota_gateway.model.settings import Plan
+from quota_gateway.model.timers import decode_timer, encode_timer
 from quota_gateway.policy.engine import PolicyEngine
 from tests.policy_harness import CAPPED, PLAN, SETTINGS, backend, backends, ended, gateway, request
 
@@ -46,7 +47,7 @@
     def take(self, me: int, actions: list[Action], units: float = 0.0) -> None:
         for action in actions:
             if isinstance(action, SetTimer):
-                self.timers.append((self.now + action.delay, me, action.key))
+                self.timers.append((self.now + action.delay, me, encode_timer(action.timer)))
             elif isinstance(action, IncrementCounter):
                 self.calls += 1
                 self.sums[action.name] = self.sums.get(action.name, 0.0) + action.amount
@@ -63,7 +64,7 @@
             due = min(self.timers)
             self.timers.remove(due)
             self.now = max(self.now, due[0])
-            self.take(due[1], self.gateways[due[1]].handle(TimerFired(due[2]), self.now))
+            self.take(due[1], self.gateways[due[1]].handle(TimerFired(decode_timer(due[2])), self.now))
         self.now = until
 
     def ask(self, me: int, number: int, units: float, repeat: bool = False) -> None:
@@ -170,7 +171,7 @@
         for action in made.handle(request(number, plan=("small", "capped")[number % 2]), 101.0 + number / 10):
             if isinstance(action, SetTimer):
                 assert action.delay > 0
-                made.handle(TimerFired(action.key), 101.0 + number / 10 + action.delay)
+                made.handle(TimerFired(action.timer), 101.0 + number / 10 + action.delay)
 
 
 def test_an_unknown_report_is_passed_over() -> None:
--- a/tests/test_no_attempt_after_disconnect.py
+++ b/tests/test_no_attempt_after_disconnect.py
@@ -16,6 +16,7 @@
 from quota_gateway.body_streaming import HELD
 from quota_gateway.dispatch.dispatcher import RequestDispatcher
 from quota_gateway.downstream.client_connection import MOST_PIPELINED, ClientConnection
+from quota_gateway.model.timers import ReleaseQueueTimer
 from tests.fakes import Asked, FakeBackend, message, serve, settings_text
 from tests.harness import Client, GatewayHarness, request, roomy_settings, running
 from tests.virtual_clock import run_on_virtual_clock, start_clock, this_loop
@@ -154,7 +155,7 @@
             def come() -> None:
                 throttle.level += 4.0
                 driver.engine.now = driver.clock()
-                driver.timer_fired("r" + throttle.customer, driver.clock())
+                driver.timer_fired(ReleaseQueueTimer(throttle.customer), driver.clock())
         elif state == "uploading":
             loop.late = dials
             client.send(request(9, "extract", body=b"x" * 4 * HELD)[: 2 * HELD])
--- a/tests/test_policy_invariants.py
+++ b/tests/test_policy_invariants.py
@@ -13,6 +13,7 @@
 from quota_gateway.model.endpoints import EndpointListKind, EndpointStatus
 from quota_gateway.model.events import ClientDisconnected, TimerFired
 from quota_gateway.model.outcomes import Outcome
+from quota_gateway.model.timers import LateAttemptTimer, ReleaseQueueTimer
 from quota_gateway.policy.engine import PolicyEngine
 from tests.policy_harness import CAPPED, SETTINGS, EngineHarness, backend, backends, ended, gateway, request
 
@@ -145,8 +146,8 @@
     made = gateway()
     assert made.handle(ended(9, 0, "a", Outcome.SUCCESS), 100.0) == []
     assert made.handle(ClientDisconnected(9), 100.0) == []
-    assert made.handle(TimerFired("o0 9"), 100.0) == []
-    assert made.handle(TimerFired("rnobody"), 100.0) == []
+    assert made.handle(TimerFired(LateAttemptTimer(9, 0)), 100.0) == []
+    assert made.handle(TimerFired(ReleaseQueueTimer("nobody")), 100.0) == []
 
 
 def test_slow_answers_do_not_lock_the_gateway() -> None:
@@ -171,10 +172,10 @@
         now = 100.0 + number
         actions = made.handle(request(number, customer=f"x{number}", deadline=now + 90, width=1), now)
         sent = where(list(actions))
-        timer = next(a for a in actions if isinstance(a, SetTimer) and a.key.startswith("o"))
+        timer = next(a for a in actions if isinstance(a, SetTimer) and isinstance(a.timer, LateAttemptTimer))
         if sent == "a":
             stuck += 1
-            made.handle(TimerFired(timer.key), now + timer.delay)
+            made.handle(TimerFired(timer.timer), now + timer.delay)
         else:
             made.handle(ended(number, 0, sent, Outcome.SUCCESS, 0.1), now + 0.1)
     assert stuck <= 9  # the limit closes on it
--- a/tests/test_rate_limiting.py
+++ b/tests/test_rate_limiting.py
@@ -9,6 +9,7 @@
 from quota_gateway.model.actions import IncrementCounter, Reject, SetTimer, StartAttempt
 from quota_gateway.model.events import CounterReply, TimerFired
 from quota_gateway.model.outcomes import Outcome
+from quota_gateway.model.timers import ReleaseQueueTimer, ReportDemandTimer
 from quota_gateway.policy.engine import PolicyEngine
 from quota_gateway.policy.slow_start import cold_chance
 from quota_gateway.policy.token_bucket import EPS, Throttle
@@ -39,9 +40,9 @@
     # 0.3 s on 0.6 units are there: 0.2 s away, inside the bound, so it is held, and released exactly then
     held = made.handle(request(5), 100.3)
     assert sends(list(held)) == 0
-    timer = next(a for a in held if isinstance(a, SetTimer) and a.key.startswith("r"))
+    timer = next(a for a in held if isinstance(a, SetTimer) and isinstance(a.timer, ReleaseQueueTimer))
     assert timer.delay == pytest.approx(0.2)
-    assert sends(list(made.handle(TimerFired(timer.key), 100.3 + timer.delay))) == 1
+    assert sends(list(made.handle(TimerFired(timer.timer), 100.3 + timer.delay))) == 1
 
 
 def test_large_request_leaves_when_the_bank_is_full() -> None:
@@ -99,7 +100,9 @@
     for number in range(4):
         made.handle(request(number), 100.0)
     made.handle(CounterReply("c.100", Outcome.CONNECT_FAILED, 0.0, 0.0), 101.0)
-    assert not any(isinstance(a, IncrementCounter) for a in made.handle(TimerFired("cc"), 101.1))
+    assert not any(
+        isinstance(a, IncrementCounter) for a in made.handle(TimerFired(ReportDemandTimer("c")), 101.1)
+    )
 
 
 def test_ceiling_grants_only_what_refilled_since_start() -> None:
@@ -118,7 +121,7 @@
     where = made.jobs[1].attempts[0].server.backend.endpoint_id
     made.handle(ended(1, 0, where, Outcome.SUCCESS), 100.1)
     for second in range(101, 106):
-        made.handle(TimerFired("cc"), float(second))
+        made.handle(TimerFired(ReportDemandTimer("c")), float(second))
     for number in range(2, 5):
         made.handle(request(number, customer=f"other{number}", deadline=204.0), 200.0)
     assert "c" not in made.throttles
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -12,7 +12,8 @@
 import pytest
 
 from quota_gateway.configuration.settings_reader import read_settings
-from quota_gateway.simulator.adapter import SimulatorHost, SimulatorProtocolError, serve
+from quota_gateway.errors import SimulatorProtocolError
+from quota_gateway.simulator.adapter import SimulatorHost, serve
 
 HERE = pathlib.Path(__file__).parent
 FRAMES = (HERE / "batch.txt").read_text()
