--- a/quota_gateway/dispatch/dispatcher.py
+++ b/quota_gateway/dispatch/dispatcher.py
@@ -16,6 +16,7 @@
 from quota_gateway.body_streaming import RequestBodyStream, ResponseHead, StreamSink, StreamSource
 from quota_gateway.counter.client import CounterClient
 from quota_gateway.discovery.client import EndpointUpdate
+from quota_gateway.engine.policy_engine import PolicyEngine
 from quota_gateway.metrics import Metrics
 from quota_gateway.model.actions import (
     Action,
@@ -48,7 +49,6 @@
 )
 from quota_gateway.model.outcomes import Outcome
 from quota_gateway.model.timers import Timer
-from quota_gateway.policy.engine import PolicyEngine
 from quota_gateway.upstream.connection_pool import AttemptResult, ConnectionPool, UpstreamAttempt
 
 EARLY = 0.1  # seconds before the client's end at which the module takes a request to be over: the budget
--- /dev/null
+++ b/quota_gateway/engine/__init__.py
@@ -0,0 +1,1 @@
+"""The policy engine: connects the decisions, routes events to them, and saves their state."""
--- /dev/null
+++ b/quota_gateway/engine/policy_engine.py
@@ -0,0 +1,199 @@
+"""The policy engine: routes events to the mechanisms and collects their actions."""
+
+from __future__ import annotations
+
+import random
+
+from quota_gateway.engine.state_snapshot import load_state, restore_state, save_state
+from quota_gateway.model import actions, charges, events, timers
+from quota_gateway.model.outcomes import Outcome
+from quota_gateway.model.settings import Settings
+from quota_gateway.model.settings_validation import validate_settings
+from quota_gateway.policy.admission import AdmissionController
+from quota_gateway.policy.attempt_results import AttemptResults
+from quota_gateway.policy.endpoint_registry import EndpointRegistry
+from quota_gateway.policy.fine_grained_quota import FineGrainedQuota, initial_grant_ratios
+from quota_gateway.policy.forwarding import Forwarder
+from quota_gateway.policy.latency_estimates import LatencyEstimates
+from quota_gateway.policy.load_balancing import LoadBalancer
+from quota_gateway.policy.outlier_detection import decay, is_outlier
+from quota_gateway.policy.quota_sync import FULL_SERVICE_GATEWAYS, CounterHealth, QuotaSynchronizer
+from quota_gateway.policy.request_lifecycle import RequestLifecycle
+from quota_gateway.policy.request_queue import RequestQueue
+from quota_gateway.policy.retries import RetryBudget
+from quota_gateway.policy.slow_start import SlowStart
+from quota_gateway.state.context import EngineContext
+from quota_gateway.state.limiter_registry import LimiterRegistry
+from quota_gateway.state.peer_process import PeerProcess
+from quota_gateway.state.records import EndpointState, Limiter
+
+RECENTLY_USED = 1.5  # seconds in which an outlier that was used is not reported as unavailable
+
+
+class PolicyEngine:
+    """Decides for one gateway, on its settings and the events that it is given, and on nothing else."""
+
+    def __init__(self, settings: Settings, seed: int, now: float) -> None:
+        """Connect the mechanisms; `seed` is that of the random numbers, `now` seconds."""
+        validate_settings(settings)
+        self.context = context = EngineContext(settings, random.Random(seed), now, now)
+        self.draining = False
+        self.limiters = LimiterRegistry(context)
+        self.registry = EndpointRegistry(context)
+        self.latency = LatencyEstimates(context)
+        self.retry_budget = RetryBudget()
+        self.peer = PeerProcess(context)
+        self.admission = AdmissionController(context, self.registry, now)
+        sampling_ratio = min(1.0, FULL_SERVICE_GATEWAYS / settings.gateway_count)
+        self.counter = CounterHealth(context, settings.counter_timeout, sampling_ratio, now)
+        self.quota = QuotaSynchronizer(context, self.counter)
+        self.fine_grained = FineGrainedQuota(context, self.counter, initial_grant_ratios(settings))
+        self.slow_start = SlowStart(context, self.registry)
+        self.balancer = LoadBalancer(context, self.registry, self.slow_start, self.latency)
+        self.forwarder = Forwarder(
+            context,
+            self.admission,
+            self.balancer,
+            self.latency,
+            self.retry_budget,
+            self.fine_grained,
+            self.peer,
+        )
+        self.queue = RequestQueue(context, self.admission, self.fine_grained, self.forwarder)
+        self.results = AttemptResults(context, self.admission, self.latency, self.forwarder, self.queue)
+        self.lifecycle = RequestLifecycle(
+            context, self.limiters, self.quota, self.admission, self.latency, self.queue
+        )
+
+    @property
+    def endpoints(self) -> dict[str, EndpointState]:
+        """The endpoints of the list, by id."""
+        return self.registry.endpoints
+
+    @property
+    def settings(self) -> Settings:
+        """The settings that the engine was made with."""
+        return self.context.settings
+
+    def handle(self, event: events.Event, now: float) -> list[actions.Action]:
+        """Return what is to be done about an event, in this order; `now` is seconds and never goes back."""
+        self.context.now = max(self.context.now, now)
+        self.context.actions = []
+        match event:
+            case events.RequestReceived():
+                self.lifecycle.request_received(event)
+            case events.AttemptEnded():
+                self.results.attempt_ended(event)
+            case events.TimerFired(timer):
+                self._handle_timer(timer)
+            case events.CounterReply():
+                self._handle_counter_reply(event)
+            case events.EndpointListUpdate():
+                self.registry.apply(event)
+            case charges.UnitsCharged():
+                self._charge_for_peer(event)
+            case events.PeerProcessChanged(present):
+                self.peer.present = present
+            case events.SetMaintenance():
+                self.registry.set_maintenance(event)
+            case events.SetDraining(enabled):
+                self.draining = enabled
+                self.context.emit(actions.DrainClientConnections(enabled))
+            case events.StateSnapshot(state):
+                self._restore(state)
+            case events.HealthCheckResult():
+                pass  # endpoints are known by their responses
+            case _:
+                self._handle_request_event(event)
+        return self.context.actions
+
+    def _handle_request_event(self, event: events.RequestEvent) -> None:
+        request = self.forwarder.requests.get(event.request_id)
+        if request is None:
+            return
+        match event:
+            case events.ClientDisconnected():
+                self.lifecycle.client_disconnected(request)
+            case events.ClientHalfClosed():
+                self.lifecycle.client_half_closed(request)
+            case events.ResponseStreamStarted():
+                self.results.stream_started(request, event)
+            case events.RequestBodyConsumed():
+                request.not_resendable = True
+            case events.RequestBodyReceived(deadline=deadline):
+                self.lifecycle.body_received(request, deadline)
+
+    def _handle_timer(self, timer: timers.Timer) -> None:
+        match timer:
+            case timers.PollEndpointsTimer():
+                self.context.emit(actions.PollEndpoints())
+            case timers.LateAttemptTimer(request_id, attempt_index):
+                if (request := self.forwarder.requests.get(request_id)) is not None:
+                    self.results.attempt_late(request, attempt_index)
+            case timers.QueueTimeoutTimer(request_id):
+                if (request := self.forwarder.requests.get(request_id)) is not None:
+                    self.queue.time_out(request)
+            case _:
+                if (limiter := self.limiters.limiters.get(timer.customer)) is not None:
+                    self._handle_limiter_timer(limiter, timer)
+
+    def _handle_limiter_timer(self, limiter: Limiter, timer: timers.LimiterTimer) -> None:
+        match timer:
+            case timers.ReleaseQueueTimer():
+                limiter.release_due = 0.0
+                self.queue.release(limiter)
+            case timers.ReportDemandTimer():
+                limiter.report_scheduled = False
+                if limiter.is_fine_grained:
+                    self.fine_grained.report_unreported(limiter)
+                else:
+                    self.quota.report_demand(limiter)
+                    self.queue.release(limiter)
+            case timers.ReadDemandTimer(period=period):
+                self.quota.read_demand(limiter, period)
+
+    def _handle_counter_reply(self, reply: events.CounterReply) -> None:
+        self.counter.record(reply)
+        limiter = self.limiters.limiters.get(reply.name.rpartition(".")[0])
+        if limiter is None:
+            return
+        if limiter.is_fine_grained:
+            changed = self.fine_grained.apply_reply(limiter, reply)
+        else:
+            expected = reply.outcome is Outcome.SUCCESS and reply.name == limiter.expected_reading
+            changed = expected and self.quota.apply_reading(limiter, reply.total)
+        if changed:
+            self.queue.release(limiter)
+
+    def _charge_for_peer(self, event: charges.UnitsCharged) -> None:
+        plan = self.context.plans.get(event.plan)
+        if plan is not None:
+            self.peer.charge(self.limiters.get(event.customer, event.quota_spread, plan), event.units)
+
+    def _restore(self, state: dict[str, object]) -> None:
+        saved = load_state(state)
+        restore_state(self, saved)
+        self.draining = saved.draining
+        if self.draining:
+            self.context.emit(actions.DrainClientConnections(True))
+
+    def snapshot(self) -> events.StateSnapshot:
+        """Return what the next process of this gateway takes over."""
+        return save_state(self)
+
+    def knows_endpoint(self, endpoint_id: str) -> bool:
+        """Return whether an operator may name this endpoint."""
+        return endpoint_id in self.registry.endpoints or endpoint_id in self.registry.under_maintenance
+
+    def unavailable_endpoints(self) -> int:
+        """Return how many listed endpoints get no requests: by list, operators, faults or subset."""
+        used = sum(1 for endpoint in self.registry.candidates if not self._is_ejected(endpoint))
+        return len(self.registry.endpoints) - used
+
+    def _is_ejected(self, endpoint: EndpointState) -> bool:
+        decay(endpoint, self.context.now)
+        return is_outlier(endpoint) and self.context.now - endpoint.last_used_at >= RECENTLY_USED
+
+    def accepts_clients(self) -> bool:
+        """Return whether clients may be sent here."""
+        return bool(self.registry.serving) and not self.draining
--- /dev/null
+++ b/quota_gateway/engine/state_snapshot.py
@@ -0,0 +1,162 @@
+"""Saves an engine's state as plain values for the next process, and reads those of the process before.
+
+Keys and the order of list items are a format between versions of the program: they stay as they are, whatever
+the attributes are called.
+"""
+
+from __future__ import annotations
+
+from dataclasses import astuple
+from typing import Any, Protocol
+
+from quota_gateway.model.events import StateSnapshot
+from quota_gateway.policy.admission import AdmissionController
+from quota_gateway.policy.endpoint_registry import EndpointRegistry
+from quota_gateway.policy.fine_grained_quota import FineGrainedQuota
+from quota_gateway.policy.latency_estimates import LatencyEstimates
+from quota_gateway.policy.quota_sync import CounterHealth
+from quota_gateway.policy.retries import RetryBudget
+from quota_gateway.state.context import EngineContext
+from quota_gateway.state.limiter_registry import LimiterRegistry
+from quota_gateway.state.records import Limiter
+from quota_gateway.state.saved_state import SavedEndpoint, SavedLimiter, SavedState
+
+
+class Mechanisms(Protocol):
+    """The parts of an engine that have state to save."""
+
+    context: EngineContext
+    limiters: LimiterRegistry
+    registry: EndpointRegistry
+    latency: LatencyEstimates
+    admission: AdmissionController
+    retry_budget: RetryBudget
+    counter: CounterHealth
+    fine_grained: FineGrainedQuota
+    draining: bool
+
+
+def save_state(engine: Mechanisms) -> StateSnapshot:
+    """Return the state in plain values, as it goes to the next process."""
+    limiters = [list(astuple(_saved_limiter(limiter))) for limiter in engine.limiters.limiters.values()]
+    endpoints = [
+        [state.id, state.endpoint.started_at, state.concurrency_limit, state.failure_score, state.decayed_at]
+        for state in engine.registry.endpoints.values()
+    ]
+    return StateSnapshot(
+        {
+            "born": engine.context.started_at,
+            "throttles": limiters,
+            "servers": endpoints,
+            "banned": sorted(engine.registry.under_maintenance),
+            "returned": engine.registry.returned_at,
+            "kinds": engine.latency.machine_type_factors,
+            "patience": engine.latency.client_timeouts,
+            "usual": [[*key, value] for key, value in engine.latency.durations.items()],
+            "granted": [[*key, value] for key, value in engine.fine_grained.grant_ratios.items()],
+            "fleet_fails": engine.admission.fleet_failure_rate,
+            "retry_credit": engine.retry_budget.balance,
+            "passed": engine.admission.admit_ratio,
+            "limit": engine.admission.concurrency_limit,
+            "quiet_until": engine.counter.paused_until,
+            "count_fails": engine.counter.consecutive_failures,
+            "shortest": engine.counter.fastest_reply,
+            "counted_part": engine.counter.sampling_ratio,
+            "draining": engine.draining,
+        }
+    )
+
+
+def _saved_limiter(limiter: Limiter) -> SavedLimiter:
+    return SavedLimiter(
+        limiter.customer,
+        limiter.plan.name,
+        limiter.quota_spread,
+        limiter.queued_units,
+        limiter.quota_fraction,
+        limiter.rate,
+        limiter.capacity,
+        limiter.balance,
+        limiter.updated_at,
+        limiter.local_demand,
+        limiter.fleet_demand,
+        limiter.reading_valid_until,
+        limiter.reading_fresh_until,
+        limiter.hard_limit_balance,
+    )
+
+
+def load_state(state: dict[str, Any]) -> SavedState:
+    """Return the state that another process saved; KeyError, TypeError or ValueError if it is spoilt."""
+    return SavedState(
+        started_at=state["born"],
+        limiters=[SavedLimiter(*row) for row in state["throttles"]],
+        endpoints=[SavedEndpoint(*row) for row in state["servers"]],
+        under_maintenance=state["banned"],
+        returned_at=state["returned"],
+        machine_type_factors=state["kinds"],
+        client_timeouts=state["patience"],
+        durations={(request_class, units): value for request_class, units, value in state["usual"]},
+        grant_ratios={tuple(key): value for *key, value in state["granted"]},
+        fleet_failure_rate=state["fleet_fails"],
+        retry_budget=state["retry_credit"],
+        admit_ratio=state["passed"],
+        concurrency_limit=state["limit"],
+        counter_paused_until=state["quiet_until"],
+        counter_failures=state["count_fails"],
+        fastest_reply=state["shortest"],
+        sampling_ratio=state["counted_part"],
+        draining=state["draining"],
+    )
+
+
+def restore_state(engine: Mechanisms, saved: SavedState) -> None:
+    """Merge the state into that of this process, but for whether the gateway drains."""
+    engine.context.started_at = min(engine.context.started_at, saved.started_at)
+    _restore_figures(engine, saved)
+    engine.registry.under_maintenance.update(saved.under_maintenance)
+    engine.registry.returned_at.update(saved.returned_at)
+    for endpoint in saved.endpoints:
+        engine.registry.restore(endpoint)
+    for limiter in saved.limiters:
+        if limiter.plan in engine.context.plans:
+            _restore_limiter(engine, limiter)
+    engine.registry.refresh_serving()
+
+
+def _restore_figures(engine: Mechanisms, saved: SavedState) -> None:
+    engine.admission.fleet_failure_rate = saved.fleet_failure_rate
+    engine.admission.admit_ratio = saved.admit_ratio
+    engine.admission.concurrency_limit = saved.concurrency_limit
+    engine.retry_budget.balance = saved.retry_budget
+    engine.counter.paused_until = saved.counter_paused_until
+    engine.counter.consecutive_failures = saved.counter_failures
+    engine.counter.fastest_reply = saved.fastest_reply
+    engine.counter.sampling_ratio = saved.sampling_ratio
+    engine.latency.machine_type_factors.update(saved.machine_type_factors)
+    engine.latency.client_timeouts.update(saved.client_timeouts)
+    engine.latency.durations.update(saved.durations)
+    grant_ratios = engine.fine_grained.grant_ratios
+    for key, ratio in grant_ratios.items():
+        grant_ratios[key] = saved.grant_ratios.get(key, ratio)
+
+
+def _restore_limiter(engine: Mechanisms, saved: SavedLimiter) -> None:
+    existing = engine.limiters.limiters.get(saved.customer)
+    balance = saved.balance + saved.queued_units
+    if existing is not None:
+        existing.merge_balance(balance, engine.context.now)
+        return
+    plan = engine.context.plans[saved.plan]
+    limiter = engine.limiters.get(saved.customer, saved.quota_spread, plan)
+    limiter.quota_fraction = saved.quota_fraction
+    limiter.rate = saved.rate
+    limiter.capacity = saved.capacity
+    limiter.balance = balance
+    limiter.updated_at = saved.updated_at
+    limiter.local_demand = saved.local_demand
+    limiter.fleet_demand = saved.fleet_demand
+    limiter.reading_valid_until = saved.reading_valid_until
+    limiter.reading_fresh_until = saved.reading_fresh_until
+    limiter.hard_limit_balance = saved.hard_limit_balance
+    limiter.refill(engine.context.now)
--- a/quota_gateway/gateway_process.py
+++ b/quota_gateway/gateway_process.py
@@ -16,10 +16,10 @@
 from quota_gateway.discovery.client import DiscoveryClient, poll_schedule_for
 from quota_gateway.dispatch.dispatcher import RequestDispatcher
 from quota_gateway.downstream.client_connection import ClientListener
+from quota_gateway.engine.policy_engine import PolicyEngine
 from quota_gateway.errors import ConfigurationError
 from quota_gateway.hot_restart.coordinator import HotRestartCoordinator
 from quota_gateway.model.charges import UnitsCharged
-from quota_gateway.policy.engine import PolicyEngine
 from quota_gateway.sockets.listening import bind, inherit
 from quota_gateway.upstream.connection_pool import ConnectionPool
 
--- a/quota_gateway/hot_restart/coordinator.py
+++ b/quota_gateway/hot_restart/coordinator.py
@@ -226,7 +226,7 @@
 
 
 def write_list(driver: RequestDispatcher) -> list[Any]:
-    backends = (s.backend for s in driver.engine.endpoints.values())
+    backends = (s.endpoint for s in driver.engine.endpoints.values())
     lines = driver.pool.endpoints
     return [
         [
--- a/quota_gateway/model/events.py
+++ b/quota_gateway/model/events.py
@@ -134,12 +134,14 @@
     present: bool
 
 
+# events of one request that was received before
+RequestEvent = (
+    ClientDisconnected | ClientHalfClosed | ResponseStreamStarted | RequestBodyConsumed | RequestBodyReceived
+)
 Event = (
     RequestReceived
+    | RequestEvent
     | EndpointListUpdate
-    | ClientDisconnected
-    | ClientHalfClosed
-    | ResponseStreamStarted
     | AttemptEnded
     | CounterReply
     | HealthCheckResult
@@ -149,6 +151,4 @@
     | StateSnapshot
     | PeerProcessChanged
     | UnitsCharged
-    | RequestBodyConsumed
-    | RequestBodyReceived
 )
--- a/quota_gateway/model/timers.py
+++ b/quota_gateway/model/timers.py
@@ -52,14 +52,8 @@
     period: int
 
 
-Timer = (
-    PollEndpointsTimer
-    | LateAttemptTimer
-    | QueueTimeoutTimer
-    | ReleaseQueueTimer
-    | ReportDemandTimer
-    | ReadDemandTimer
-)
+LimiterTimer = ReleaseQueueTimer | ReportDemandTimer | ReadDemandTimer
+Timer = PollEndpointsTimer | LateAttemptTimer | QueueTimeoutTimer | LimiterTimer
 
 
 def encode_timer(timer: Timer) -> str:
--- a/quota_gateway/policy/__init__.py
+++ b/quota_gateway/policy/__init__.py
@@ -1,1 +1,1 @@
-"""Every decision of the gateway."""
+"""Every decision of the gateway, one mechanism a module."""
--- /dev/null
+++ b/quota_gateway/policy/attempt_results.py
@@ -0,0 +1,113 @@
+"""What follows from the end of an attempt: samples, charges, retries."""
+
+from dataclasses import dataclass
+
+from quota_gateway.model.events import AttemptEnded, ResponseStreamStarted
+from quota_gateway.model.outcomes import Outcome
+from quota_gateway.policy import outlier_detection
+from quota_gateway.policy.admission import LATE_FRACTION, AdmissionController
+from quota_gateway.policy.forwarding import Forwarder
+from quota_gateway.policy.latency_estimates import LatencyEstimates
+from quota_gateway.policy.request_queue import RequestQueue
+from quota_gateway.state.context import EngineContext
+from quota_gateway.state.limiter_state import PERIOD
+from quota_gateway.state.records import AttemptState, PendingRequest
+
+
+@dataclass(slots=True, eq=False)
+class AttemptResults:
+    """Hands the end of each attempt to the mechanisms that learn from it."""
+
+    context: EngineContext
+    admission: AdmissionController
+    latency: LatencyEstimates
+    forwarder: Forwarder
+    queue: RequestQueue
+
+    def attempt_ended(self, event: AttemptEnded) -> None:
+        """Learn from the outcome, charge the real units, and retry or forget the request."""
+        request = self.forwarder.requests.get(event.request_id)
+        attempt = request.attempt_in_flight(event.attempt_index) if request is not None else None
+        if request is None or attempt is None:
+            return
+        attempt.in_flight = False
+        attempt.proven_not_executed = event.outcome.proves_not_executed
+        request.never_sent = request.never_sent and event.outcome is Outcome.NOT_SENT
+        if not attempt.is_streaming:
+            self.admission.attempt_finished(attempt)
+        request.in_flight -= 1
+        request.limiter.in_flight -= 1
+        possible = (other for other in request.attempts if not other.proven_not_executed)
+        request.first_possibly_executed = next(possible, None)
+        if not attempt.is_streaming:
+            self._learn(request, attempt, event.outcome, event.elapsed)
+        self._settle_units(request, event.actual_units)
+        request.answered = request.answered or event.request_answered
+        if not request.answered and not request.in_flight:
+            self._retry_or_answer(request, event.outcome)
+        self.forwarder.forget_if_finished(request)
+        if request.limiter.queue and request.plan.concurrency > 0:
+            self.queue.release(request.limiter)
+
+    def attempt_late(self, request: PendingRequest, attempt_index: int) -> None:
+        """Sample an attempt that has no response when it becomes late."""
+        attempt = request.attempts[attempt_index]
+        if attempt.awaits_response:
+            self.admission.attempt_late(attempt)
+
+    def stream_started(self, request: PendingRequest, event: ResponseStreamStarted) -> None:
+        """Sample a response by its first bytes; while the rest is passed on its slot serves another."""
+        request.streaming = True
+        attempt = request.attempt_in_flight(event.attempt_index)
+        if attempt is not None:
+            elapsed = event.elapsed or self.context.now - attempt.sent_at
+            self.admission.attempt_finished(attempt)
+            attempt.is_streaming = True
+            self._learn(request, attempt, Outcome.SUCCESS, elapsed)
+
+    def _settle_units(self, request: PendingRequest, actual_units: float) -> None:
+        if actual_units <= 0 or request.units_settled or not request.is_charged:
+            return
+        request.units_settled = True
+        limiter = request.limiter
+        limiter.refill(self.context.now)
+        unused = request.units - actual_units
+        self.forwarder.peer.report(limiter, -unused)
+        limiter.give_back(unused)
+        if limiter.is_fine_grained and request.reported_units > 0:
+            limiter.unreported_units -= unused * request.reported_units / request.units
+        self.queue.release(limiter)
+
+    def _retry_or_answer(self, request: PendingRequest, outcome: Outcome) -> None:
+        end = min(request.request.deadline, request.first_sent_at + request.latency_objective)
+        # a rejected attempt took no work: its retry is free, unless load is shed
+        free = outcome.proves_not_executed and self.context.random.random() < self.admission.admit_ratio
+        in_time = end - self.context.now > self.latency.expected(request)
+        affordable = free or self.forwarder.retry_budget.is_available()
+        if outcome is Outcome.TIMED_OUT or not in_time or not affordable:
+            self.forwarder.answer(request, PERIOD)
+            return
+        if not free:
+            self.forwarder.retry_budget.withdraw()
+        self.forwarder.forward(request)
+
+    def _learn(
+        self, request: PendingRequest, attempt: AttemptState, outcome: Outcome, elapsed: float
+    ) -> None:
+        if outcome in (Outcome.CANCELLED, Outcome.NOT_SENT):
+            return
+        endpoint = attempt.endpoint
+        outlier_detection.decay(endpoint, self.context.now)
+        if outcome is Outcome.REJECTED:
+            outlier_detection.record_rejection(endpoint, request, self.context.now)
+            return
+        failed = outcome is not Outcome.SUCCESS
+        late = elapsed > LATE_FRACTION * request.latency_objective
+        self.admission.record_failure_rate(failed or late)
+        if not attempt.is_late and outcome in (Outcome.SUCCESS, Outcome.TIMED_OUT):
+            self.admission.record_sample(late, endpoint)
+        if not failed:
+            outlier_detection.record_success(endpoint, request)
+            self.latency.record(request, attempt, elapsed)
+        elif outlier_detection.record_failure(endpoint, outcome):
+            self.admission.registry.refresh_candidates()
--- a/quota_gateway/policy/endpoint_registry.py
+++ b/quota_gateway/policy/endpoint_registry.py
@@ -1,65 +1,116 @@
-"""Keeps the endpoints that the list names, and which of them this gateway draws from."""
+"""The endpoints that the list names, operators' maintenance of them, and this gateway's subset."""
 
-from __future__ import annotations
+from collections.abc import Sequence
+from dataclasses import dataclass, field, replace
 
-from dataclasses import replace
-from typing import TYPE_CHECKING
-
-from quota_gateway.model.actions import PollEndpoints, SetTimer
+from quota_gateway.model.actions import CloseIdleConnections, PollEndpoints
 from quota_gateway.model.endpoints import Endpoint, EndpointListKind, EndpointStatus
-from quota_gateway.model.events import EndpointListUpdate
+from quota_gateway.model.events import EndpointListUpdate, SetMaintenance
 from quota_gateway.model.timers import PollEndpointsTimer
-from quota_gateway.policy.records import SHUN, START_LIMIT, Server
-from quota_gateway.policy.subsetting import subset
-from quota_gateway.policy.token_bucket import EPS
+from quota_gateway.policy.outlier_detection import is_outlier
+from quota_gateway.policy.subsetting import SubsetRing
+from quota_gateway.policy.token_bucket import EPSILON
+from quota_gateway.state.context import EngineContext
+from quota_gateway.state.records import EndpointState
+from quota_gateway.state.saved_state import SavedEndpoint
 
-if TYPE_CHECKING:
-    from quota_gateway.policy.engine import PolicyEngine
+FLEET_START_LIMIT = 8.0  # attempts in flight at an endpoint, all gateways together, before it is known
+START_TO_MINIMUM = 0.5  # times that, under pressure: with less the endpoint's cores would stand idle
+RETRY_POLL_FRACTION = 1 / 8  # of the poll interval until a poll that failed is made again
 
 
-def list_changed(gateway: PolicyEngine, event: EndpointListUpdate) -> None:
-    if event.kind is EndpointListKind.FAILED:
-        delay = gateway.settings.poll_interval / 8 * (0.5 + gateway.random.random())
-        return gateway.actions.append(SetTimer(max(delay, EPS), PollEndpointsTimer()))
-    if event.kind is not EndpointListKind.DELTA:
-        named = {b.endpoint_id for b in event.endpoints}
-        gateway.endpoints = {a: s for a, s in gateway.endpoints.items() if a in named}
-    for listed in event.endpoints:
-        backend = as_returned(gateway, listed)
-        server = gateway.endpoints.get(backend.endpoint_id)
-        if backend.status is EndpointStatus.REMOVED:
-            gateway.endpoints.pop(backend.endpoint_id, None)
-        elif server is None or server.backend.started_at != backend.started_at:
-            start_server(gateway, backend)
-        else:
-            server.backend = backend
-    set_order(gateway)
-    if event.kind is EndpointListKind.CACHED and not gateway.settings.endpoint_list_pushed:
-        gateway.actions.append(PollEndpoints())
+@dataclass(slots=True, eq=False)
+class EndpointRegistry:
+    """Owns the endpoints' states, by id."""
+
+    context: EngineContext
+    endpoints: dict[str, EndpointState] = field(default_factory=dict)
+    serving: list[EndpointState] = field(default_factory=list)
+    candidates: Sequence[EndpointState] = ()  # this gateway's subset, widened while it is unhealthy
+    assigned_subset: set[EndpointState] = field(default_factory=set)  # the same, never widened
+    under_maintenance: set[str] = field(default_factory=set)  # by operators, whatever the list says
+    ring: SubsetRing = field(default_factory=lambda: SubsetRing((), 0, 1))
+    returned_at: dict[str, float] = field(default_factory=dict)  # when operators ended a maintenance
 
+    def apply(self, update: EndpointListUpdate) -> None:
+        """Take over what discovery says; after a failure the list stays, and is polled again soon."""
+        context = self.context
+        if update.kind is EndpointListKind.FAILED:
+            delay = context.settings.poll_interval * RETRY_POLL_FRACTION * (0.5 + context.random.random())
+            context.set_timer(max(delay, EPSILON), PollEndpointsTimer())
+            return
+        if update.kind is not EndpointListKind.DELTA:
+            named = {endpoint.endpoint_id for endpoint in update.endpoints}
+            self.endpoints = {key: state for key, state in self.endpoints.items() if key in named}
+        for endpoint in update.endpoints:
+            self._apply_endpoint(self.as_returned(endpoint))
+        self.refresh_serving()
+        if update.kind is EndpointListKind.CACHED and not context.settings.endpoint_list_pushed:
+            context.emit(PollEndpoints())
+
+    def _apply_endpoint(self, endpoint: Endpoint) -> None:
+        state = self.endpoints.get(endpoint.endpoint_id)
+        if endpoint.status is EndpointStatus.REMOVED:
+            self.endpoints.pop(endpoint.endpoint_id, None)
+        elif state is None or state.endpoint.started_at != endpoint.started_at:
+            self._add(endpoint)
+        else:
+            state.endpoint = endpoint
 
-def start_server(gateway: PolicyEngine, backend: Endpoint) -> None:
-    limit = max(1.0, START_LIMIT / gateway.settings.gateway_count)
-    gateway.endpoints[backend.endpoint_id] = Server(backend, limit, gateway.now)
+    def _add(self, endpoint: Endpoint) -> None:
+        limit = max(1.0, FLEET_START_LIMIT / self.context.settings.gateway_count)
+        state = EndpointState(endpoint, limit, self.context.now, max(1.0, limit * START_TO_MINIMUM))
+        self.endpoints[endpoint.endpoint_id] = state
 
+    def set_maintenance(self, event: SetMaintenance) -> None:
+        """Keep to the operators' word until they take it back; what comes back is taken to be warming up."""
+        key = event.endpoint_id
+        if event.enabled:
+            self.under_maintenance.add(key)
+            self.context.emit(CloseIdleConnections(key))
+        elif key in self.under_maintenance:
+            self.under_maintenance.discard(key)
+            self.returned_at[key] = self.context.now
+            if key in self.endpoints:
+                self._add(self.as_returned(self.endpoints[key].endpoint))
+        self.refresh_serving()
 
-def set_order(gateway: PolicyEngine) -> None:
-    gateway.order = [
-        s
-        for s in gateway.endpoints.values()
-        if s.backend.status is EndpointStatus.SERVING and s.backend.endpoint_id not in gateway.banned
-    ]
-    index, count = gateway.settings.gateway_index, gateway.settings.gateway_count
-    gateway.own = set(subset(gateway.order, index, count, lambda s: True))
-    set_near(gateway)
+    def restore(self, saved: SavedEndpoint) -> None:
+        """Take over what another process learned of an endpoint since its start."""
+        state = self.endpoints.get(saved.endpoint_id)
+        if state is None:
+            return
+        state.endpoint = self.as_returned(state.endpoint)  # the list does not tell of a return
+        if state.endpoint.started_at == saved.started_at:
+            state.concurrency_limit = saved.concurrency_limit
+            state.failure_score = saved.failure_score
+            state.decayed_at = saved.decayed_at
 
+    def as_returned(self, endpoint: Endpoint) -> Endpoint:
+        """Return it with the time of its return, where the list does not know of a later start."""
+        returned_at = self.returned_at.get(endpoint.endpoint_id, 0.0)
+        if returned_at > (endpoint.started_at or 0.0):
+            return replace(endpoint, started_at=returned_at)
+        return endpoint
 
-def set_near(gateway: PolicyEngine) -> None:
-    index, count = gateway.settings.gateway_index, gateway.settings.gateway_count
-    gateway.near = subset(gateway.order, index, count, lambda s: s.bad < SHUN)
+    def refresh_serving(self) -> None:
+        """Find out anew which endpoints serve, and this gateway's subset of them."""
+        self.serving = [
+            endpoint
+            for endpoint in self.endpoints.values()
+            if endpoint.is_serving and endpoint.id not in self.under_maintenance
+        ]
+        settings = self.context.settings
+        self.ring = SubsetRing(self.serving, settings.gateway_index, settings.gateway_count)
+        self.assigned_subset = set(self.ring.select(lambda endpoint: True))
+        self.refresh_candidates()
 
+    def refresh_candidates(self) -> None:
+        """Widen the subset where too few of it are healthy, or narrow it again."""
+        self.candidates = self.ring.select(lambda endpoint: not is_outlier(endpoint))
 
-def as_returned(gateway: PolicyEngine, backend: Endpoint) -> Endpoint:
-    """What was put back may have been restarted before the list tells of it."""
-    returned = gateway.returned.get(backend.endpoint_id, 0.0)
-    return replace(backend, started_at=returned) if returned > (backend.started_at or 0.0) else backend
+    def is_usable(self, endpoint: EndpointState) -> bool:
+        """Return whether a request may go there by the list, the operators and its concurrency limit."""
+        current = self.endpoints.get(endpoint.id) is endpoint
+        serving = endpoint.is_serving and endpoint.id not in self.under_maintenance
+        return current and serving and endpoint.in_flight < endpoint.concurrency_limit
--- /dev/null
+++ b/quota_gateway/policy/fine_grained_quota.py
@@ -0,0 +1,148 @@
+"""Quotas that are too small to split: many gateways share a burst of which none could hold a request.
+
+Such a quota is not split. A reading of the counter tells the balance of the whole quota from the units that
+all gateways forwarded; while the counter is overloaded, a sample of the requests is read for all of them.
+"""
+
+from dataclasses import dataclass
+
+from quota_gateway.model.actions import IncrementCounter
+from quota_gateway.model.events import CounterReply
+from quota_gateway.model.outcomes import Outcome
+from quota_gateway.model.settings import Settings
+from quota_gateway.model.timers import ReportDemandTimer
+from quota_gateway.policy.quota_sync import READING_LIFETIME, CounterHealth
+from quota_gateway.policy.token_bucket import EPSILON
+from quota_gateway.state.context import EngineContext
+from quota_gateway.state.limiter_state import PERIOD, CounterCall
+from quota_gateway.state.records import Limiter, PendingRequest
+
+EPOCH = 60.0  # seconds of use that one name adds up: the longest that the counter keeps a name
+FRESH_FOR = PERIOD / 10  # that a reading serves further requests
+REPORT_DELAY = 0.25 * PERIOD  # until units are reported that no request waits for
+CORRECTION_THRESHOLD = 0.25  # of the burst: unused units from which the sum is corrected
+GRANT_WEIGHT = 0.15  # of one reading in a grant ratio: about the last dozen count
+
+
+def initial_grant_ratios(settings: Settings) -> dict[tuple[str, bool, bool], float]:
+    """Return the ratios before any reading: requests are granted that are covered and are no retries."""
+    kinds = [(False, False), (False, True), (True, False), (True, True)]
+    return {
+        (p.name, covered, retry): float(covered and not retry)
+        for p in settings.plans
+        for covered, retry in kinds
+    }
+
+
+@dataclass(slots=True, eq=False)
+class FineGrainedQuota:
+    """Reads and reports the units of quotas that are not split."""
+
+    context: EngineContext
+    counter: CounterHealth
+    # part of the sampled requests that the quota covered: by plan, by whether this gateway's part seemed to
+    # cover them, and by whether they were retries, most likely rejected elsewhere for want of quota
+    grant_ratios: dict[tuple[str, bool, bool], float]
+
+    def request_reading(self, request: PendingRequest) -> None:
+        """Have the request wait for a reading, where the balance known here can't decide on it."""
+        limiter = request.limiter
+        now = self.context.now
+        expired = now >= limiter.reading_valid_until
+        if expired and limiter.quota_fraction == 1.0:
+            limiter.set_quota_fraction(1.0 / limiter.quota_spread, now)
+        if limiter.awaiting_reading or now < limiter.reading_fresh_until or self.counter.is_paused():
+            return
+        wait = limiter.wait_time(request.units)
+        if not expired and wait > request.queue_deadline - now:
+            return  # too little, even if no other gateway has used any since
+        covered = wait <= 0 and (expired or limiter.balance >= limiter.capacity / 2)
+        pays_off = self._pays_off_unsampled(request, covered)
+        if self.context.random.random() >= self.counter.sampling_ratio:
+            request.reported_units = -1.0
+            request.admitted_unsampled = pays_off
+            return
+        request.covered_locally = covered
+        request.reported_units = request.units / self.counter.sampling_ratio if pays_off else request.units
+        limiter.awaiting_reading = True
+        self._call_counter(limiter, request.reported_units)
+
+    def _pays_off_unsampled(self, request: PendingRequest, covered: bool) -> bool:
+        """Return whether an unsampled request earns more than it costs, by those that were sampled."""
+        plan = request.plan
+        granted = self.grant_ratios[plan.name, covered, request.request.is_retry]
+        return granted + (1.0 - granted) * (plan.over_quota_value - plan.over_quota_cost) >= 0
+
+    def _call_counter(self, limiter: Limiter, requested_units: float, correction: float = 0.0) -> None:
+        name = f"{limiter.customer}.{int(self.context.now // EPOCH)}"
+        amount = limiter.unreported_units + requested_units
+        limiter.counter_calls.append(CounterCall(name, requested_units, amount))
+        self.context.emit(IncrementCounter(name, amount + correction, EPOCH))
+        limiter.unreported_units = 0.0
+
+    def report_unreported(self, limiter: Limiter) -> None:
+        """Report what no call has reported yet."""
+        if limiter.unreported_units and not self.counter.is_paused():
+            self._call_counter(limiter, 0.0)
+
+    def request_forwarded(self, request: PendingRequest) -> None:
+        """Report the request's units soon, if no call has."""
+        if request.limiter.is_fine_grained and request.reported_units == 0:
+            request.reported_units = request.units
+            self._report_soon(request.limiter, request.units)
+
+    def request_withdrawn(self, request: PendingRequest) -> None:
+        """Take back units that were reported for a request which is not forwarded."""
+        if request.limiter.is_fine_grained and request.reported_units > 0:
+            self._report_soon(request.limiter, -request.reported_units)
+            request.reported_units = 0.0
+
+    def _report_soon(self, limiter: Limiter, units: float) -> None:
+        limiter.unreported_units += units
+        if not limiter.report_scheduled:
+            limiter.report_scheduled = True
+            delay = REPORT_DELAY / self.counter.sampling_ratio
+            self.context.set_timer(delay, ReportDemandTimer(limiter.customer))
+
+    def apply_reply(self, limiter: Limiter, reply: CounterReply) -> bool:
+        """Take over a reading, or the failure of its call; False where no call is known."""
+        call = next((call for call in limiter.counter_calls if call.name == reply.name), None)
+        if call is None:
+            return False
+        limiter.counter_calls.remove(call)
+        if reply.outcome is Outcome.SUCCESS:
+            self._apply_total(limiter, call, reply.total)
+        elif reply.outcome is not Outcome.TIMED_OUT:  # nothing was added
+            limiter.unreported_units += call.amount
+        limiter.awaiting_reading = False
+        return True
+
+    def _apply_total(self, limiter: Limiter, call: CounterCall, total: float) -> None:
+        """Set the balance by the units forwarded since the name's start."""
+        now = self.context.now
+        burst = limiter.plan.burst
+        unused = limiter.plan.rate * (now % EPOCH) - total  # if there were no limit on the burst
+        self._correct_total(limiter, call, total, unused)
+        limiter.set_quota_fraction(1.0, now)
+        balance = burst + unused + call.requested_units
+        self._record_grant(limiter, call, balance)
+        forwarded = call.amount - call.requested_units
+        if balance < 0 < forwarded:  # beyond the quota, which takes nothing from it
+            self._report_soon(limiter, -min(forwarded, -balance))
+        limiter.balance = min(burst, balance) - limiter.queued_units
+        limiter.reading_fresh_until = now + FRESH_FOR
+        limiter.reading_valid_until = now + READING_LIFETIME
+
+    def _correct_total(self, limiter: Limiter, call: CounterCall, total: float, unused: float) -> None:
+        """Keep the sum within a burst of what the quota has earned."""
+        burst = limiter.plan.burst
+        if unused > burst and total <= call.amount + EPSILON:  # a new or forgotten name: its first caller
+            self._call_counter(limiter, 0.0, unused)
+        elif call.amount and unused > CORRECTION_THRESHOLD * burst:  # others may be doing the same
+            self._call_counter(limiter, 0.0, min(unused, burst / 2))
+
+    def _record_grant(self, limiter: Limiter, call: CounterCall, balance: float) -> None:
+        first = limiter.queue[0] if limiter.queue else None
+        if call.requested_units > 0 and first is not None and first.reported_units > 0:
+            key = (limiter.plan.name, first.covered_locally, first.request.is_retry)
+            self.grant_ratios[key] += GRANT_WEIGHT * ((balance >= first.units) - self.grant_ratios[key])
--- /dev/null
+++ b/quota_gateway/policy/forwarding.py
@@ -0,0 +1,122 @@
+"""Forwarding: starts the attempts of requests whose quota allows them, and gives all others their answer."""
+
+from dataclasses import dataclass, field
+
+from quota_gateway.model.actions import CancelAttempt, FailRequest, Reject, StartAttempt
+from quota_gateway.model.timers import LateAttemptTimer
+from quota_gateway.policy.admission import LATE_FRACTION, AdmissionController
+from quota_gateway.policy.fine_grained_quota import FineGrainedQuota
+from quota_gateway.policy.latency_estimates import LatencyEstimates, useful_until
+from quota_gateway.policy.load_balancing import LoadBalancer
+from quota_gateway.policy.retries import RetryBudget, client_may_repeat, remaining_window
+from quota_gateway.policy.token_bucket import EPSILON
+from quota_gateway.state.context import EngineContext
+from quota_gateway.state.limiter_state import PERIOD
+from quota_gateway.state.peer_process import PeerProcess
+from quota_gateway.state.records import AttemptState, EndpointState, PendingRequest
+
+SOON_FRACTION = 0.15  # of the latency objective: a Retry-After for one that can't wait for quota here
+
+
+@dataclass(slots=True, eq=False)
+class Forwarder:
+    """Owns the requests that have no answer or attempts in flight, by number."""
+
+    context: EngineContext
+    admission: AdmissionController
+    balancer: LoadBalancer
+    latency: LatencyEstimates
+    retry_budget: RetryBudget
+    fine_grained: FineGrainedQuota
+    peer: PeerProcess
+    requests: dict[int, PendingRequest] = field(default_factory=dict)
+
+    def forward(self, request: PendingRequest) -> None:
+        """Start an attempt, or shed the request if it has had none."""
+        shed = not request.attempts and self.admission.should_shed(request)
+        endpoint = None if shed else self.balancer.choose(request)
+        if endpoint is not None and self.balancer.may_send(request, endpoint):
+            self._start(request, endpoint)
+        else:
+            self._give_up(request)
+
+    def _give_up(self, request: PendingRequest) -> None:
+        if request.is_charged and not request.attempts:
+            request.limiter.give_back(request.units)
+            self.fine_grained.request_withdrawn(request)
+        self.answer_for_quota(request, PERIOD)
+
+    def _start(self, request: PendingRequest, endpoint: EndpointState) -> None:
+        if not request.attempts:
+            self._count_first_attempt(request)
+        attempt = AttemptState(endpoint, self.context.now, self.latency.expected(request))
+        send_within = remaining_window(request, self.context.now)
+        self.admission.attempt_started(endpoint)
+        request.limiter.in_flight += 1
+        request.in_flight += 1
+        request.attempts.append(attempt)
+        request.first_possibly_executed = request.first_possibly_executed or attempt
+        self.context.emit(StartAttempt(request.id, endpoint.id, self._timeout(request), send_within))
+        self.watch_lateness(request, len(request.attempts) - 1)
+
+    def _count_first_attempt(self, request: PendingRequest) -> None:
+        if request.plan.hard_limit_rate > 0:
+            request.limiter.hard_limit_balance -= request.units
+        self.retry_budget.deposit()
+        self.peer.report(request.limiter, 0.0 if request.over_quota else request.units)
+
+    def watch_lateness(self, request: PendingRequest, attempt_index: int) -> None:
+        """Set the timer for a late attempt; while the request's body comes its time has not begun."""
+        if not request.request.body_incomplete:
+            delay = max(LATE_FRACTION * request.latency_objective, EPSILON)
+            self.context.set_timer(delay, LateAttemptTimer(request.id, attempt_index))
+
+    def _timeout(self, request: PendingRequest) -> float:
+        """Return the seconds until an attempt's answer is worth little; 0 while the request's body comes."""
+        if request.request.body_incomplete:
+            return 0.0
+        now = self.context.now
+        until = max(useful_until(request), now + LATE_FRACTION * request.latency_objective)
+        return min(request.request.deadline, until) - now
+
+    def answer(self, request: PendingRequest, retry_after: float) -> None:
+        """End a request that is not served: the one place for this; `retry_after` is seconds."""
+        if request.answered or request.streaming:
+            return
+        request.answered = True
+        if client_may_repeat(request):
+            settings = self.context.settings
+            longest = settings.max_retry_after if settings.retry_after_allowed else 0.0
+            self.context.emit(Reject(request.id, min(max(retry_after, 0.0), longest)))
+        else:
+            self.context.emit(FailRequest(request.id))
+        self.cancel_attempts(request)
+        self.forget_if_finished(request)
+
+    def answer_for_quota(self, request: PendingRequest, wait: float) -> None:
+        """End a request for want of quota: its client may come back once there is some, if that is in time.
+
+        If not, soon: another gateway of the customer's may have quota, or an endpoint a free slot.
+        """
+        remaining = useful_until(request) - self.context.now - self.latency.expected(request)
+        soon = SOON_FRACTION * request.latency_objective
+        self.answer(request, wait if wait <= remaining else soon)
+
+    def cancel_attempts(self, request: PendingRequest) -> None:
+        """Cancel what is in flight, where this is allowed and no response is being passed on."""
+        if not self.context.settings.cancellation_allowed or request.streaming:
+            return
+        for index, attempt in enumerate(request.attempts):
+            if attempt.in_flight:
+                self.context.emit(CancelAttempt(request.id, index))
+
+    def forget_if_finished(self, request: PendingRequest) -> None:
+        """Drop an answered request without attempts; units that no attempt was sent with go back."""
+        if request.in_flight or not request.answered:
+            return
+        known = self.requests.pop(request.id, None) is not None
+        if known and request.attempts and request.never_sent and request.is_charged:
+            request.limiter.refill(self.context.now)
+            request.limiter.give_back(request.units)
+            self.fine_grained.request_withdrawn(request)
+            self.peer.report(request.limiter, -request.units)
--- /dev/null
+++ b/quota_gateway/policy/load_balancing.py
@@ -0,0 +1,104 @@
+"""Load balancing: the power of two random choices, by expected response time."""
+
+from collections.abc import Sequence
+from dataclasses import dataclass
+
+from quota_gateway.policy.endpoint_registry import EndpointRegistry
+from quota_gateway.policy.latency_estimates import LatencyEstimates
+from quota_gateway.policy.outlier_detection import OUTLIER_THRESHOLD, decay, is_rejecting
+from quota_gateway.policy.retries import may_repeat_at
+from quota_gateway.policy.slow_start import SlowStart
+from quota_gateway.policy.token_bucket import EPSILON
+from quota_gateway.state.context import EngineContext
+from quota_gateway.state.records import EndpointState, PendingRequest
+
+CHOICES = 2  # candidates compared: two see the load, more would all pick what one gateway sees as idle
+MAX_DRAWS = 8  # for these: with half of the fleet unfit one in 256 fails, and a scan is made
+
+
+@dataclass(slots=True, eq=False)
+class LoadBalancer:
+    """Chooses an endpoint for each attempt."""
+
+    context: EngineContext
+    registry: EndpointRegistry
+    slow_start: SlowStart
+    latency: LatencyEstimates
+
+    def choose(self, request: PendingRequest) -> EndpointState | None:
+        """Return the better of two drawn; unfit ones are drawn again, and outliers unless all are."""
+        pool = self._pool(request)
+        self.slow_start.choice = None
+        if not pool:
+            return self._first_allowed(request, pool)
+        best: EndpointState | None = None
+        best_cost = 0.0
+        found = 0
+        for draw in range(MAX_DRAWS):
+            endpoint = self._draw(pool)
+            if self.slow_start.is_warming_up(endpoint):
+                if draw == 0 and self._slow_start_allows(request, endpoint, False):
+                    return endpoint
+                continue
+            if not self.may_send(request, endpoint):
+                continue
+            cost = self._cost(request, endpoint)
+            if best is None or cost < best_cost:
+                best = endpoint
+                best_cost = cost
+            found += 1
+            if found >= CHOICES and best_cost < OUTLIER_THRESHOLD * request.latency_objective:
+                break
+        best = best or self._first_allowed(request, pool)
+        if best is None:
+            endpoint = self._draw(pool)
+            return endpoint if self._slow_start_allows(request, endpoint, True) else None
+        return best
+
+    def may_send(self, request: PendingRequest, endpoint: EndpointState) -> bool:
+        """Return whether one more attempt may go there: each rule is checked here and nowhere else."""
+        settings = self.context.settings
+        past_deadline = self.context.now >= request.request.deadline and not request.request.body_incomplete
+        if request.answered or request.streaming or request.not_resendable or past_deadline:
+            return False
+        if not self.registry.is_usable(endpoint):
+            return False
+        if len(request.attempts) >= settings.max_attempts:
+            return False
+        if request.in_flight and not settings.hedging_allowed:
+            return False
+        if not may_repeat_at(request, endpoint, self.context.now):
+            return False
+        if self.slow_start.is_warming_up(endpoint) and endpoint is not self.slow_start.choice:
+            return False
+        if request.attempts or request.plan.hard_limit_rate <= 0:
+            return True
+        return request.units <= request.limiter.hard_limit_balance + EPSILON
+
+    def _pool(self, request: PendingRequest) -> Sequence[EndpointState]:
+        candidates = self.registry.candidates
+        first = request.first_possibly_executed
+        if first is None or not request.has_idempotency_key:
+            return candidates
+        group = request.deduplication_group(first.endpoint)
+        return [endpoint for endpoint in candidates if request.deduplication_group(endpoint) == group]
+
+    def _draw(self, pool: Sequence[EndpointState]) -> EndpointState:
+        return pool[int(self.context.random.random() * len(pool))]
+
+    def _slow_start_allows(self, request: PendingRequest, endpoint: EndpointState, full: bool) -> bool:
+        return self.slow_start.draw(endpoint, full) and self.may_send(request, endpoint)
+
+    def _first_allowed(self, request: PendingRequest, pool: Sequence[EndpointState]) -> EndpointState | None:
+        everywhere = (*pool, *self.registry.serving)
+        return next((endpoint for endpoint in everywhere if self.may_send(request, endpoint)), None)
+
+    def _cost(self, request: PendingRequest, endpoint: EndpointState) -> float:
+        """Return the expected seconds of an attempt there, and a penalty for what speaks against it."""
+        decay(endpoint, self.context.now)
+        repeats = sum(1 for attempt in request.attempts if attempt.endpoint is endpoint)
+        repeats += is_rejecting(endpoint, request, self.context.now)
+        slowness = self.latency.machine_type_factor(endpoint.endpoint.machine_type)
+        slowness *= endpoint.in_flight + 1.0
+        penalty = endpoint.failure_score + endpoint.late_in_flight + repeats
+        return self.latency.expected(request) * slowness + penalty * request.latency_objective
--- /dev/null
+++ b/quota_gateway/policy/request_lifecycle.py
@@ -0,0 +1,99 @@
+"""The life of a request: its arrival, its body, and the end of its client."""
+
+from dataclasses import dataclass, replace
+
+from quota_gateway.model.actions import Reject
+from quota_gateway.model.events import RequestReceived
+from quota_gateway.policy.admission import AdmissionController
+from quota_gateway.policy.latency_estimates import LatencyEstimates, useful_until
+from quota_gateway.policy.quota_sync import QuotaSynchronizer
+from quota_gateway.policy.request_queue import RequestQueue
+from quota_gateway.state.context import EngineContext
+from quota_gateway.state.limiter_registry import LimiterRegistry
+from quota_gateway.state.limiter_state import PERIOD
+from quota_gateway.state.records import PendingRequest
+
+LATE_RETRY_LIMIT_FRACTION = 0.25  # of the concurrency limit, below which a retry that is too late goes on
+
+
+@dataclass(slots=True, eq=False)
+class RequestLifecycle:
+    """Takes requests in, and ends those that nobody waits for any more."""
+
+    context: EngineContext
+    limiters: LimiterRegistry
+    quota: QuotaSynchronizer
+    admission: AdmissionController
+    latency: LatencyEstimates
+    queue: RequestQueue
+
+    def request_received(self, event: RequestReceived) -> None:
+        """Forward, queue or reject a request."""
+        if event.request_id in self.queue.forwarder.requests:
+            return
+        now = self.context.now
+        request_class = self.context.request_classes.get(event.request_class)
+        plan = self.context.plans.get(event.plan)
+        if request_class is None or plan is None or event.deadline <= now:
+            self.context.emit(Reject(event.request_id, 0.0))
+            return
+        limiter = self.limiters.get(event.customer, event.quota_spread, plan)
+        limiter.refill(now)
+        limiter.record_demand(event.units, now)
+        first_sent_at = now - self.latency.retry_age(event, request_class)
+        request = PendingRequest(event, request_class, limiter, now, first_sent_at, now)
+        self.queue.forwarder.requests[request.id] = request
+        self._limit(request)
+
+    def _limit(self, request: PendingRequest) -> None:
+        limiter = request.limiter
+        if self._is_late_retry(request) and not self._has_spare_quota(request):
+            self.queue.forwarder.answer(request, PERIOD)
+            return
+        max_wait = self.queue.set_deadline(request)
+        if limiter.is_fine_grained:
+            self.queue.fine_grained.request_reading(request)
+        else:
+            self.quota.schedule_report(limiter)
+        if request.reported_units < 0 and not request.admitted_unsampled:
+            self.queue.forwarder.answer_for_quota(request, PERIOD)
+            return
+        self.queue.admit(request, max_wait)
+
+    def _is_late_retry(self, request: PendingRequest) -> bool:
+        """Return whether the answer to a retry would come too late: it would take a new request's place."""
+        finished_at = self.context.now + self.latency.expected(request)
+        return request.request.is_retry and finished_at > useful_until(request)
+
+    def _has_spare_quota(self, request: PendingRequest) -> bool:
+        """Return whether a request that earns nothing takes nothing from those that do."""
+        spare = self.admission.has_spare_capacity(LATE_RETRY_LIMIT_FRACTION)
+        return spare and request.limiter.is_half_full()
+
+    def body_received(self, request: PendingRequest, deadline: float) -> None:
+        """Start the time of a request whose body came while it was forwarded."""
+        if not request.request.body_incomplete:
+            return
+        request.request = replace(request.request, body_incomplete=False, deadline=deadline)
+        request.first_sent_at += self.context.now - request.received_at
+        for index, attempt in enumerate(request.attempts):
+            if attempt.in_flight:
+                self.queue.forwarder.watch_lateness(request, index)
+
+    def client_disconnected(self, request: PendingRequest) -> None:
+        """End a request that nobody waits for."""
+        request.answered = True
+        self.queue.forwarder.cancel_attempts(request)
+        self.queue.remove(request)
+        self.queue.release(request.limiter)
+        self.queue.forwarder.forget_if_finished(request)
+
+    def client_half_closed(self, request: PendingRequest) -> None:
+        """Send nothing more; an attempt in flight may still serve a client that only ended its sending."""
+        if request.answered or request.streaming:
+            return
+        request.not_resendable = True
+        self.queue.remove(request)
+        if not request.in_flight:
+            self.queue.forwarder.answer(request, PERIOD)
+        self.queue.release(request.limiter)
--- /dev/null
+++ b/quota_gateway/policy/request_queue.py
@@ -0,0 +1,109 @@
+"""Rate limiting of requests: each is forwarded at once, queued for a bounded time, or rejected."""
+
+from dataclasses import dataclass
+
+from quota_gateway.model.timers import QueueTimeoutTimer, ReleaseQueueTimer
+from quota_gateway.policy.admission import AdmissionController
+from quota_gateway.policy.fine_grained_quota import FineGrainedQuota
+from quota_gateway.policy.forwarding import Forwarder
+from quota_gateway.policy.latency_estimates import useful_until
+from quota_gateway.policy.token_bucket import EPSILON
+from quota_gateway.state.context import EngineContext
+from quota_gateway.state.records import Limiter, PendingRequest
+
+MAX_WAIT_FRACTION = 0.4  # of the latency objective that a request may be queued: the endpoint needs the rest
+OVER_QUOTA_LIMIT_FRACTION = 0.5  # of the concurrency limit, below which paid requests over the quota go on
+MIN_TIMER = 1e-6  # seconds
+
+
+@dataclass(slots=True, eq=False)
+class RequestQueue:
+    """Charges requests to their limiters, and keeps the order in which they came."""
+
+    context: EngineContext
+    admission: AdmissionController
+    fine_grained: FineGrainedQuota
+    forwarder: Forwarder
+
+    def set_deadline(self, request: PendingRequest) -> float:
+        """Bound the time that the request may be queued, and return it in seconds."""
+        now = self.context.now
+        useful = max(useful_until(request) - now, 0.0)
+        remaining = request.request.deadline - now
+        wait = min(MAX_WAIT_FRACTION * request.latency_objective, useful, remaining / 2)
+        request.queue_deadline = now + wait
+        return wait
+
+    def admit(self, request: PendingRequest, max_wait: float) -> None:
+        """Forward a request that the limiter covers, else queue it if it is released in time."""
+        limiter = request.limiter
+        first = not limiter.queue and limiter.has_free_slot() and not limiter.awaiting_reading
+        if first and (request.admitted_unsampled or limiter.wait_time(request.units) <= 0):
+            limiter.balance -= request.units if limiter.plan.rate > 0 else 0.0
+            self.fine_grained.request_forwarded(request)
+            self.forwarder.forward(request)
+            return
+        wait = limiter.queueing_time(request.units)
+        if wait > max_wait and not limiter.awaiting_reading:
+            self._overflow(request, wait)
+            return
+        limiter.enqueue(request)
+        self.release(limiter)
+        self.context.set_timer(max(max_wait, MIN_TIMER), QueueTimeoutTimer(request.id))
+
+    def release(self, limiter: Limiter) -> None:
+        """Forward what the balance covers, reject what waited too long, and set the next exact timer."""
+        now = self.context.now
+        limiter.refill(now)
+        while limiter.queue and not limiter.awaiting_reading:
+            request = limiter.queue[0]
+            wait = limiter.wait_time(request.units)
+            too_long = limiter.is_fine_grained and now + wait > request.queue_deadline + EPSILON
+            if request.answered or too_long:
+                self._drop(request)
+            elif limiter.has_free_slot() and wait <= EPSILON:
+                limiter.dequeue(request)
+                self.fine_grained.request_forwarded(request)
+                self.forwarder.forward(request)
+            else:
+                self._set_release_timer(limiter, wait)
+                return
+
+    def _set_release_timer(self, limiter: Limiter, wait: float) -> None:
+        due = self.context.now + wait
+        earlier = limiter.release_due <= self.context.now or due < limiter.release_due - EPSILON
+        if limiter.has_free_slot() and earlier:
+            limiter.release_due = due
+            self.context.set_timer(max(wait, MIN_TIMER), ReleaseQueueTimer(limiter.customer))
+
+    def time_out(self, request: PendingRequest) -> None:
+        """End the wait of a request, wherever it stands: its client may have less time than those before."""
+        if request in request.limiter.queue:
+            request.limiter.refill(self.context.now)
+            self._drop(request)
+            self.release(request.limiter)
+
+    def remove(self, request: PendingRequest) -> None:
+        """Take a request out if it is queued; its units go to those behind it."""
+        if request in request.limiter.queue:
+            request.limiter.dequeue(request)
+            request.limiter.balance += request.units
+            self.fine_grained.request_withdrawn(request)
+
+    def _drop(self, request: PendingRequest) -> None:
+        self.remove(request)
+        self._overflow(request, request.limiter.wait_time(request.units))
+
+    def _overflow(self, request: PendingRequest, wait: float) -> None:
+        """Reject what can't be queued, unless the plan pays for it beyond its quota and there is capacity.
+
+        Then it is forwarded uncharged: it takes nothing that is meant for another.
+        """
+        plan = request.plan
+        pays = plan.over_quota_value > plan.over_quota_cost and plan.hard_limit_rate <= 0
+        spare = self.admission.has_spare_capacity(OVER_QUOTA_LIMIT_FRACTION)
+        if pays and spare and not request.attempts and not request.answered:
+            request.over_quota = True
+            self.forwarder.forward(request)
+        else:
+            self.forwarder.answer_for_quota(request, wait)
--- /dev/null
+++ b/quota_gateway/policy/retries.py
@@ -0,0 +1,58 @@
+"""Retries: a budget over all requests, and what a request's idempotency allows."""
+
+from dataclasses import dataclass
+
+from quota_gateway.model.settings import Idempotency, IdempotencyScope
+from quota_gateway.state.records import EndpointState, PendingRequest
+
+RETRIES_PER_REQUEST = 0.15  # earned by each first attempt: bounds what retries add in a bad hour
+MAX_SAVED_RETRIES = 10.0  # enough for one endpoint's sudden end
+
+
+@dataclass(slots=True, eq=False)
+class RetryBudget:
+    """Retries that may still be made, beyond those of attempts that took no work."""
+
+    balance: float = MAX_SAVED_RETRIES
+
+    def deposit(self) -> None:
+        """Earn part of a retry, for a first attempt."""
+        self.balance = min(self.balance + RETRIES_PER_REQUEST, MAX_SAVED_RETRIES)
+
+    def is_available(self) -> bool:
+        """Return whether one more retry may be made."""
+        return self.balance >= 1.0
+
+    def withdraw(self) -> None:
+        """Spend one retry."""
+        self.balance -= 1.0
+
+
+def may_repeat_at(request: PendingRequest, endpoint: EndpointState, now: float) -> bool:
+    """Return whether another attempt there can't make the request take effect twice."""
+    first = request.first_possibly_executed
+    if first is None:
+        return True
+    if request.request_class.idempotency is Idempotency.NON_IDEMPOTENT:
+        return False
+    if not request.has_idempotency_key:
+        return True
+    same_group = request.deduplication_group(first.endpoint) == request.deduplication_group(endpoint)
+    return same_group and now - first.sent_at < request.request_class.idempotency_window
+
+
+def remaining_window(request: PendingRequest, now: float) -> float:
+    """Return the seconds within which a keyed retry must be written; 0 for no bound."""
+    first = request.first_possibly_executed
+    if first is None or not request.has_idempotency_key:
+        return 0.0
+    return first.sent_at + request.request_class.idempotency_window - now
+
+
+def client_may_repeat(request: PendingRequest) -> bool:
+    """Return whether the client can send the request again and harm nothing."""
+    if request.first_possibly_executed is None:
+        return True
+    request_class = request.request_class
+    deduplicated = request.has_idempotency_key and request_class.idempotency_scope is IdempotencyScope.ALL
+    return deduplicated or request_class.idempotency is Idempotency.IDEMPOTENT
--- a/quota_gateway/policy/slow_start.py
+++ b/quota_gateway/policy/slow_start.py
@@ -1,64 +1,66 @@
-"""How much a cold backend is sent: a budget for the whole fleet, of which each gateway spends its part.
+"""Slow start: endpoints that are warming up get a budget of the fleet, of which each gateway spends its part.
 
-Let gateway i send r_i attempts a second, first and further ones, spread evenly over its own n of all backends
-(subset.py), and let R be the gateways that have a backend among their own. A warm one is sent L = sum over R
-of r_i / n a second. It can do C of mean work, and L <= C while the fleet is large enough for what it admits.
-A cold one has the part s of that by the settings, and falls once it is sent more than N = multiple * s * C *
-W requests within W seconds. If each gateway lets an attempt go to it with probability p / n, all of them send
-it p * L a second, whatever their rates are: gateway i spends r_i / (sum over R of r_j) of that. With p <=
-PART * multiple * s it is at most PART * N * L / C within W. Draws are independent, so that the sum over the
-gateways is as uneven as chance makes any such number, by its root, however many they are. What lies between
-PART * N and N is for what no gateway can see: rates that are unevenly spread over R, and load beyond C until
-it is shed.
-
-A gateway that has widened its choice lets those be that are not its own, and draws its own as often as
-before. Why a backend is cold makes no difference: new, come back at its old id, or put back by an operator.
+An endpoint with the part s of its capacity fails once it is sent N = overload ratio * s times what a warm
+one does in the window. Each gateway keeps a draw that falls on it with a probability of BUDGET_FRACTION *
+overload ratio * s at most: the fleet stays below N whatever its rates are (derived in docs/design.md).
 """
 
-from __future__ import annotations
-
-from typing import TYPE_CHECKING
+from dataclasses import dataclass
 
-from quota_gateway.policy.records import SHUN, Job, Server
+from quota_gateway.policy.endpoint_registry import EndpointRegistry
+from quota_gateway.policy.outlier_detection import is_outlier
+from quota_gateway.state.context import EngineContext
+from quota_gateway.state.records import EndpointState
 
-if TYPE_CHECKING:
-    from quota_gateway.policy.engine import PolicyEngine
+BUDGET_FRACTION = 0.5  # of N that the fleet spends at most: twice the even load may come before it is passed
 
-PART = 0.5  # of N that the fleet spends at most: twice the even load may come before it is passed
 
+@dataclass(slots=True, eq=False)
+class SlowStart:
+    """Draws by chance which attempts go to endpoints that are warming up."""
 
-def budget(gateway: PolicyEngine, server: Server) -> float:
-    """The probability with which a draw out of `near` that falls on this cold backend may be kept."""
-    if server not in gateway.own:
-        return 0.0
-    wider = len(gateway.near) / len(gateway.own)
-    return (
-        PART
-        * gateway.settings.slow_start_overload_ratio
-        * server.cold_share(gateway.now, gateway.settings)
-        * wider
-    )
+    context: EngineContext
+    registry: EndpointRegistry
+    choice: EndpointState | None = None  # the endpoint that the last draw allowed
 
+    def factor(self, endpoint: EndpointState) -> float:
+        """Return the part of its capacity that an endpoint has at least by now; 1 once it is warm."""
+        settings = self.context.settings
+        started_at = endpoint.endpoint.started_at
+        age = settings.slow_start_window if started_at is None else max(0.0, self.context.now - started_at)
+        if age >= settings.slow_start_window:
+            return 1.0
+        minimum = settings.slow_start_minimum
+        return minimum + (1.0 - minimum) * age / settings.slow_start_window
 
-def cold_chance(gateway: PolicyEngine, server: Server) -> float:
-    """The part kept of draws that fall on a cold backend: as much work as warm ones have, within the budget.
+    def is_warming_up(self, endpoint: EndpointState) -> bool:
+        """Return whether it may not have its whole capacity yet."""
+        return self.factor(endpoint) < 1.0
 
-    Each has it by what it can do: where few are sound and warm, that is more.
-    """
-    sound = sum(s.cold_share(gateway.now, gateway.settings) for s in gateway.near if s.bad < SHUN)
-    even = server.cold_share(gateway.now, gateway.settings) * len(gateway.near) / max(sound, 1.0)
-    return min(even, budget(gateway, server))
+    def budget(self, endpoint: EndpointState) -> float:
+        """Return the probability with which a draw that falls on it may be kept at most."""
+        if endpoint not in self.registry.assigned_subset:
+            return 0.0
+        widening = len(self.registry.candidates) / len(self.registry.assigned_subset)
+        ratio = self.context.settings.slow_start_overload_ratio
+        return BUDGET_FRACTION * ratio * self.factor(endpoint) * widening
 
+    def probability(self, endpoint: EndpointState) -> float:
+        """Return the probability with which it is kept: as much work as warm ones get, within the budget.
 
-def keeps(gateway: PolicyEngine, job: Job, server: Server, full: bool) -> bool:
-    """Whether an attempt that was drawn for a cold backend goes there.
+        Each gets work by what it can do: where few are healthy and warm, that is more.
+        """
+        candidates = self.registry.candidates
+        capacity = sum(self.factor(candidate) for candidate in candidates if not is_outlier(candidate))
+        even = self.factor(endpoint) * len(candidates) / max(capacity, 1.0)
+        return min(even, self.budget(endpoint))
 
-    What is left of the budget is for when the warm ones are full.
-    """
-    if server.cold_share(gateway.now, gateway.settings) >= 1.0:
-        return False
-    chance = cold_chance(gateway, server)
-    if full:
-        chance = budget(gateway, server) - chance
-    gateway.drawn = server if gateway.random.random() < chance else None
-    return gateway.drawn is server and gateway.may_send(job, server)
+    def draw(self, endpoint: EndpointState, warm_ones_are_full: bool) -> bool:
+        """Return whether an attempt drawn for it goes there; the rest of the budget is for full others."""
+        if not self.is_warming_up(endpoint):
+            return False
+        probability = self.probability(endpoint)
+        if warm_ones_are_full:
+            probability = self.budget(endpoint) - probability
+        self.choice = endpoint if self.context.random.random() < probability else None
+        return self.choice is endpoint
--- a/quota_gateway/policy/subsetting.py
+++ b/quota_gateway/policy/subsetting.py
@@ -1,56 +1,58 @@
-"""Which backends a gateway of a large fleet uses: a part of them that is its own, and covers them evenly.
+"""Deterministic subsetting: which endpoints a gateway of a large fleet uses.
 
-Backends hold few connections, each of which costs work to open, and a gateway learns of a backend only by its
-own answers: spread over all of a large fleet's it would meet each too seldom to know it.
+Endpoints hold few connections, each of which costs work to open, and a gateway learns of an endpoint only by
+its own responses: over all endpoints of a large fleet it would meet each too seldom to know it.
 """
 
-from __future__ import annotations
-
 import math
 import zlib
 from collections import defaultdict
 from collections.abc import Callable, Sequence
-from typing import TYPE_CHECKING
 
-if TYPE_CHECKING:
-    from quota_gateway.policy.records import Server
+from quota_gateway.state.records import EndpointState
+
+GATEWAYS_PER_ENDPOINT = 10  # the end of one or two of them shifts little load
+MIN_SIZE = 12  # endpoints that a gateway uses at least: without one zone of three, eight are left
+MIN_HEALTHY = 0.6  # of its usual number: with fewer healthy ones it takes more in
+
 
-REACHED_BY = 10  # gateways that use each backend: the end of one or two of them shifts little load
-LEAST_SIZE = 12  # backends that a gateway uses at least: without a zone of three eight are left
-SOUND_PART = 0.6  # of its usual number that must be sound: with less it takes more in
+def subset_size(endpoints: int, gateways: int) -> int:
+    """Return how many endpoints a gateway uses: all of a small fleet's."""
+    return min(endpoints, max(MIN_SIZE, math.ceil(GATEWAYS_PER_ENDPOINT * endpoints / gateways)))
 
 
-def size_of(backends: int, gateways: int) -> int:
-    """How many backends a gateway uses: all of a small fleet's."""
-    return min(backends, max(LEAST_SIZE, math.ceil(REACHED_BY * backends / gateways)))
+class SubsetRing:
+    """Endpoints on a ring of length 1, alike at all gateways; each gateway has an arc of it."""
 
+    def __init__(self, endpoints: Sequence[EndpointState], gateway_index: int, gateways: int) -> None:
+        self._endpoints = endpoints
+        self._size = subset_size(len(endpoints), gateways)
+        self._begin = gateway_index / gateways
+        self._ring = _positions(endpoints) if self._size < len(endpoints) else []
 
-def subset(
-    servers: Sequence[Server], me: int, gateways: int, sound: Callable[[Server], bool]
-) -> Sequence[Server]:
-    """This gateway's backends, more of them while too few of its own are sound."""
-    size = size_of(len(servers), gateways)
-    if size == len(servers):
-        return servers
-    ring = places(servers)
-    begin, length = me / gateways, size / len(servers)
-    while True:
-        own = [server for place, server in ring if (place - begin) % 1.0 < length]
-        if length >= 1.0 or sum(map(sound, own)) >= SOUND_PART * size:
-            return own
-        length *= 2
+    def select(self, is_healthy: Callable[[EndpointState], bool]) -> Sequence[EndpointState]:
+        """Return this gateway's endpoints, more of them while too few of its own are healthy."""
+        if not self._ring:
+            return self._endpoints
+        begin = self._begin
+        length = self._size / len(self._endpoints)
+        while True:
+            chosen = [endpoint for position, endpoint in self._ring if (position - begin) % 1.0 < length]
+            if length >= 1.0 or sum(map(is_healthy, chosen)) >= MIN_HEALTHY * self._size:
+                return chosen
+            length *= 2
 
 
-def places(servers: Sequence[Server]) -> list[tuple[float, Server]]:
-    """Places on a ring of length 1, alike at all gateways: each zone's backends evenly all the way round.
+def _positions(endpoints: Sequence[EndpointState]) -> list[tuple[float, EndpointState]]:
+    """Return positions by which each zone is spread evenly over the ring.
 
-    The order within a zone is that of a hash, so that one that comes or goes moves the others by one place.
+    Within a zone the order is that of a hash, so that one that comes or goes moves the others by one place.
     """
-    zones: dict[str, list[Server]] = defaultdict(list)
-    for server in servers:
-        zones[server.backend.zone].append(server)
-    ring = []
+    zones: dict[str, list[EndpointState]] = defaultdict(list)
+    for endpoint in endpoints:
+        zones[endpoint.endpoint.zone].append(endpoint)
+    positions = []
     for zone in zones.values():
-        zone.sort(key=lambda s: (zlib.crc32(s.backend.endpoint_id.encode()), s.backend.endpoint_id))
-        ring += [((rank + 0.5) / len(zone), server) for rank, server in enumerate(zone)]
-    return ring
+        zone.sort(key=lambda endpoint: (zlib.crc32(endpoint.id.encode()), endpoint.id))
+        positions += [((rank + 0.5) / len(zone), endpoint) for rank, endpoint in enumerate(zone)]
+    return positions
--- a/quota_gateway/policy/token_bucket.py
+++ b/quota_gateway/policy/token_bucket.py
@@ -1,79 +1,80 @@
-"""A customer's throttle at one gateway: the token bank and the job buffer of the design, as one level."""
+"""A customer's rate limiter: a token bucket with a bounded first-in first-out queue.
 
-from __future__ import annotations
-
-from collections import deque
+The bucket's tokens and the queued units are one number, the balance: the paper's token bank above zero and
+its job buffer below, clamped at the bucket's capacity. A request is charged when it comes, and leaves in
+order once the balance without those behind it covers it.
+"""
 
 from quota_gateway.model.settings import Plan
-from quota_gateway.policy.records import Job
-
-PERIOD = 1.0  # seconds a demand count covers; the design's own, and short against a client's patience
-EPS = 1e-9  # float slack where levels are compared
-
-
-class Throttle:
-    """Token bank and job buffer of one customer here, as one level: above nought credit, below units held.
-
-    A request is charged as it comes and leaves first come, once the credit without those behind covers it.
-    """
-
-    def __init__(
-        self, customer: str, plan: Plan, width: int, now: float, born: float, most_units: float = 0.0
-    ) -> None:
-        self.customer, self.plan, self.width = customer, plan, width
-        self.share = 1.0 / width
-        self.rate, self.bank = plan.rate * self.share, plan.burst * self.share
-        self.level, self.stamp = self.bank, now
-        self.queue: deque[Job] = deque()
-        self.held = self.timer = 0.0
-        self.open = 0
-        # this gateway's part of the ceiling, as far as refilled since its start: before that it may have sent
-        self.cap_depth, self.cap_rate = plan.hard_limit_burst / width, plan.hard_limit_rate / width
-        self.cap = min(self.cap_depth, self.cap_rate * (now - born))
-        self.second, self.asked, self.last_asked = -1, 0.0, 0.0
-        self.own = self.total = self.read_until = self.fresh_until = 0.0
-        self.counting = self.asking = False  # a timer to count, a reading that requests wait for, is out
-        self.added, self.reading = 0.0, ""  # what this gateway added to the name it reads, and that name
-        self.thin = width > 1 and 0 < plan.burst < most_units * width and plan.rate > 0
-        self.uncounted = 0.0  # units sent on that the counter has not been told, or told too much if below
-        self.calls: deque[tuple[str, float, float]] = deque()  # out: name, units asked for, amount to keep
+from quota_gateway.state.limiter_state import LimiterState, Queued
+
+EPSILON = 1e-9  # tolerance of float comparisons
+
+
+def is_too_small_to_split(plan: Plan, quota_spread: int, max_units: float) -> bool:
+    """Return whether a gateway's part of the burst may be below one request; `max_units` is the largest."""
+    return quota_spread > 1 and 0 < plan.burst < max_units * quota_spread and plan.rate > 0
+
+
+class TokenBucketLimiter(LimiterState[Queued]):
+    """One customer's limiter at this gateway."""
 
     def refill(self, now: float) -> None:
-        self.level = max(self.level, min(self.level + self.rate * (now - self.stamp), self.bank - self.held))
-        self.cap = min(self.cap_depth, self.cap + self.cap_rate * (now - self.stamp))
-        self.stamp = now
+        """Add the tokens since the last refill, up to the capacity that queued requests leave."""
+        earned = self.balance + self.rate * (now - self.updated_at)
+        self.balance = max(self.balance, min(earned, self.capacity - self.queued_units))
+        hard_limit = self.hard_limit_balance + self.hard_limit_rate * (now - self.updated_at)
+        self.hard_limit_balance = min(self.hard_limit_capacity, hard_limit)
+        self.updated_at = now
 
-    def set_share(self, share: float, now: float) -> None:
+    def set_quota_fraction(self, fraction: float, now: float) -> None:
+        """Give this gateway another part of the quota, from now on."""
         self.refill(now)
-        self.share = share
-        self.rate, self.bank = self.plan.rate * share, self.plan.burst * share
-        self.level = min(self.level, self.bank - self.held)
+        self.quota_fraction = fraction
+        self.rate = self.plan.rate * fraction
+        self.capacity = self.plan.burst * fraction
+        self.balance = min(self.balance, self.capacity - self.queued_units)
+
+    def give_back(self, units: float) -> None:
+        """Return units that were charged and not used."""
+        self.balance = min(self.balance + units, self.capacity - self.queued_units)
 
-    def wait(self, units: float) -> float:
-        """Seconds until the head of the buffer, or a newcomer to an empty one, may leave."""
+    def wait_time(self, units: float) -> float:
+        """Return the seconds until the head of the queue, or a request to an empty one, may leave."""
         wait = 0.0
-        short = min(units, self.bank) - (self.level + self.held)
-        if self.plan.rate > 0 and short > EPS:
-            wait = short / self.rate
-        if self.plan.hard_limit_rate > 0 and units - self.cap > EPS:
-            wait = max(wait, (units - self.cap) / self.cap_rate)
+        missing = min(units, self.capacity) - (self.balance + self.queued_units)
+        if self.plan.rate > 0 and missing > EPSILON:
+            wait = missing / self.rate
+        if self.plan.hard_limit_rate > 0 and units - self.hard_limit_balance > EPSILON:
+            wait = max(wait, (units - self.hard_limit_balance) / self.hard_limit_rate)
         return wait
 
-    def has_open(self) -> bool:
-        return self.plan.concurrency <= 0 or self.open < max(1, self.plan.concurrency // self.width)
+    def queueing_time(self, units: float) -> float:
+        """Return the seconds that a request would wait behind those that are queued."""
+        wait = self.wait_time(0.0 if self.queue else units)
+        if self.plan.rate > 0:
+            wait = max(wait, (min(units, self.capacity) - self.balance) / self.rate)
+        return wait
 
-    def note_demand(self, units: float, now: float) -> None:
-        second = int(now // PERIOD)
-        if second != self.second:
-            self.last_asked = self.asked if second == self.second + 1 else 0.0
-            self.second, self.asked = second, 0.0
-        self.asked += units
+    def has_free_slot(self) -> bool:
+        """Return whether the plan's limit on concurrent attempts allows one more here."""
+        limit = self.plan.concurrency
+        return limit <= 0 or self.in_flight < max(1, limit // self.quota_spread)
 
-    def unhold(self, job: Job) -> None:
-        self.queue.remove(job)
-        self.held = self.held - job.request.units if self.queue else 0.0
+    def is_half_full(self) -> bool:
+        """Return whether at least half of the capacity is left, not counting queued requests."""
+        return self.balance + self.queued_units >= self.capacity / 2
+
+    def is_idle(self, now: float) -> bool:
+        """Return whether a new limiter would be in the same state."""
+        self.refill(now)
+        full = self.plan.rate <= 0 or self.balance >= self.capacity - EPSILON
+        full = full and self.hard_limit_balance >= self.hard_limit_capacity - EPSILON
+        waiting = self.report_scheduled or self.counter_calls or self.awaiting_reading
+        return full and not (self.queue or self.in_flight or waiting)
 
-    def idle(self, now: float) -> bool:
+    def merge_balance(self, other: float, now: float) -> None:
+        """Take over another process's balance, less what was spent here: of the two the lower counts."""
         self.refill(now)
-        full = (self.plan.rate <= 0 or self.level >= self.bank - EPS) and self.cap >= self.cap_depth - EPS
-        return full and not (self.queue or self.open or self.counting or self.calls or self.asking)
+        spent = max(self.capacity - self.balance, 0.0)
+        self.balance = min(self.balance, other - spent)
--- a/quota_gateway/simulator/adapter.py
+++ b/quota_gateway/simulator/adapter.py
@@ -8,6 +8,7 @@
 from typing import Any, TextIO
 
 from quota_gateway.configuration.settings_reader import STATUSES, read_settings
+from quota_gateway.engine.policy_engine import PolicyEngine
 from quota_gateway.errors import SimulatorProtocolError
 from quota_gateway.model.actions import (
     Action,
@@ -33,7 +34,6 @@
 )
 from quota_gateway.model.outcomes import Outcome
 from quota_gateway.model.timers import decode_timer, encode_timer
-from quota_gateway.policy.engine import PolicyEngine
 
 OUTCOMES = {
     "GOOD": Outcome.SUCCESS,
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -14,6 +14,7 @@
 from multiprocessing import Pool
 from typing import Any
 
+from quota_gateway.engine.policy_engine import PolicyEngine
 from quota_gateway.model.actions import FailRequest, Reject, SetTimer, StartAttempt
 from quota_gateway.model.endpoints import Endpoint, EndpointListKind, EndpointStatus
 from quota_gateway.model.events import (
@@ -27,7 +28,6 @@
 from quota_gateway.model.outcomes import Outcome
 from quota_gateway.model.settings import Idempotency, IdempotencyScope, Plan, RequestClass, Settings
 from quota_gateway.model.timers import Timer
-from quota_gateway.policy.engine import PolicyEngine
 from tests.policy_harness import SETTINGS
 
 TRANSIT = 0.001  # seconds between a gateway and a backend
--- a/tests/policy_harness.py
+++ b/tests/policy_harness.py
@@ -4,6 +4,7 @@
 
 from dataclasses import replace
 
+from quota_gateway.engine.policy_engine import PolicyEngine
 from quota_gateway.model.actions import Action, FailRequest, IncrementCounter, Reject, SetTimer, StartAttempt
 from quota_gateway.model.endpoints import Endpoint, EndpointListKind, EndpointStatus
 from quota_gateway.model.events import (
@@ -18,7 +19,6 @@
 from quota_gateway.model.outcomes import Outcome
 from quota_gateway.model.settings import Idempotency, IdempotencyScope, Plan, RequestClass, Settings
 from quota_gateway.model.timers import decode_timer, encode_timer
-from quota_gateway.policy.engine import PolicyEngine
 
 SAFE = RequestClass("read", Idempotency.IDEMPOTENT, IdempotencyScope.ALL, 5.0, 1.0, 4.0, 0.0, 1.0, False)
 KEYED = RequestClass(
--- a/tests/recorder.py
+++ b/tests/recorder.py
@@ -14,6 +14,7 @@
 from dataclasses import replace
 from typing import Any
 
+from quota_gateway.engine.policy_engine import PolicyEngine
 from quota_gateway.model.actions import (
     Action,
     CancelAttempt,
@@ -49,9 +50,6 @@
 from quota_gateway.model.outcomes import Outcome
 from quota_gateway.model.settings import Plan, Settings
 from quota_gateway.model.timers import encode_timer
-from quota_gateway.policy.engine import PolicyEngine
-from quota_gateway.policy.maintenance import avoided
-from quota_gateway.policy.state_snapshot import estate_of
 from tests.policy_harness import CAPPED, OPEN, PLAN, SETTINGS
 
 FOLDER = pathlib.Path(__file__).parent / "recorded"
@@ -218,7 +216,7 @@
         else:
             self.tell(engine, HealthCheckResult(self.chance.choice(ENDPOINTS), Outcome.SUCCESS, 0.01, ()))
             made = self.engines[engine]
-            self.write(f"  avoided {avoided(made)} takes clients {made.accepts_clients()}")
+            self.write(f"  avoided {made.unavailable_endpoints()} takes clients {made.accepts_clients()}")
 
     def ask(self, engine: int) -> None:
         self.number += 1
@@ -301,14 +299,14 @@
 
     def start_successor(self) -> None:
         self.engines.append(PolicyEngine(self.settings, 77, self.now))
-        listed = tuple(s.backend for s in self.engines[0].endpoints.values())
+        listed = tuple(s.endpoint for s in self.engines[0].endpoints.values())
         self.tell(1, EndpointListUpdate(EndpointListKind.CACHED, listed))
         self.hand_over(0, 1)
         for number in range(2):
             self.tell(number, PeerProcessChanged(True))
 
     def hand_over(self, old: int, new: int) -> None:
-        state = json.dumps(estate_of(self.engines[old]).state)
+        state = json.dumps(self.engines[old].snapshot().state)
         self.write("  state " + state)
         self.tell(new, StateSnapshot(json.loads(state)))
 
--- a/tests/test_body_streaming.py
+++ b/tests/test_body_streaming.py
@@ -67,7 +67,10 @@
             assert (await client.ask(request(2)))[0] == 200  # and its connection is good for more
             figures = await bed.metrics()
             assert figures["success.lookup"] == 2 == figures["dispatches"] and not figures["concurrent"]
-            assert bed.process.dispatcher.active_requests == {} and bed.process.dispatcher.engine.jobs == {}
+            assert (
+                bed.process.dispatcher.active_requests == {}
+                and bed.process.dispatcher.engine.forwarder.requests == {}
+            )
 
     run(test)
 
@@ -152,7 +155,10 @@
             await client.reader.readexactly(100)
             client.reset()
             await bed.backends[0].until(lambda: bed.backends[0].ended == 1)
-            assert not bed.process.dispatcher.active_requests and not bed.process.dispatcher.engine.jobs
+            assert (
+                not bed.process.dispatcher.active_requests
+                and not bed.process.dispatcher.engine.forwarder.requests
+            )
 
     run(test)
 
@@ -318,7 +324,10 @@
     assert [a.timer for a in actions if isinstance(a, SetTimer)] == [
         LateAttemptTimer(1, 0)
     ]  # from now on it may be late
-    assert made.jobs[1].request.deadline == 156.0 and made.jobs[1].asked == 150.0
+    assert (
+        made.forwarder.requests[1].request.deadline == 156.0
+        and made.forwarder.requests[1].first_sent_at == 150.0
+    )
 
 
 def test_what_is_no_longer_kept_is_not_sent_again() -> None:
@@ -334,11 +343,11 @@
     made = gateway()
     (send,) = (a for a in made.handle(asked_for(1), 100.0) if isinstance(a, StartAttempt))
     made.handle(ResponseStreamStarted(1, 0, 0.05), 100.05)
-    assert made.flight == 0 and made.endpoints[send.endpoint_id].flight == 0
+    assert made.admission.in_flight == 0 and made.endpoints[send.endpoint_id].in_flight == 0
     made.handle(TimerFired(LateAttemptTimer(1, 0)), 101.0)
-    assert made.passed == 1.0 and made.endpoints[send.endpoint_id].bad == 0.0
+    assert made.admission.admit_ratio == 1.0 and made.endpoints[send.endpoint_id].failure_score == 0.0
     assert made.handle(ended(1, 0, send.endpoint_id, Outcome.BROKEN_RESPONSE, over=True), 140.0) == []
-    assert made.flight == 0 and not made.jobs
+    assert made.admission.in_flight == 0 and not made.forwarder.requests
 
 
 def test_ready_is_answered_beside_long_answers() -> None:
--- a/tests/test_client_disconnect.py
+++ b/tests/test_client_disconnect.py
@@ -106,19 +106,19 @@
     async def test() -> None:
         async with waiting(state) as (bed, client):
             driver, seen = bed.process.dispatcher, len(bed.seen())
-            throttle = next(iter(driver.engine.throttles.values()))
-            before = throttle.level
+            throttle = next(iter(driver.engine.limiters.limiters.values()))
+            before = throttle.balance
             if leave == "closes":
                 client.writer.close()
             else:
                 client.reset()
             await until(lambda: not driver.active_requests and not driver.pool.connecting)
             bed.counter.free.set()
-            await until(lambda: not throttle.asking)
-            assert len(bed.seen()) == seen and not driver.engine.jobs and not throttle.queue
+            await until(lambda: not throttle.awaiting_reading)
+            assert len(bed.seen()) == seen and not driver.engine.forwarder.requests and not throttle.queue
             if state != "repeat":  # that one's first attempt took its units
                 throttle.refill(driver.clock())
-                assert throttle.level >= min(before + 1.0, throttle.bank) and throttle.held == 0
+                assert throttle.balance >= min(before + 1.0, throttle.capacity) and throttle.queued_units == 0
 
     run(test)
 
@@ -153,7 +153,7 @@
             await until(lambda: not front.connections)
             bed.counter.free.set()
             await until(lambda: not bed.process.dispatcher.active_requests)
-            assert not bed.seen() and not bed.process.dispatcher.engine.jobs
+            assert not bed.seen() and not bed.process.dispatcher.engine.forwarder.requests
 
     run(test)
 
@@ -173,8 +173,8 @@
             client.send(request(1))
             await until(lambda: bool(bed.seen()))
             client.writer.write_eof()
-            (job,) = bed.process.dispatcher.engine.jobs.values()
-            await until(lambda: job.spent)
+            (job,) = bed.process.dispatcher.engine.forwarder.requests.values()
+            await until(lambda: job.not_resendable)
             cut.set()
             assert (await client.answer())[0] == 429  # safe to repeat: it may come again
             assert len(bed.seen()) == 1
--- a/tests/test_client_retries.py
+++ b/tests/test_client_retries.py
@@ -7,9 +7,9 @@
 
 import pytest
 
+from quota_gateway.engine.policy_engine import PolicyEngine
 from quota_gateway.model.actions import Action, Reject, StartAttempt
 from quota_gateway.model.events import Event, RequestReceived
-from quota_gateway.policy.engine import PolicyEngine
 from tests.harness import request as http_request
 from tests.harness import run, running
 from tests.policy_harness import SAFE, gateway, request
@@ -24,7 +24,7 @@
     """A gateway that has seen a first try, with enough out that there is no room to spare."""
     made = gateway(**changes)
     made.handle(replace(request(1, customer="first"), client_timeout=patience), 100.0)
-    made.limit = made.flight * 4.0
+    made.admission.concurrency_limit = made.admission.in_flight * 4.0
     return made
 
 
@@ -33,7 +33,9 @@
     made = busy()
     late = made.handle(repeat(2, SAFE.deadline - 1.5 * SAFE.latency_objective), 100.0)
     assert [type(a) for a in late] == [Reject] and late[0].retry_after > 0  # type: ignore[union-attr]
-    assert made.throttles["x2"].level == made.throttles["x2"].bank  # and took nothing of the quota
+    assert (
+        made.limiters.limiters["x2"].balance == made.limiters.limiters["x2"].capacity
+    )  # and took nothing of the quota
     assert any(
         isinstance(a, StartAttempt)
         for a in made.handle(repeat(3, SAFE.deadline - 0.3 * SAFE.latency_objective), 100.0)
@@ -43,11 +45,11 @@
 
 def test_a_repeat_that_comes_too_late_is_served_where_there_is_room() -> None:
     made = busy()
-    made.limit = float("inf")
+    made.admission.concurrency_limit = float("inf")
     tries = [made.handle(repeat(n, 1.0), 100.0) for n in (2, 3)]
     assert all(any(isinstance(a, StartAttempt) for a in actions) for actions in tries)
-    spent = made.throttles["x2"]
-    spent.level = spent.bank / 4  # what is left there is for fresh ones
+    spent = made.limiters.limiters["x2"]
+    spent.balance = spent.capacity / 4  # what is left there is for fresh ones
     again = replace(repeat(4, 1.0), customer="x2")
     assert [type(a) for a in made.handle(again, 100.0)] == [Reject]
 
@@ -85,8 +87,8 @@
     actions = made.handle(repeat(2, SAFE.deadline - 0.4 * SAFE.latency_objective), 100.0)
     sent = next(a for a in actions if isinstance(a, StartAttempt))
     assert sent.timeout == pytest.approx(0.6 * SAFE.latency_objective)
-    throttle = made.throttles["x2"]
-    throttle.level = 1.0 - 0.3 * throttle.rate  # 0.3 s short: a fresh one is held for it, an old one is not
+    throttle = made.limiters.limiters["x2"]
+    throttle.balance = 1.0 - 0.3 * throttle.rate  # 0.3 s short: a fresh one is held for it, an old one is not
     old = replace(repeat(3, SAFE.deadline - 0.8 * SAFE.latency_objective), customer="x2")
     assert any(isinstance(a, Reject) for a in made.handle(old, 100.0))
     assert not any(isinstance(a, Reject) for a in made.handle(request(4, customer="x2"), 100.0))
@@ -127,8 +129,8 @@
     made.handle(request(1, units=4.0), 100.0)
     assert advice(made, request(2, units=3.0)) == pytest.approx(0.15 * SAFE.latency_objective)  # 1.5 s here
     pressed = gateway()
-    pressed.limit = -1.0
+    pressed.admission.concurrency_limit = -1.0
     assert advice(pressed, request(3)) == pytest.approx(0.15 * SAFE.latency_objective)
     silent = gateway(retry_after_allowed=False)
-    silent.limit = -1.0
+    silent.admission.concurrency_limit = -1.0
     assert advice(silent, request(4)) == 0.0
--- a/tests/test_fleet_of_engines.py
+++ b/tests/test_fleet_of_engines.py
@@ -9,6 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from quota_gateway.engine.policy_engine import PolicyEngine
 from quota_gateway.model.actions import Action, IncrementCounter, Reject, SetTimer, StartAttempt
 from quota_gateway.model.endpoints import EndpointListKind
 from quota_gateway.model.events import (
@@ -21,7 +22,6 @@
 from quota_gateway.model.outcomes import Outcome
 from quota_gateway.model.settings import Plan
 from quota_gateway.model.timers import decode_timer, encode_timer
-from quota_gateway.policy.engine import PolicyEngine
 from tests.policy_harness import CAPPED, PLAN, SETTINGS, backend, backends, ended, gateway, request
 
 STEPS = st.lists(st.tuples(st.integers(0, 10**6), st.floats(0.0, 0.4)), min_size=40, max_size=160)
@@ -54,7 +54,7 @@
                 told = CounterReply(action.name, Outcome.SUCCESS, 0.001, self.sums[action.name])
                 self.take(me, self.gateways[me].handle(told, self.now))
             elif isinstance(action, StartAttempt):
-                job = self.gateways[me].jobs[action.request_id]
+                job = self.gateways[me].forwarder.requests[action.request_id]
                 self.sent.append((self.now, job.request.units))
                 over = ended(action.request_id, 0, action.endpoint_id, Outcome.SUCCESS)
                 self.take(me, self.gateways[me].handle(over, self.now))
@@ -123,8 +123,8 @@
         for action in actions:
             if isinstance(action, IncrementCounter):
                 made.handle(CounterReply(action.name, Outcome.TIMED_OUT, 0.05, 0.0), 100.05 + number)
-    throttle = made.throttles["c"]
-    assert throttle.share == 1 / 100 and throttle.bank == PLAN.burst / 100
+    throttle = made.limiters.limiters["c"]
+    assert throttle.quota_fraction == 1 / 100 and throttle.capacity == PLAN.burst / 100
 
 
 def test_corrections_of_one_sum_do_not_run_away() -> None:
@@ -179,7 +179,7 @@
     sent = next(a for a in made.handle(request(1), 100.0) if isinstance(a, StartAttempt))
     over = replace(ended(1, 0, sent.endpoint_id, Outcome.SUCCESS), load_report=(9.0, 9.0))
     made.handle(over, 100.1)
-    assert made.jobs == {}
+    assert made.forwarder.requests == {}
 
 
 def beyond(sent: list[tuple[float, float]], plan: Plan) -> float:
@@ -216,7 +216,7 @@
         fleet.go_to(at)
         number += 1
         me, before = number * 37 % 100, len(fleet.sent)
-        fleet.gateways[me].counted_part = 0.4
+        fleet.gateways[me].counter.sampling_ratio = 0.4
         fleet.ask(me, number, 1.0, attempt > 1)
         if len(fleet.sent) == before and attempt < 3:
             heapq.heappush(coming, (at + 0.3, attempt + 1))
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -20,7 +20,6 @@
 from quota_gateway.model.charges import UnitsCharged
 from quota_gateway.model.events import PeerProcessChanged, SetDraining, SetMaintenance, StateSnapshot
 from quota_gateway.model.outcomes import Outcome
-from quota_gateway.policy.state_snapshot import estate_of
 from tests.fakes import HOST, SOON, serve_after
 from tests.harness import READY, Client, GatewayHarness, request, roomy_settings, run, running
 from tests.policy_harness import ended, gateway
@@ -38,7 +37,7 @@
 
 def handed(made: Any) -> StateSnapshot:
     """The estate as it comes through the link."""
-    return StateSnapshot(json.loads(json.dumps(estate_of(made).state)))
+    return StateSnapshot(json.loads(json.dumps(made.snapshot().state)))
 
 
 def test_a_quota_spent_at_the_older_process_is_spent_at_the_newer() -> None:
@@ -46,15 +45,15 @@
     bank = 4.0  # half of the plan's burst
     assert len(sent_on(old, 1, bank)) == 1
     new.handle(handed(old), 100.0)
-    assert new.throttles["c"].level == 0.0 and not sent_on(new, 2, 1.0)
+    assert new.limiters.limiters["c"].balance == 0.0 and not sent_on(new, 2, 1.0)
 
 
 def test_requests_held_at_the_older_process_are_charged_when_they_are_sent_on() -> None:
     old, new = gateway(), gateway()
     sent_on(old, 1, 4.0)
-    assert not sent_on(old, 2, 0.5) and old.throttles["c"].held == 0.5
+    assert not sent_on(old, 2, 0.5) and old.limiters.limiters["c"].queued_units == 0.5
     new.handle(handed(old), 100.0)
-    assert new.throttles["c"].level == 0.0
+    assert new.limiters.limiters["c"].balance == 0.0
 
 
 def test_what_one_of_two_sends_on_is_taken_at_the_other() -> None:
@@ -67,11 +66,11 @@
     charge = next(a for a in actions if isinstance(a, UnitsCharged))
     assert charge == UnitsCharged("c", "small", 2, 2.0)
     new.handle(charge, 100.0)
-    assert new.throttles["c"].level == 2.0
+    assert new.limiters.limiters["c"].balance == 2.0
     where = next(a.endpoint_id for a in actions if isinstance(a, StartAttempt))
     settled = old.handle(ended(2, 0, where, Outcome.SUCCESS, true_units=3.0), 100.0)
     new.handle(next(a for a in settled if isinstance(a, UnitsCharged)), 100.0)
-    assert new.throttles["c"].level == 1.0
+    assert new.limiters.limiters["c"].balance == 1.0
 
 
 def test_bans_a_drain_and_a_return_go_over() -> None:
@@ -81,8 +80,12 @@
     old.handle(SetMaintenance("b", False), 100.5)
     old.handle(SetDraining(True), 100.0)
     new.handle(handed(old), 101.0)
-    assert new.banned == {"a"} and [s.backend.endpoint_id for s in new.order] == ["b"] and new.draining
-    assert new.endpoints["b"].cold_share(101.0, new.settings) < 0.5
+    assert (
+        new.registry.under_maintenance == {"a"}
+        and [s.endpoint.endpoint_id for s in new.registry.serving] == ["b"]
+        and new.draining
+    )
+    assert new.slow_start.factor(new.endpoints["b"]) < 0.5
 
 
 class Pair:
@@ -271,7 +274,9 @@
                 estate = {**program.dispatcher.state_snapshot().state, "banned": []}
                 link = next(iter(made.links))
                 link.data_received(json.dumps({"estate": estate, "list": []}).encode() + b"\n")
-                assert program.dispatcher.engine.banned == {"b0"}  # what was said meanwhile holds
+                assert program.dispatcher.engine.registry.under_maintenance == {
+                    "b0"
+                }  # what was said meanwhile holds
                 link.data_received(b"[nonsense\n")
                 made.close()
                 older.close()
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -5,7 +5,6 @@
 from quota_gateway.model.actions import CloseIdleConnections, DrainClientConnections, StartAttempt
 from quota_gateway.model.endpoints import EndpointStatus
 from quota_gateway.model.events import SetDraining, SetMaintenance
-from quota_gateway.policy.maintenance import avoided, knows
 from tests.policy_harness import backend, backends, gateway, request
 
 
@@ -27,7 +26,7 @@
     ):
         made.handle(listed, 100.0)
         assert sends(made, range(100, 120)) <= {"b"}
-    assert avoided(made) == 1 and knows(made, "a")
+    assert made.unavailable_endpoints() == 1 and made.knows_endpoint("a")
 
 
 def test_every_backend_banned_leaves_none_to_serve_with() -> None:
@@ -42,13 +41,13 @@
     for out in (True, True, False, False):  # two calls out need one call back
         made.handle(SetMaintenance("a", out), 100.0)
     server = made.endpoints["a"]
-    assert server.cold_share(100.0, made.settings) == made.settings.slow_start_minimum
+    assert made.slow_start.factor(server) == made.settings.slow_start_minimum
     made.handle(backends(backend("a"), backend("b")), 101.0)  # not told of the restart yet
     assert made.endpoints["a"] is server
     made.handle(backends(backend("a", started=99.5), backend("b")), 101.0)
     assert made.endpoints["a"] is server
     made.handle(backends(backend("a", started=102.0), backend("b")), 103.0)
-    assert made.endpoints["a"].backend.started_at == 102.0
+    assert made.endpoints["a"].endpoint.started_at == 102.0
 
 
 def test_a_drain_changes_no_admission() -> None:
--- a/tests/test_no_attempt_after_disconnect.py
+++ b/tests/test_no_attempt_after_disconnect.py
@@ -149,12 +149,12 @@
             for number, units in enumerate(("8", "4")):  # all of the bank
                 assert (await client.ask(request(number, plan="pro", units=units)))[0] == 200
             client.send(request(9, plan="pro"))
-            (throttle,) = driver.engine.throttles.values()
+            (throttle,) = driver.engine.limiters.limiters.values()
             await until(lambda: bool(throttle.queue))
 
             def come() -> None:
-                throttle.level += 4.0
-                driver.engine.now = driver.clock()
+                throttle.balance += 4.0
+                driver.engine.context.now = driver.clock()
                 driver.timer_fired(ReleaseQueueTimer(throttle.customer), driver.clock())
         elif state == "uploading":
             loop.late = dials
@@ -193,12 +193,12 @@
                 latest.extend(t - end for t in case.begun)
                 driver = case.bed.process.dispatcher
                 assert (
-                    not driver.engine.jobs
+                    not driver.engine.forwarder.requests
                     and not driver.active_requests
                     and not case.bed.process.pool.connecting
                 )
-                for throttle in driver.engine.throttles.values():
-                    assert throttle.held == 0 and not throttle.queue and not throttle.open
+                for throttle in driver.engine.limiters.limiters.values():
+                    assert throttle.queued_units == 0 and not throttle.queue and not throttle.in_flight
             this_loop().late = {}
 
     run_on_virtual_clock(test)
@@ -211,17 +211,17 @@
     async def test() -> None:
         for state in ("counter", "dial"):
             async with waiting(state, 0.2) as case:
-                (throttle,) = case.bed.process.dispatcher.engine.throttles.values()
+                (throttle,) = case.bed.process.dispatcher.engine.limiters.limiters.values()
                 throttle.rate = 0.0  # so that time brings none
-                before = throttle.level + (1.0 if state == "dial" else throttle.held)
+                before = throttle.balance + (1.0 if state == "dial" else throttle.queued_units)
                 leave(case.client, how)
                 await asyncio.sleep(0.15)
                 case.come()
                 await asyncio.sleep(1.0)
                 throttle.rate = 0.0
                 if state == "dial":
-                    assert throttle.level == pytest.approx(before)
-                told = sum(amount for _, amount in case.bed.counter.calls) + throttle.uncounted
+                    assert throttle.balance == pytest.approx(before)
+                told = sum(amount for _, amount in case.bed.counter.calls) + throttle.unreported_units
                 assert told == pytest.approx(0.0)  # what the counter was told, less what it is yet to be
             this_loop().late = {}
 
@@ -262,7 +262,7 @@
             if state == "dial":
                 loop.late = {port_of(b): 0.12 for b in bed.backends}
                 for server in driver.engine.endpoints.values():
-                    server.limit = BURST
+                    server.concurrency_limit = BURST
             for number, client in enumerate(clients):
                 client.send(request(number, customer=f"{number:016x}"))
             await until(lambda: len(driver.active_requests) >= 0.6 * BURST)
@@ -280,6 +280,6 @@
             )
             assert max(late, default=0.0) <= ALLOWED
             await asyncio.sleep(3.0)
-            assert not driver.engine.jobs and not driver.active_requests
+            assert not driver.engine.forwarder.requests and not driver.active_requests
 
     run_on_virtual_clock(test)
--- a/tests/test_policy_invariants.py
+++ b/tests/test_policy_invariants.py
@@ -9,12 +9,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from quota_gateway.engine.policy_engine import PolicyEngine
 from quota_gateway.model.actions import FailRequest, Reject, SetTimer, StartAttempt
 from quota_gateway.model.endpoints import EndpointListKind, EndpointStatus
 from quota_gateway.model.events import ClientDisconnected, TimerFired
 from quota_gateway.model.outcomes import Outcome
 from quota_gateway.model.timers import LateAttemptTimer, ReleaseQueueTimer
-from quota_gateway.policy.engine import PolicyEngine
 from tests.policy_harness import CAPPED, SETTINGS, EngineHarness, backend, backends, ended, gateway, request
 
 STEP = st.tuples(
@@ -80,10 +80,16 @@
                         total
                         <= CAPPED.hard_limit_burst / 2 + CAPPED.hard_limit_rate / 2 * (end - start) + 1e-6
                     )
-    for throttle in watch.gateway.throttles.values():
-        assert throttle.level <= throttle.bank + 1e-6 and not throttle.queue and abs(throttle.held) < 1e-6
-        assert throttle.open >= 0
-    assert not watch.gateway.jobs or all(job.out for job in watch.gateway.jobs.values())
+    for throttle in watch.gateway.limiters.limiters.values():
+        assert (
+            throttle.balance <= throttle.capacity + 1e-6
+            and not throttle.queue
+            and abs(throttle.queued_units) < 1e-6
+        )
+        assert throttle.in_flight >= 0
+    assert not watch.gateway.forwarder.requests or all(
+        job.in_flight for job in watch.gateway.forwarder.requests.values()
+    )
 
 
 def where(actions: Sequence[object]) -> str:
@@ -224,7 +230,7 @@
             at = where(more) if any(isinstance(a, StartAttempt) for a in more) else ""
         if at:
             made.handle(ended(number, attempt, at, Outcome.SUCCESS), now + 0.05)
-    assert away <= 15 and made.endpoints["b0"].bad == 0
+    assert away <= 15 and made.endpoints["b0"].failure_score == 0
     asks = [request(500 + n, "pay", "capped", f"y{n}", 1.0, 190.0, 1) for n in range(9)]
     assert full & {where(made.handle(ask, 180.0)) for ask in asks}
 
@@ -239,7 +245,7 @@
 def test_time_going_back_stands_still_and_unknown_classes_are_refused() -> None:
     made = gateway()
     made.handle(request(1, klass="nonsense"), 100.0)
-    assert made.jobs == {}
+    assert made.forwarder.requests == {}
     made.handle(request(2), 101.0)
     made.handle(request(3), 50.0)
-    assert made.now == 101.0 and made.jobs[3].arrived == 101.0
+    assert made.context.now == 101.0 and made.forwarder.requests[3].received_at == 101.0
--- a/tests/test_recorded_messages.py
+++ b/tests/test_recorded_messages.py
@@ -12,7 +12,6 @@
 from quota_gateway.hot_restart.coordinator import HotRestartCoordinator, ProcessLink
 from quota_gateway.model.charges import UnitsCharged
 from quota_gateway.model.events import StateSnapshot
-from quota_gateway.policy.state_snapshot import estate_of
 from tests.harness import GatewayHarness, run, running
 from tests.policy_harness import gateway
 
@@ -66,18 +65,20 @@
             made, link, _ = link_of(bed, tmp_path, older=True)
             told = json.loads(FROM_OLDER[0])
             link.data_received(FROM_OLDER[0].encode() + b"\n")
-            assert engine.banned == {"b1"}
-            assert engine.returned == told["estate"]["returned"]
-            assert engine.kinds == told["estate"]["kinds"]
+            assert engine.registry.under_maintenance == {"b1"}
+            assert engine.registry.returned_at == told["estate"]["returned"]
+            assert engine.latency.machine_type_factors == told["estate"]["kinds"]
             # idle ones with nothing spent may be dropped again, but never the last that came
-            assert set(engine.throttles) <= {row[0] for row in told["estate"]["throttles"]}
-            assert "0000000000000005" in engine.throttles
+            assert set(engine.limiters.limiters) <= {row[0] for row in told["estate"]["throttles"]}
+            assert "0000000000000005" in engine.limiters.limiters
             for line in FROM_OLDER[1:]:
-                known = set(engine.throttles)
+                known = set(engine.limiters.limiters)
                 link.data_received(line.encode() + b"\n")
-                for customer in set(engine.throttles) - known:
-                    assert engine.throttles[customer].level == 199.0  # one unit of 200 was charged there
-            assert engine.banned == {"b0"} and not engine.draining
+                for customer in set(engine.limiters.limiters) - known:
+                    assert (
+                        engine.limiters.limiters[customer].balance == 199.0
+                    )  # one unit of 200 was charged there
+            assert engine.registry.under_maintenance == {"b0"} and not engine.draining
             made.close()
 
     run(test)
@@ -90,8 +91,8 @@
             made, link, written = link_of(bed, tmp_path, older=False)
             for line in FROM_NEWER:
                 link.data_received(line.encode() + b"\n")
-            assert engine.banned == {"b0"} and engine.draining and made.successor is link
-            assert "000000000000001a" in engine.throttles
+            assert engine.registry.under_maintenance == {"b0"} and engine.draining and made.successor is link
+            assert "000000000000001a" in engine.limiters.limiters
             answer, before = json.loads(written.lines()[0]), json.loads(FROM_OLDER[0])
             assert list(answer) == list(before)
             # without customers there is no row to compare; all else has the keys and forms of then
@@ -117,7 +118,7 @@
     state["granted"] = [["small", *row[1:]] for row in state["granted"] if row[0] == "basis"]
     made = gateway(now=now)
     made.handle(StateSnapshot(json.loads(json.dumps(state))), now)
-    again = json.loads(json.dumps(estate_of(made).state))
+    again = json.loads(json.dumps(made.snapshot().state))
     assert list(again) == list(state)
     mine = [row for row in again["granted"] if row[0] == "small"]
     assert sorted(mine) == sorted(state["granted"])
--- a/tests/test_request_dispatcher.py
+++ b/tests/test_request_dispatcher.py
@@ -6,9 +6,9 @@
 
 import pytest
 
+from quota_gateway.engine.policy_engine import PolicyEngine
 from quota_gateway.model.actions import Action, FailRequest, StartAttempt
 from quota_gateway.model.events import Event, RequestReceived
-from quota_gateway.policy.engine import PolicyEngine
 from tests.fakes import Asked, Step, message, serve
 from tests.harness import GatewayHarness, request, roomy_settings, run, running
 
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -68,7 +68,7 @@
 
 
 def test_an_exception_goes_out_as_crash(monkeypatch: pytest.MonkeyPatch) -> None:
-    from quota_gateway.policy.engine import PolicyEngine
+    from quota_gateway.engine.policy_engine import PolicyEngine
 
     def fail(*_: object) -> None:
         raise RuntimeError("it broke")
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -6,12 +6,11 @@
 
 import pytest
 
+from quota_gateway.engine.policy_engine import PolicyEngine
 from quota_gateway.model.actions import StartAttempt
 from quota_gateway.model.events import SetMaintenance
-from quota_gateway.policy.endpoint_registry import set_near
-from quota_gateway.policy.engine import PolicyEngine
-from quota_gateway.policy.records import SHUN
-from quota_gateway.policy.slow_start import PART, budget, cold_chance
+from quota_gateway.policy.outlier_detection import OUTLIER_THRESHOLD
+from quota_gateway.policy.slow_start import BUDGET_FRACTION
 from tests.fleet import Result, cases, play
 from tests.policy_harness import SETTINGS, backend, backends, gateway, request
 
@@ -22,13 +21,13 @@
     warm = [backend(f"w{n}") for n in range(5 - cold)]
     made = gateway(now=100.0, listed=backends(*warm, *(backend(f"c{n}", started=95.0) for n in range(cold))))
     server = made.endpoints["c0"]
-    share = server.cold_share(100.0, made.settings)
+    share = made.slow_start.factor(server)
     for n in range(sick):
-        made.endpoints[f"w{n}"].bad = SHUN
-    most = made.settings.slow_start_overload_ratio * PART * share
+        made.endpoints[f"w{n}"].failure_score = OUTLIER_THRESHOLD
+    most = made.settings.slow_start_overload_ratio * BUDGET_FRACTION * share
     even = share * 5 / (5 - cold - sick + cold * share)  # of what each of the sound ones can do
     # never more than is safe, and that where the others could not take the rest
-    assert cold_chance(made, server) == pytest.approx(min(even, most))
+    assert made.slow_start.probability(server) == pytest.approx(min(even, most))
     assert (even > most) == (sick > 0)
 
 
@@ -52,23 +51,30 @@
     # a gateway that saw others fail raised its part by what it alone saw, and so did those that had widened
     fleet = fleet_of(width, count)
     for me, made in enumerate(fleet):
-        made.settings = replace(made.settings, slow_start_overload_ratio=multiple)
-        for server in made.near:
-            server.bad = SHUN * (
-                server.backend.endpoint_id != "c" and me % 3 > 0
+        made.context.settings = replace(made.settings, slow_start_overload_ratio=multiple)
+        for server in made.registry.candidates:
+            server.failure_score = OUTLIER_THRESHOLD * (
+                server.endpoint.endpoint_id != "c" and me % 3 > 0
             )  # most see all others as bad
-        set_near(made)
+        made.registry.refresh_candidates()
     rates = [1.0 + 9.0 * (me % 7 == 0) for me in range(width)]  # some have ten times what others have
-    reach = [me for me, made in enumerate(fleet) if made.endpoints["c"] in made.own]
-    even = sum(rates[me] / len(fleet[me].own) for me in reach)  # a second, to a warm one
-    share = fleet[0].endpoints["c"].cold_share(100.0, fleet[0].settings)
-    drawn = [rates[me] / len(made.near) for me, made in enumerate(fleet)]
-    most = sum(rate * budget(made, made.endpoints["c"]) for rate, made in zip(drawn, fleet, strict=True))
-    kept = sum(rate * cold_chance(made, made.endpoints["c"]) for rate, made in zip(drawn, fleet, strict=True))
-    assert most == pytest.approx(PART * multiple * share * even)
+    reach = [me for me, made in enumerate(fleet) if made.endpoints["c"] in made.registry.assigned_subset]
+    even = sum(rates[me] / len(fleet[me].registry.assigned_subset) for me in reach)  # a second, to a warm one
+    share = fleet[0].slow_start.factor(fleet[0].endpoints["c"])
+    drawn = [rates[me] / len(made.registry.candidates) for me, made in enumerate(fleet)]
+    most = sum(
+        rate * made.slow_start.budget(made.endpoints["c"]) for rate, made in zip(drawn, fleet, strict=True)
+    )
+    kept = sum(
+        rate * made.slow_start.probability(made.endpoints["c"])
+        for rate, made in zip(drawn, fleet, strict=True)
+    )
+    assert most == pytest.approx(BUDGET_FRACTION * multiple * share * even)
     assert kept <= most + 1e-9
     assert all(
-        cold_chance(made, made.endpoints["c"]) == 0 for me, made in enumerate(fleet) if me not in reach
+        made.slow_start.probability(made.endpoints["c"]) == 0
+        for me, made in enumerate(fleet)
+        if me not in reach
     )
 
 
--- a/tests/test_subsetting.py
+++ b/tests/test_subsetting.py
@@ -8,47 +8,47 @@
 
 from quota_gateway.model.actions import StartAttempt
 from quota_gateway.model.endpoints import Endpoint, EndpointListKind, EndpointStatus
-from quota_gateway.policy.records import Server
-from quota_gateway.policy.subsetting import LEAST_SIZE, size_of, subset
+from quota_gateway.policy.subsetting import MIN_SIZE, SubsetRing, subset_size
+from quota_gateway.state.records import EndpointState
 from tests.policy_harness import backends, gateway, request
 
 ZONES = ("a", "b", "c")
 GATEWAYS = 40
 
 
-def fleet(backends: Iterable[int]) -> list[Server]:
+def fleet(backends: Iterable[int]) -> list[EndpointState]:
     return [
-        Server(Endpoint(f"s{n}", ZONES[n % 3], "k", n, EndpointStatus.SERVING, 1.0, None), 1.0, 0.0)
+        EndpointState(Endpoint(f"s{n}", ZONES[n % 3], "k", n, EndpointStatus.SERVING, 1.0, None), 1.0, 0.0)
         for n in backends
     ]
 
 
-def sound(server: Server) -> bool:
-    return server.bad == 0.0
+def sound(server: EndpointState) -> bool:
+    return server.failure_score == 0.0
 
 
-def names(servers: Iterable[Server]) -> set[str]:
-    return {s.backend.endpoint_id for s in servers}
+def names(servers: Iterable[EndpointState]) -> set[str]:
+    return {s.endpoint.endpoint_id for s in servers}
 
 
-def parts(servers: list[Server], gateways: int = GATEWAYS) -> list[set[str]]:
-    return [names(subset(servers, me, gateways, sound)) for me in range(gateways)]
+def parts(servers: list[EndpointState], gateways: int = GATEWAYS) -> list[set[str]]:
+    return [names(SubsetRing(servers, me, gateways).select(sound)) for me in range(gateways)]
 
 
 def test_a_small_fleet_uses_every_backend_in_the_order_of_the_list() -> None:
     for gateways, listed in ((3, 9), (4, 14), (10, 60), (1, 60)):
         servers = fleet(range(listed))
-        assert subset(servers, gateways - 1, gateways, sound) == servers
+        assert SubsetRing(servers, gateways - 1, gateways).select(sound) == servers
 
 
 def test_every_backend_of_a_large_fleet_is_used_by_about_as_many_gateways() -> None:
     found = parts(fleet(range(60)))
     used = Counter(name for part in found for name in part)
-    even = GATEWAYS * size_of(60, GATEWAYS) / 60
+    even = GATEWAYS * subset_size(60, GATEWAYS) / 60
     assert len(used) == 60 and even - 1 <= min(used.values()) <= max(used.values()) <= even + 1
     for part in found:
         zones = Counter(int(name[1:]) % 3 for name in part)
-        assert LEAST_SIZE <= len(part) <= 18 and max(zones.values()) - min(zones.values()) <= 1
+        assert MIN_SIZE <= len(part) <= 18 and max(zones.values()) - min(zones.values()) <= 1
 
 
 def test_one_backend_more_or_less_moves_little() -> None:
@@ -67,21 +67,21 @@
 
 def test_with_too_few_sound_ones_more_are_taken_in_at_once() -> None:
     servers = fleet(range(60))
-    own = names(subset(servers, 7, GATEWAYS, sound))
+    own = names(SubsetRing(servers, 7, GATEWAYS).select(sound))
     for server in servers:
-        server.bad = 1.0 if server.backend.endpoint_id in own else 0.0
-    wider = subset(servers, 7, GATEWAYS, sound)
+        server.failure_score = 1.0 if server.endpoint.endpoint_id in own else 0.0
+    wider = SubsetRing(servers, 7, GATEWAYS).select(sound)
     assert own < names(wider) and sum(map(sound, wider)) >= 9
     for server in servers:
-        server.bad = 1.0
-    assert len(subset(servers, 7, GATEWAYS, sound)) == 60
+        server.failure_score = 1.0
+    assert len(SubsetRing(servers, 7, GATEWAYS).select(sound)) == 60
 
 
 def test_a_gateway_of_a_large_fleet_sends_to_its_own_part_and_beyond_it_when_that_fails() -> None:
-    listed = [s.backend for s in fleet(range(60))]
+    listed = [s.endpoint for s in fleet(range(60))]
     made = gateway(listed=backends(*listed), gateway_count=GATEWAYS, gateway_index=3)
-    own = names(made.near)
-    assert len(own) == size_of(60, GATEWAYS)
+    own = names(made.registry.candidates)
+    assert len(own) == subset_size(60, GATEWAYS)
     sent = {
         a.endpoint_id
         for n in range(10)
@@ -91,4 +91,4 @@
     assert sent and sent <= own
     drained = [replace(b, status=EndpointStatus.DRAINING) for b in listed if b.endpoint_id in own]
     made.handle(backends(*drained, kind=EndpointListKind.DELTA), 100.2)
-    assert len(made.near) >= LEAST_SIZE and not names(made.near) & own
+    assert len(made.registry.candidates) >= MIN_SIZE and not names(made.registry.candidates) & own
