--- a/quota_gateway/admin/server.py
+++ b/quota_gateway/admin/server.py
@@ -5,7 +5,7 @@
 import socket
 
 from quota_gateway.admin.connection import AdminConnection
-from quota_gateway.admin.operations import AdminOperations as AdminOperations
+from quota_gateway.admin.operations import AdminOperations
 from quota_gateway.sockets.acceptor import Acceptor
 from quota_gateway.sockets.listening import bind
 
--- a/quota_gateway/gateway_process.py
+++ b/quota_gateway/gateway_process.py
@@ -10,7 +10,8 @@
 import time
 from collections.abc import Callable
 
-from quota_gateway.admin.server import AdminOperations, AdminServer
+from quota_gateway.admin.operations import AdminOperations
+from quota_gateway.admin.server import AdminServer
 from quota_gateway.configuration.file import Configuration, read_configuration
 from quota_gateway.counter.client import CounterClient
 from quota_gateway.discovery.client import DiscoveryClient, poll_schedule_for
