--- a/quota_gateway/hot_restart/coordinator.py
+++ b/quota_gateway/hot_restart/coordinator.py
@@ -1,7 +1,9 @@
-"""The link between the two processes of an upgrade, over a socket in the folder that they share.
+"""Coordinates a hot restart, in which a newer process of a gateway takes over from an older one.
 
-The older one listens. The newer one asks for the older one's estate, says when it serves, and from then on
-both tell each other what operators say and what they send on. The link's end tells that the other is gone.
+The older process listens on a Unix socket in the folder that both share. The newer one requests the older
+one's state, restores it and announces when it serves clients. From then until one of them ends, each sends
+the other the operators' commands and the units that it charges. The end of the link means that the other
+process is gone.
 """
 
 from __future__ import annotations
@@ -9,245 +11,172 @@
 import asyncio
 import json
 import logging
-import os
 import socket
-from collections.abc import Callable
+from collections.abc import Callable, Iterator
 from typing import Any, cast
 
-from quota_gateway.discovery.client import EndpointEntry, EndpointUpdate
+from quota_gateway.discovery.client import EndpointEntry
 from quota_gateway.dispatch.dispatcher import RequestDispatcher
+from quota_gateway.hot_restart.messages import (
+    Hello,
+    Message,
+    Notification,
+    OperatorCommand,
+    Serving,
+    StateTransfer,
+    decode_message,
+    encode_endpoint_list,
+)
+from quota_gateway.hot_restart.process_link import ProcessLink
+from quota_gateway.hot_restart.shared_folder import SOCKET_NAME, SharedFolder
 from quota_gateway.model.charges import UnitsCharged
-from quota_gateway.model.endpoints import Endpoint, EndpointListKind, EndpointStatus
-from quota_gateway.model.events import PeerProcessChanged, StateSnapshot
+from quota_gateway.model.events import PeerProcessChanged, SetDraining, SetMaintenance, StateSnapshot
+from quota_gateway.sockets.acceptor import Acceptor
 
-NAME = "embersill.handover"  # of the socket: processes of older versions look for it
-ESTATE_WITHIN = 2.0  # seconds for the older process to give its estate: it may be slow, or hang
-MOST_MESSAGE = 16 * 1024 * 1024  # bytes: an estate of a hundred thousand customers
-SHARED = 0.5  # of the connections to backends that each may have while both live
+STATE_TRANSFER_TIMEOUT = 2.0  # seconds; an older process that hangs must not delay the start for longer
+SHARED_CAPACITY_FRACTION = 0.5  # of the upstream connections, for each of two processes
+UNKNOWN_ADDRESS = ("", 0)  # of an endpoint that has no connections
 
 log = logging.getLogger("quota_gateway")
-Message = dict[str, Any]
-
-
-class ProcessLink(asyncio.Protocol):
-    """One connection between two processes: a JSON object a line."""
-
-    def __init__(self, handover: HotRestartCoordinator, older: bool) -> None:
-        self.coordinator, self.peer_is_older = handover, older  # older: the process at the other end is
-        self.transport: asyncio.Transport | None = None
-        self.buffer = bytearray()
-
-    def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's is one in all but its bases
-        self.coordinator.opened(self)
-
-    def send(self, **message: Any) -> None:
-        if self.transport is not None:
-            self.transport.write(json.dumps(message).encode() + b"\n")
-
-    def data_received(self, data: bytes) -> None:
-        self.buffer += data
-        *lines, rest = self.buffer.split(b"\n")
-        self.buffer = rest
-        try:
-            for line in lines:
-                self.coordinator.handle_message(self, json.loads(line))
-        except Exception:  # the other may be of any version: what it says must not harm this one
-            log.exception("a message of the other process went wrong")
-            self.close()
-        if len(self.buffer) > MOST_MESSAGE:
-            self.close()
-
-    def close(self) -> None:
-        if self.transport is not None:
-            self.transport.abort()
-
-    def connection_lost(self, exc: Exception | None) -> None:
-        if self.transport is not None:
-            self.transport = None
-            self.coordinator.closed(self)
 
 
 class HotRestartCoordinator:
-    """This process's links: to the older one as it starts, and to a newer one when that comes."""
+    """Links this process to an older one at its start, and later to a newer one."""
 
     def __init__(
         self,
-        folder: str,
-        driver: RequestDispatcher,
-        list_heard: asyncio.Event,
-        succeed: Callable[[bool], None],
+        shared_folder: str,
+        dispatcher: RequestDispatcher,
+        list_received: asyncio.Event,
+        on_superseded: Callable[[bool], None],
     ) -> None:
-        self.shared_folder, self.dispatcher, self.list_received, self.on_superseded = (
-            folder,
-            driver,
-            list_heard,
-            succeed,
-        )
-        self.descriptor = -1  # of the folder, where its path is too long for a socket's
+        """Take the folder's path and what is handed over.
+
+        `list_received` is set once discovery has sent an endpoint list, which is then the newer one.
+        `on_superseded` is called with True when a newer process serves, and with False when it is gone.
+        """
+        self.dispatcher = dispatcher
+        self.list_received = list_received
+        self.on_superseded = on_superseded
         self.loop = asyncio.get_running_loop()
         self.links: set[ProcessLink] = set()
-        self.successor: ProcessLink | None = None  # the newer one, once it serves
-        self.restored = asyncio.Event()
-        self.deferred_commands: list[Message] | None = []  # operators', as long as the estate may still come
-        self.listener: socket.socket | None = None
-        self.taking_in: set[asyncio.Task[Any]] = set()
-
-    # the newer process's side
+        self.successor: ProcessLink | None = None  # to the newer process, once it serves
+        self._folder = SharedFolder(shared_folder)
+        self._acceptor = Acceptor(self._create_link)
+        self._restore_finished = asyncio.Event()
+        # operators' commands to apply again after the restore; None once no state can arrive any more
+        self._deferred_commands: list[OperatorCommand] | None = []
 
     async def restore_from_older(self) -> None:
-        """Asks an older process for its estate; without one, or with a silent one, it is done without."""
-        sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
-        sock.setblocking(False)
+        """Request and restore the state of an older process; start without it if there is none in time."""
+        connection = _unix_socket()
         try:
-            async with asyncio.timeout(ESTATE_WITHIN):
-                await self.loop.sock_connect(sock, self.path(NAME))
-                _, link = await self.loop.create_unix_connection(lambda: ProcessLink(self, True), sock=sock)
-                link.send(hello=True)
-                await self.restored.wait()
+            async with asyncio.timeout(STATE_TRANSFER_TIMEOUT):
+                await self.loop.sock_connect(connection, self._folder.socket_path(SOCKET_NAME))
+                _, link = await self.loop.create_unix_connection(self._create_link, sock=connection)
+                link.send(Hello())
+                await self._restore_finished.wait()
         except TimeoutError:
-            log.warning("the older process did not give its estate in time")
-        except OSError:  # nobody is there, or only the file that one has left
-            sock.close()
+            log.warning("the older process did not send its state in time")
+        except OSError:  # no process listens, or only the file of one is left
+            connection.close()
         if not self.links:
-            self.deferred_commands = None
+            self._deferred_commands = None
 
     def announce_serving(self) -> None:
-        """From now on this process serves: it says so to the older one, and waits for a newer one."""
+        """Notify the older process that this one serves clients, and listen for a newer one."""
         for link in self.links:
-            link.send(serving=True)
-        own = f"{NAME}.{os.getpid()}"
-        listener = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
-        listener.setblocking(False)
+            link.send(Serving())
+        listener = _unix_socket()
         try:
-            self.unlink(own)
-            listener.bind(self.path(own))
-            listener.listen()
-            os.replace(os.path.join(self.shared_folder, own), os.path.join(self.shared_folder, NAME))
+            self._folder.publish(listener)
         except OSError as error:  # clients are served all the same
             listener.close()
-            self.unlink(own)
-            return log.warning("a newer process will not find this one: %s", error.strerror or error)
-        self.listener = listener
-        self.loop.add_reader(listener, self.accept)
-        return None
-
-    def unlink(self, name: str) -> None:
-        try:
-            os.unlink(os.path.join(self.shared_folder, name))
-        except OSError:
-            pass
-
-    def path(self, name: str) -> str:
-        """A socket's path has room for some hundred bytes; a long folder is reached by its descriptor."""
-        path = os.path.join(self.shared_folder, name)
-        if len(os.fsencode(path)) < 100:
-            return path
-        if self.descriptor < 0:
-            self.descriptor = os.open(self.shared_folder, os.O_PATH | os.O_DIRECTORY)
-        return f"/proc/self/fd/{self.descriptor}/{name}"
-
-    # the older process's side
-
-    def accept(self) -> None:
-        if self.listener is None:
-            return
-        try:
-            sock, _ = self.listener.accept()
-        except OSError:
+            log.warning("a newer process can't take over from this one: %s", error.strerror or error)
             return
-        sock.setblocking(False)
-        task = self.loop.create_task(
-            self.loop.connect_accepted_socket(lambda: ProcessLink(self, False), sock)
-        )
-        self.taking_in.add(task)
-        task.add_done_callback(self.taking_in.discard)
+        self._acceptor.start(listener)
+
+    def broadcast(self, notification: Notification | None = None, **members: Any) -> None:
+        """Send an operator's command or charged units to the other process, if there is one."""
+        if notification is None:
+            notification = cast(Notification, decode_message(json.dumps(members).encode()))
+        if self._deferred_commands is not None and self.links and not isinstance(notification, UnitsCharged):
+            self._deferred_commands.append(notification)
+        for link in self.links:
+            link.send(notification)
 
-    # both
+    def close(self) -> None:
+        """Stop listening and close the links."""
+        self._acceptor.close()
+        for link in list(self.links):
+            link.close()
+        self._folder.close()
 
-    def opened(self, link: ProcessLink) -> None:
+    def link_opened(self, link: ProcessLink) -> None:
+        """Share the capacity with the other process."""
         self.links.add(link)
-        self.update_peer_state()
+        self._update_peer_state()
 
-    def closed(self, link: ProcessLink) -> None:
+    def link_closed(self, link: ProcessLink) -> None:
+        """Take the capacity back, and the clients if the newer process is gone."""
         self.links.discard(link)
-        self.update_peer_state()
+        self._update_peer_state()
         if link is self.successor:
             self.successor = None
             self.on_superseded(False)
-        self.restored.set()
-
-    def update_peer_state(self) -> None:
-        self.dispatcher.pool.capacity_fraction = SHARED if self.links else 1.0
-        self.dispatcher.post(PeerProcessChanged(bool(self.links)))
+        self._restore_finished.set()
 
     def handle_message(self, link: ProcessLink, message: Message) -> None:
-        if "hello" in message:
-            link.send(estate=self.dispatcher.state_snapshot().state, list=write_list(self.dispatcher))
-        elif "estate" in message:
-            self.restore(message)
-        elif "serving" in message:
-            self.successor = link
-            self.on_superseded(True)
-        elif "charged" in message:
-            self.dispatcher.post(UnitsCharged(*message["charged"]))
-        else:
-            self.apply_command(message)
-
-    def restore(self, message: Message) -> None:
-        if not self.list_received.is_set():  # what the older one was told is newer than what was remembered
-            self.dispatcher.apply_endpoint_update(read_list(message["list"]))
-        self.dispatcher.post(StateSnapshot(message["estate"]))
-        words, self.deferred_commands = self.deferred_commands, None
-        for word in words or ():
-            self.apply_command(word)
-        self.restored.set()
-
-    def apply_command(self, message: Message) -> None:
-        if "drain" in message:
-            self.dispatcher.set_draining(message["drain"])
-        elif "maintain" in message:
-            self.dispatcher.set_maintenance(*message["maintain"])
-
-    def broadcast(self, **message: Any) -> None:
-        """An operator's word, or units sent on, to the other process if there is one."""
-        if self.deferred_commands is not None and self.links and "charged" not in message:
-            self.deferred_commands.append(message)
-        for link in self.links:
-            link.send(**message)
-
-    def close(self) -> None:
-        if self.listener is not None:
-            self.loop.remove_reader(self.listener)
-            self.listener.close()
-            self.listener = None
-        for link in list(self.links):
-            link.close()
-
+        """Act on a message of the other process; raises HotRestartError if its contents can't be read."""
+        match message:
+            case Hello():
+                link.send(self._state_transfer())
+            case StateTransfer():
+                self._restore(message)
+            case Serving():
+                self.successor = link
+                self.on_superseded(True)
+            case UnitsCharged():
+                self.dispatcher.post(message)
+            case SetDraining() | SetMaintenance():
+                self._apply_command(message)
+
+    def _create_link(self) -> ProcessLink:
+        return ProcessLink(self)
+
+    def _update_peer_state(self) -> None:
+        self.dispatcher.pool.capacity_fraction = SHARED_CAPACITY_FRACTION if self.links else 1.0
+        self.dispatcher.post(PeerProcessChanged(bool(self.links)))
 
-def write_list(driver: RequestDispatcher) -> list[Any]:
-    backends = (s.backend for s in driver.engine.endpoints.values())
-    lines = driver.pool.endpoints
-    return [
-        [
-            b.endpoint_id,
-            b.zone,
-            b.machine_type,
-            b.cell,
-            b.status.value,
-            b.weight,
-            b.started_at,
-            *(lines[b.endpoint_id].address if b.endpoint_id in lines else ("", 0)),
-        ]
-        for b in backends
-    ]
-
-
-def read_list(rows: list[Any]) -> EndpointUpdate:
-    entries = tuple(
-        EndpointEntry(
-            Endpoint(address, zone, kind, cell, EndpointStatus(status), rating, started), (host, port)
-        )
-        for address, zone, kind, cell, status, rating, started, host, port in rows
-    )
-    return EndpointUpdate(EndpointListKind.CACHED, 0, entries)
+    def _state_transfer(self) -> StateTransfer:
+        state = self.dispatcher.state_snapshot().state
+        return StateTransfer(state, encode_endpoint_list(self._endpoint_entries()))
+
+    def _endpoint_entries(self) -> Iterator[EndpointEntry]:
+        for server in self.dispatcher.engine.endpoints.values():
+            connections = self.dispatcher.pool.endpoints.get(server.backend.endpoint_id)
+            address = connections.address if connections is not None else UNKNOWN_ADDRESS
+            yield EndpointEntry(server.backend, address)
+
+    def _restore(self, transfer: StateTransfer) -> None:
+        if not self.list_received.is_set():  # else discovery's list is newer
+            self.dispatcher.apply_endpoint_update(transfer.endpoint_update())
+        self.dispatcher.post(StateSnapshot(transfer.state))
+        commands = self._deferred_commands or []
+        self._deferred_commands = None
+        for command in commands:
+            self._apply_command(command)
+        self._restore_finished.set()
+
+    def _apply_command(self, command: OperatorCommand) -> None:
+        match command:
+            case SetDraining():
+                self.dispatcher.set_draining(command.enabled)
+            case SetMaintenance():
+                self.dispatcher.set_maintenance(command.endpoint_id, command.enabled)
+
+
+def _unix_socket() -> socket.socket:
+    sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
+    sock.setblocking(False)
+    return sock
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -1,4 +1,4 @@
-"""Upgrades: two processes at one inherited descriptor, and what goes from the older to the newer."""
+"""Hot restarts: two processes share a listening socket, and the newer one restores the older one's state."""
 
 from __future__ import annotations
 
@@ -10,98 +10,97 @@
 import socket
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
-from typing import Any
 
 import pytest
 
 from quota_gateway.hot_restart import coordinator
-from quota_gateway.hot_restart.coordinator import NAME
+from quota_gateway.hot_restart.shared_folder import SOCKET_NAME
 from quota_gateway.model.actions import StartAttempt
 from quota_gateway.model.charges import UnitsCharged
 from quota_gateway.model.events import PeerProcessChanged, SetDraining, SetMaintenance, StateSnapshot
 from quota_gateway.model.outcomes import Outcome
+from quota_gateway.policy.engine import PolicyEngine
 from quota_gateway.policy.state_snapshot import estate_of
 from tests.fakes import HOST, SOON, serve_after
 from tests.harness import READY, Client, GatewayHarness, request, roomy_settings, run, running
 from tests.policy_harness import ended, gateway
-from tests.policy_harness import request as asked_for
+from tests.policy_harness import request as engine_request
 from tests.test_gateway_process import ROOT, RUN
 
 
-def sent_on(made: Any, number: int, units: float, now: float = 100.0) -> list[Any]:
-    return [
-        a
-        for a in made.handle(asked_for(number, units=units), now)
-        if isinstance(a, StartAttempt | UnitsCharged)
-    ]
+def forwarded(engine: PolicyEngine, number: int, units: float) -> list[StartAttempt | UnitsCharged]:
+    """Return the attempt that a request at 100 s starts, and the charge that is reported for it."""
+    actions = engine.handle(engine_request(number, units=units), 100.0)
+    return [action for action in actions if isinstance(action, StartAttempt | UnitsCharged)]
 
 
-def handed(made: Any) -> StateSnapshot:
-    """The estate as it comes through the link."""
-    return StateSnapshot(json.loads(json.dumps(estate_of(made).state)))
+def transferred_state(engine: PolicyEngine) -> StateSnapshot:
+    """Return the engine's state as the other process receives it."""
+    return StateSnapshot(json.loads(json.dumps(estate_of(engine).state)))
 
 
-def test_a_quota_spent_at_the_older_process_is_spent_at_the_newer() -> None:
+def test_units_charged_by_the_older_process_are_charged_in_the_newer() -> None:
     old, new = gateway(), gateway()
-    bank = 4.0  # half of the plan's burst
-    assert len(sent_on(old, 1, bank)) == 1
-    new.handle(handed(old), 100.0)
-    assert new.throttles["c"].level == 0.0 and not sent_on(new, 2, 1.0)
+    capacity = 4.0  # half of the plan's burst, for one of two gateways
+    assert len(forwarded(old, 1, capacity)) == 1
+    new.handle(transferred_state(old), 100.0)
+    assert new.throttles["c"].level == 0.0 and not forwarded(new, 2, 1.0)
 
 
-def test_requests_held_at_the_older_process_are_charged_when_they_are_sent_on() -> None:
+def test_units_reserved_by_queued_requests_of_the_older_process_are_charged_in_the_newer() -> None:
     old, new = gateway(), gateway()
-    sent_on(old, 1, 4.0)
-    assert not sent_on(old, 2, 0.5) and old.throttles["c"].held == 0.5
-    new.handle(handed(old), 100.0)
+    forwarded(old, 1, 4.0)
+    assert not forwarded(old, 2, 0.5) and old.throttles["c"].held == 0.5
+    new.handle(transferred_state(old), 100.0)
     assert new.throttles["c"].level == 0.0
 
 
-def test_what_one_of_two_sends_on_is_taken_at_the_other() -> None:
+def test_units_charged_by_either_process_are_charged_in_the_other() -> None:
     old, new = gateway(settles_actual_units=True), gateway(settles_actual_units=True)
-    new.handle(handed(old), 100.0)
-    assert not [a for a in sent_on(old, 1, 1.0) if isinstance(a, UnitsCharged)]  # alone, it tells nobody
-    for made in (old, new):
-        made.handle(PeerProcessChanged(True), 100.0)
-    actions = sent_on(old, 2, 2.0)
+    new.handle(transferred_state(old), 100.0)
+    # without a peer nothing is reported
+    assert not [a for a in forwarded(old, 1, 1.0) if isinstance(a, UnitsCharged)]
+    for engine in (old, new):
+        engine.handle(PeerProcessChanged(True), 100.0)
+    actions = forwarded(old, 2, 2.0)
     charge = next(a for a in actions if isinstance(a, UnitsCharged))
     assert charge == UnitsCharged("c", "small", 2, 2.0)
     new.handle(charge, 100.0)
     assert new.throttles["c"].level == 2.0
-    where = next(a.endpoint_id for a in actions if isinstance(a, StartAttempt))
-    settled = old.handle(ended(2, 0, where, Outcome.SUCCESS, true_units=3.0), 100.0)
+    endpoint_id = next(a.endpoint_id for a in actions if isinstance(a, StartAttempt))
+    settled = old.handle(ended(2, 0, endpoint_id, Outcome.SUCCESS, true_units=3.0), 100.0)
     new.handle(next(a for a in settled if isinstance(a, UnitsCharged)), 100.0)
     assert new.throttles["c"].level == 1.0
 
 
-def test_bans_a_drain_and_a_return_go_over() -> None:
+def test_maintenance_its_end_and_draining_are_restored() -> None:
     old, new = gateway(), gateway(now=101.0)
     old.handle(SetMaintenance("a", True), 100.0)
     old.handle(SetMaintenance("b", True), 100.0)
     old.handle(SetMaintenance("b", False), 100.5)
     old.handle(SetDraining(True), 100.0)
-    new.handle(handed(old), 101.0)
+    new.handle(transferred_state(old), 101.0)
     assert new.banned == {"a"} and [s.backend.endpoint_id for s in new.order] == ["b"] and new.draining
     assert new.endpoints["b"].cold_share(101.0, new.settings) < 0.5
 
 
-class Pair:
+class ProcessGroup:
     """Processes of one gateway at one listening socket, as the platform starts them."""
 
-    def __init__(self, bed: GatewayHarness, listener: socket.socket, folder: pathlib.Path) -> None:
-        self.bed, self.listener, self.folder = bed, listener, folder
+    def __init__(self, harness: GatewayHarness, listener: socket.socket, folder: pathlib.Path) -> None:
+        self.harness, self.listener, self.folder = harness, listener, folder
         self.children: list[asyncio.subprocess.Process] = []
-        bed.port = listener.getsockname()[1]
+        harness.port = listener.getsockname()[1]
 
     async def start(self) -> tuple[asyncio.subprocess.Process, int]:
-        """A process that serves, and the port of its console."""
-        with socket.socket() as probe:
-            probe.bind((HOST, 0))
-            console = probe.getsockname()[1]
+        """Start a process, wait until it serves, and return it with its admin port."""
+        with socket.socket() as unused:
+            unused.bind((HOST, 0))
+            admin_port = unused.getsockname()[1]
         path = self.folder / "config.json"
         env = roomy_settings()
-        env["services"][0]["aim"] = env["services"][0]["deadline"] = 1e6  # no time-out ends one in a test
-        path.write_text(json.dumps(self.bed.configuration(env, 1024)))
+        env["services"][0]["aim"] = env["services"][0]["deadline"] = 1e6  # no timeout ends a request
+        path.write_text(json.dumps(self.harness.configuration(env, 1024)))
         descriptor = self.listener.fileno()
         child = await asyncio.create_subprocess_exec(
             "/bin/sh",
@@ -113,127 +112,129 @@
             env={
                 **os.environ,
                 "RELAY_CONFIG": str(path),
-                "RELAY_CONSOLE": f"{HOST}:{console}",
+                "RELAY_CONSOLE": f"{HOST}:{admin_port}",
                 "RELAY_SOCKET_FD": str(descriptor),
                 "TMPDIR": str(self.folder),
             },
         )
         self.children.append(child)
         async with asyncio.timeout(SOON):
-            while (await self.call(console, "GET", "/healthcheck")) != 200:
+            # a child process sets no event of this loop
+            while (await self.call(admin_port, "GET", "/healthcheck")) != 200:  # noqa: ASYNC110
                 await asyncio.sleep(0.01)
-        return child, console
+        return child, admin_port
 
-    async def call(self, console: int, method: str, path: str) -> int:
-        self.bed.admin_port = console
+    async def call(self, admin_port: int, method: str, path: str) -> int:
+        self.harness.admin_port = admin_port
         try:
-            return (await self.bed.call(method, path))[0]
+            return (await self.harness.call(method, path))[0]
         except (OSError, asyncio.IncompleteReadError):
-            return 0  # not there yet
+            return 0  # not listening yet
 
-    async def figures(self, console: int) -> dict[str, int]:
-        self.bed.admin_port = console
-        return await self.bed.metrics()
+    async def metrics(self, admin_port: int) -> dict[str, int]:
+        self.harness.admin_port = admin_port
+        return await self.harness.metrics()
 
-    async def served(self, number: int) -> int:
-        client = await self.bed.client()
+    async def request_status(self, number: int) -> int:
+        client = await self.harness.client()
         status, _, _ = await client.ask(request(number, customer=f"{number:016x}"))
         client.writer.close()
         return status
 
 
 @asynccontextmanager
-async def pair(folder: pathlib.Path) -> AsyncIterator[Pair]:
-    bed = GatewayHarness(2)
-    for peer in (*bed.backends, bed.discovery, bed.counter):
+async def process_group(folder: pathlib.Path) -> AsyncIterator[ProcessGroup]:
+    harness = GatewayHarness(2)
+    for peer in (*harness.backends, harness.discovery, harness.counter):
         await peer.start()
-    entries = [bed.discovery.entry(f"b{n}", b.address) for n, b in enumerate(bed.backends)]
-    bed.discovery.entries = {e["instanceId"]: e for e in entries}
+    entries = [harness.discovery.entry(f"b{n}", b.address) for n, b in enumerate(harness.backends)]
+    harness.discovery.entries = {e["instanceId"]: e for e in entries}
     with socket.socket() as listener:
         listener.bind((HOST, 0))
         listener.listen(128)
-        made = Pair(bed, listener, folder)
+        processes = ProcessGroup(harness, listener, folder)
         try:
-            yield made
+            yield processes
         finally:
-            for child in made.children:
+            for child in processes.children:
                 if child.returncode is None:
                     child.kill()
                 await child.communicate()
-            for peer in (*bed.backends, bed.discovery, bed.counter):
+            for peer in (*harness.backends, harness.discovery, harness.counter):
                 await peer.stop()
 
 
-def test_an_upgrade_loses_nothing_and_keeps_the_operators_word(tmp_path: pathlib.Path) -> None:
+def test_a_hot_restart_loses_no_request_and_keeps_maintenance(tmp_path: pathlib.Path) -> None:
     async def test() -> None:
-        async with pair(tmp_path) as made:
-            bed = made.bed
-            old, old_console = await made.start()
-            kept, held = await bed.client(), await bed.client()
-            assert (await kept.ask(READY))[0] == 200
-            assert await made.call(old_console, "POST", "/backends/b0/maint") == 200
-            free = asyncio.Event()
-            bed.backends[1].script = [serve_after(free)]
-            held.send(request(1, budget=900.0))
-            await bed.backends[1].until(lambda: len(bed.backends[1].seen) == 1)
-            _, new_console = await made.start()
-            async with asyncio.timeout(SOON):  # until the older one has heard that the newer one serves
+        async with process_group(tmp_path) as processes:
+            harness = processes.harness
+            old, old_admin_port = await processes.start()
+            idle, waiting = await harness.client(), await harness.client()
+            assert (await idle.ask(READY))[0] == 200
+            assert await processes.call(old_admin_port, "POST", "/backends/b0/maint") == 200
+            released = asyncio.Event()
+            harness.backends[1].script = [serve_after(released)]
+            waiting.send(request(1, budget=900.0))
+            await harness.backends[1].until(lambda: len(harness.backends[1].seen) == 1)
+            _, new_admin_port = await processes.start()
+            async with asyncio.timeout(SOON):  # until the older process stops accepting
                 number = 10
-                while (await made.figures(new_console))["success.lookup"] == 0:
+                while (await processes.metrics(new_admin_port))["success.lookup"] == 0:
                     number += 1
-                    assert await made.served(number) == 200
-            before = await made.figures(old_console)
-            assert [await made.served(n) for n in range(50, 60)] == [200] * 10
-            assert (await made.figures(old_console))["success.lookup"] == before["success.lookup"]
-            status, headers, _ = await kept.ask(READY)
-            assert status == 200 and headers["connection"] == "close" and await kept.closed()
+                    assert await processes.request_status(number) == 200
+            before = await processes.metrics(old_admin_port)
+            assert [await processes.request_status(n) for n in range(50, 60)] == [200] * 10
+            assert (await processes.metrics(old_admin_port))["success.lookup"] == before["success.lookup"]
+            status, headers, _ = await idle.ask(READY)
+            assert status == 200 and headers["connection"] == "close" and await idle.closed()
             old.send_signal(signal.SIGTERM)
-            free.set()
-            assert (await held.answer())[0] == 200 and await held.closed()
+            released.set()
+            assert (await waiting.answer())[0] == 200 and await waiting.closed()
             async with asyncio.timeout(SOON):
                 assert await old.wait() == 0
-            assert [await made.served(n) for n in range(60, 70)] == [200] * 10
-            assert not bed.backends[0].seen and (await made.figures(new_console))["targets_disabled"] == 1
+            assert [await processes.request_status(n) for n in range(60, 70)] == [200] * 10
+            metrics = await processes.metrics(new_admin_port)
+            assert not harness.backends[0].seen and metrics["targets_disabled"] == 1
 
     run(test)
 
 
-def test_an_operator_s_word_to_either_process_holds_for_both(tmp_path: pathlib.Path) -> None:
+def test_a_maintenance_command_to_either_process_applies_to_both(tmp_path: pathlib.Path) -> None:
     async def test() -> None:
-        async with pair(tmp_path) as made:
-            _, old = await made.start()
-            _, new = await made.start()
-            for speaker, other in ((old, new), (new, old)):
-                for word, disabled in (("maint", 1), ("ready", 0)):
-                    assert await made.call(speaker, "POST", f"/backends/b0/{word}") == 200
+        async with process_group(tmp_path) as processes:
+            _, old = await processes.start()
+            _, new = await processes.start()
+            for commanded, other in ((old, new), (new, old)):
+                for command, disabled in (("maint", 1), ("ready", 0)):
+                    assert await processes.call(commanded, "POST", f"/backends/b0/{command}") == 200
                     async with asyncio.timeout(SOON):
-                        while (await made.figures(other))["targets_disabled"] != disabled:
+                        while (await processes.metrics(other))["targets_disabled"] != disabled:
                             pass
 
     run(test)
 
 
-def test_an_older_process_serves_on_if_the_newer_one_dies(tmp_path: pathlib.Path) -> None:
+def test_an_older_process_serves_again_if_the_newer_one_dies(tmp_path: pathlib.Path) -> None:
     async def test() -> None:
-        async with pair(tmp_path) as made:
-            _, old = await made.start()
-            child, _ = await made.start()
+        async with process_group(tmp_path) as processes:
+            _, old = await processes.start()
+            child, _ = await processes.start()
             child.kill()
             await child.wait()
-            waiting = await made.bed.client()  # the descriptor has it, whoever accepts
+            waiting = await processes.harness.client()  # queued at the descriptor, whichever process accepts
             assert (await waiting.ask(request(1)))[0] == 200
-            assert (await waiting.ask(request(2)))[0] == 200  # and it is kept open again
-            assert (await made.figures(old))["success.lookup"] >= 2
-            _, again = await made.start()
-            assert await made.call(again, "GET", "/healthcheck") == 200
+            assert (await waiting.ask(request(2)))[0] == 200  # the connection is kept alive
+            assert (await processes.metrics(old))["success.lookup"] >= 2
+            _, new = await processes.start()
+            assert await processes.call(new, "GET", "/healthcheck") == 200
 
     run(test)
 
 
 @pytest.mark.parametrize("stale", ["file", "socket", "folder"])
-def test_what_an_older_process_has_left_is_no_hindrance(stale: str, tmp_path: pathlib.Path) -> None:
+def test_files_left_by_an_older_process_do_not_prevent_the_start(stale: str, tmp_path: pathlib.Path) -> None:
     async def test() -> None:
-        path = tmp_path / NAME
+        path = tmp_path / SOCKET_NAME
         if stale == "file":
             path.write_text("left")
         elif stale == "folder":
@@ -241,41 +242,42 @@
         else:
             with socket.socket(socket.AF_UNIX) as left:
                 left.bind(str(path))
-        async with pair(tmp_path) as made:
-            await made.start()
-            assert await made.served(1) == 200
+        async with process_group(tmp_path) as processes:
+            await processes.start()
+            assert await processes.request_status(1) == 200
 
     run(test)
 
 
-def test_an_older_process_that_hangs_is_not_waited_for(
+def test_a_hanging_older_process_does_not_delay_the_start(
     tmp_path: pathlib.Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(coordinator, "ESTATE_WITHIN", 0.01)
+    monkeypatch.setattr(coordinator, "STATE_TRANSFER_TIMEOUT", 0.01)
 
     async def test() -> None:
-        with socket.socket(socket.AF_UNIX) as hung:
-            hung.bind(str(tmp_path / NAME))
-            hung.listen()
-            async with running() as bed:
-                program = bed.process
-                succession: list[bool] = []
-                made = coordinator.HotRestartCoordinator(
-                    str(tmp_path), program.dispatcher, program.discovery.answered, succession.append
+        with socket.socket(socket.AF_UNIX) as hanging:
+            hanging.bind(str(tmp_path / SOCKET_NAME))
+            hanging.listen()
+            async with running() as harness:
+                process = harness.process
+                superseded: list[bool] = []
+                restarting = coordinator.HotRestartCoordinator(
+                    str(tmp_path), process.dispatcher, process.discovery.answered, superseded.append
                 )
-                await made.restore_from_older()
-                assert len(made.links) == 1
-                program.dispatcher.set_maintenance("b0", True)
-                made.broadcast(maintain=["b0", True])
-                older, _ = hung.accept()
-                estate = {**program.dispatcher.state_snapshot().state, "banned": []}
-                link = next(iter(made.links))
-                link.data_received(json.dumps({"estate": estate, "list": []}).encode() + b"\n")
-                assert program.dispatcher.engine.banned == {"b0"}  # what was said meanwhile holds
+                await restarting.restore_from_older()
+                assert len(restarting.links) == 1
+                process.dispatcher.set_maintenance("b0", True)
+                restarting.broadcast(SetMaintenance("b0", True))
+                older, _ = hanging.accept()
+                state = {**process.dispatcher.state_snapshot().state, "banned": []}
+                link = next(iter(restarting.links))
+                link.data_received(json.dumps({"estate": state, "list": []}).encode() + b"\n")
+                # the command that came before the state is in force after it
+                assert process.dispatcher.engine.banned == {"b0"}
                 link.data_received(b"[nonsense\n")
-                made.close()
+                restarting.close()
                 older.close()
-                client: Client = await bed.client()
-                assert (await client.ask(READY))[0] == 503  # its one backend is banned
+                client: Client = await harness.client()
+                assert (await client.ask(READY))[0] == 503  # its one backend is in maintenance
 
     run(test)
--- a/tests/test_recorded_messages.py
+++ b/tests/test_recorded_messages.py
@@ -1,4 +1,4 @@
-"""Messages between two processes of a gateway are read and written as the program of commit 005a91a did."""
+"""Messages between two processes are decoded and encoded as in commit 005a91a, which made the recording."""
 
 from __future__ import annotations
 
@@ -9,9 +9,12 @@
 
 import pytest
 
-from quota_gateway.hot_restart.coordinator import HotRestartCoordinator, ProcessLink
+from quota_gateway.errors import HotRestartError
+from quota_gateway.hot_restart.coordinator import HotRestartCoordinator
+from quota_gateway.hot_restart.messages import Hello, Message, Serving, decode_message
+from quota_gateway.hot_restart.process_link import ProcessLink
 from quota_gateway.model.charges import UnitsCharged
-from quota_gateway.model.events import StateSnapshot
+from quota_gateway.model.events import SetDraining, SetMaintenance, StateSnapshot
 from quota_gateway.policy.state_snapshot import estate_of
 from tests.harness import GatewayHarness, run, running
 from tests.policy_harness import gateway
@@ -19,38 +22,40 @@
 RECORDED = json.loads((pathlib.Path(__file__).parent / "recorded/hot_restart_messages.json").read_text())
 FROM_OLDER: list[str] = RECORDED["older"]
 FROM_NEWER: list[str] = RECORDED["newer"]
-LEVEL, STAMP = 7, 8  # places of a throttle's level and its time: they go on with the clock
+LEVEL, REFILLED_AT = 7, 8  # positions of a throttle's level and the time of it, which change with the clock
 
 
-class Written:
-    """In the place of a link's transport: keeps what is written."""
+class RecordingTransport:
+    """Stands in for a link's transport and records what is written."""
 
     def __init__(self) -> None:
-        self.text = b""
+        self.data = b""
 
     def write(self, data: bytes) -> None:
-        self.text += data
+        self.data += data
 
     def abort(self) -> None:
         pass
 
     def lines(self) -> list[str]:
-        return self.text.decode().splitlines()
+        return self.data.decode().splitlines()
 
 
-def link_of(
-    bed: GatewayHarness, folder: pathlib.Path, older: bool
-) -> tuple[HotRestartCoordinator, ProcessLink, Written]:
-    """A link whose other end is played by the test; `older` where that end is the older process."""
-    program = bed.process
-    made = HotRestartCoordinator(str(folder), program.dispatcher, program.discovery.answered, lambda on: None)
-    link, written = ProcessLink(made, older), Written()
-    link.connection_made(cast(asyncio.Transport, written))
-    return made, link, written
+def open_link(
+    harness: GatewayHarness, folder: pathlib.Path
+) -> tuple[HotRestartCoordinator, ProcessLink, RecordingTransport]:
+    """Return a coordinator with a link whose other end is the test."""
+    process = harness.process
+    coordinator = HotRestartCoordinator(
+        str(folder), process.dispatcher, process.discovery.answered, lambda superseded: None
+    )
+    link, transport = ProcessLink(coordinator), RecordingTransport()
+    link.connection_made(cast(asyncio.Transport, transport))
+    return coordinator, link, transport
 
 
 def shape(value: Any) -> Any:
-    """Keys in their order, and the kinds of what lists hold place by place."""
+    """Return the keys in their order, and the types of lists' items position by position."""
     if isinstance(value, dict):
         return [(key, shape(inner)) for key, inner in value.items()]
     if isinstance(value, list):
@@ -59,72 +64,72 @@
     return "number" if number else type(value).__name__
 
 
-def test_what_an_older_process_of_then_says_is_read(tmp_path: pathlib.Path) -> None:
+def test_recorded_messages_of_an_older_process_are_applied(tmp_path: pathlib.Path) -> None:
     async def test() -> None:
-        async with running(2) as bed:
-            engine = bed.process.dispatcher.engine
-            made, link, _ = link_of(bed, tmp_path, older=True)
-            told = json.loads(FROM_OLDER[0])
+        async with running(2) as harness:
+            engine = harness.process.dispatcher.engine
+            coordinator, link, _ = open_link(harness, tmp_path)
+            recorded = json.loads(FROM_OLDER[0])
             link.data_received(FROM_OLDER[0].encode() + b"\n")
             assert engine.banned == {"b1"}
-            assert engine.returned == told["estate"]["returned"]
-            assert engine.kinds == told["estate"]["kinds"]
-            # idle ones with nothing spent may be dropped again, but never the last that came
-            assert set(engine.throttles) <= {row[0] for row in told["estate"]["throttles"]}
+            assert engine.returned == recorded["estate"]["returned"]
+            assert engine.kinds == recorded["estate"]["kinds"]
+            # idle throttles at their full level may be removed again, but never the latest
+            assert set(engine.throttles) <= {row[0] for row in recorded["estate"]["throttles"]}
             assert "0000000000000005" in engine.throttles
             for line in FROM_OLDER[1:]:
                 known = set(engine.throttles)
                 link.data_received(line.encode() + b"\n")
                 for customer in set(engine.throttles) - known:
-                    assert engine.throttles[customer].level == 199.0  # one unit of 200 was charged there
+                    assert engine.throttles[customer].level == 199.0  # one of 200 units is charged
             assert engine.banned == {"b0"} and not engine.draining
-            made.close()
+            coordinator.close()
 
     run(test)
 
 
-def test_what_a_newer_process_of_then_says_is_read(tmp_path: pathlib.Path) -> None:
+def test_recorded_messages_of_a_newer_process_are_applied(tmp_path: pathlib.Path) -> None:
     async def test() -> None:
-        async with running(2) as bed:
-            engine = bed.process.dispatcher.engine
-            made, link, written = link_of(bed, tmp_path, older=False)
+        async with running(2) as harness:
+            engine = harness.process.dispatcher.engine
+            coordinator, link, transport = open_link(harness, tmp_path)
             for line in FROM_NEWER:
                 link.data_received(line.encode() + b"\n")
-            assert engine.banned == {"b0"} and engine.draining and made.successor is link
+            assert engine.banned == {"b0"} and engine.draining and coordinator.successor is link
             assert "000000000000001a" in engine.throttles
-            answer, before = json.loads(written.lines()[0]), json.loads(FROM_OLDER[0])
-            assert list(answer) == list(before)
-            # without customers there is no row to compare; all else has the keys and forms of then
-            for state in (answer["estate"], before["estate"]):
+            sent, recorded = json.loads(transport.lines()[0]), json.loads(FROM_OLDER[0])
+            assert list(sent) == list(recorded)
+            # without customers there is no row to compare; all else has the recorded keys and types
+            for state in (sent["estate"], recorded["estate"]):
                 for row in state["servers"]:
-                    row[1] = row[1] or 0.0  # a start that is not known stands as null
+                    row[1] = row[1] or 0.0  # an unknown start time is null
                 for key in ("throttles", "returned", "kinds", "patience", "usual", "banned"):
                     del state[key]
-            assert shape(answer["estate"]) == shape(before["estate"])
-            for row in answer["list"] + before["list"]:
+            assert shape(sent["estate"]) == shape(recorded["estate"])
+            for row in sent["list"] + recorded["list"]:
                 row[6] = row[6] or 0.0
-            assert shape(answer["list"]) == shape(before["list"])
-            made.close()
+            assert shape(sent["list"]) == shape(recorded["list"])
+            coordinator.close()
 
     run(test)
 
 
-def test_a_state_of_then_is_written_as_it_was_read() -> None:
+def test_a_recorded_state_is_written_as_it_was_read() -> None:
     state = json.loads(FROM_OLDER[0])["estate"]
     for row in state["throttles"]:
         row[1] = "small"
-    now = max(row[STAMP] for row in state["throttles"])  # as then: nothing is refilled meanwhile
+    now = max(row[REFILLED_AT] for row in state["throttles"])  # nothing is refilled in between
     state["granted"] = [["small", *row[1:]] for row in state["granted"] if row[0] == "basis"]
-    made = gateway(now=now)
-    made.handle(StateSnapshot(json.loads(json.dumps(state))), now)
-    again = json.loads(json.dumps(estate_of(made).state))
+    engine = gateway(now=now)
+    engine.handle(StateSnapshot(json.loads(json.dumps(state))), now)
+    again = json.loads(json.dumps(estate_of(engine).state))
     assert list(again) == list(state)
-    mine = [row for row in again["granted"] if row[0] == "small"]
-    assert sorted(mine) == sorted(state["granted"])
+    restored = [row for row in again["granted"] if row[0] == "small"]
+    assert sorted(restored) == sorted(state["granted"])
     assert [shape(row) for row in again["throttles"]] == [shape(row) for row in state["throttles"]]
-    for row, before in zip(again["throttles"], state["throttles"], strict=True):
-        for place, (value, old) in enumerate(zip(row, before, strict=True)):
-            assert place in (LEVEL, STAMP) or value == old, place
+    for row, recorded in zip(again["throttles"], state["throttles"], strict=True):
+        for position, (value, old) in enumerate(zip(row, recorded, strict=True)):
+            assert position in (LEVEL, REFILLED_AT) or value == old, position
     for key in set(state) - {"throttles", "servers", "granted"}:
         assert again[key] == state[key], key
 
@@ -135,35 +140,45 @@
 @pytest.mark.parametrize(
     ("message", "recorded"),
     [
-        ({"maintain": ["b0", True]}, '{"maintain": ["b0", true]}'),
-        ({"maintain": ["b1", False]}, '{"maintain": ["b1", false]}'),
-        ({"drain": True}, '{"drain": true}'),
-        ({"drain": False}, '{"drain": false}'),
-        ({"charged": ["0000000000000006", "basis", 2, 1.0]}, CHARGED),
-        ({"serving": True}, '{"serving": true}'),
-        ({"hello": True}, '{"hello": true}'),
+        (SetMaintenance("b0", True), '{"maintain": ["b0", true]}'),
+        (SetMaintenance("b1", False), '{"maintain": ["b1", false]}'),
+        (SetDraining(True), '{"drain": true}'),
+        (SetDraining(False), '{"drain": false}'),
+        (UnitsCharged("0000000000000006", "basis", 2, 1.0), CHARGED),
+        (Serving(), '{"serving": true}'),
+        (Hello(), '{"hello": true}'),
     ],
 )
-def test_messages_are_written_as_then(message: dict[str, Any], recorded: str, tmp_path: pathlib.Path) -> None:
+def test_messages_are_sent_and_decoded_as_recorded(
+    message: Message, recorded: str, tmp_path: pathlib.Path
+) -> None:
     async def test() -> None:
         assert recorded in FROM_OLDER + FROM_NEWER
-        async with running(2) as bed:
-            made, link, written = link_of(bed, tmp_path, older=True)
-            link.send(**message)
-            assert written.lines() == [recorded]
-            made.close()
+        async with running(2) as harness:
+            coordinator, link, transport = open_link(harness, tmp_path)
+            link.send(message)
+            assert transport.data == recorded.encode() + b"\n"
+            assert decode_message(transport.data) == message
+            coordinator.close()
 
     run(test)
 
 
-def test_units_that_are_sent_on_are_told_as_then(tmp_path: pathlib.Path) -> None:
+def test_charged_units_and_commands_are_sent_as_recorded(tmp_path: pathlib.Path) -> None:
     async def test() -> None:
-        async with running(2) as bed:
-            made, _, written = link_of(bed, tmp_path, older=False)
-            bed.process.hot_restart = made
-            bed.process.forward_units(UnitsCharged("0000000000000006", "basis", 2, 1.0))
-            bed.process.set_draining(True)
-            assert written.lines() == [CHARGED, '{"drain": true}']
-            made.close()
+        async with running(2) as harness:
+            coordinator, _, transport = open_link(harness, tmp_path)
+            harness.process.hot_restart = coordinator
+            harness.process.forward_units(UnitsCharged("0000000000000006", "basis", 2, 1.0))
+            harness.process.set_draining(True)
+            assert transport.lines() == [CHARGED, '{"drain": true}']
+            coordinator.close()
 
     run(test)
+
+
+def test_unknown_messages_are_ignored_and_malformed_ones_raise() -> None:
+    assert decode_message(b'{"later": 1}') is None
+    for line in (b"", b"nonsense", b"[1]", b'{"charged": ["c", "basis"]}', b'{"maintain": true}'):
+        with pytest.raises(HotRestartError):
+            decode_message(line)
