--- a/quota_gateway/gateway_process.py
+++ b/quota_gateway/gateway_process.py
@@ -20,6 +20,7 @@
 from quota_gateway.errors import ConfigurationError
 from quota_gateway.hot_restart.coordinator import HotRestartCoordinator
 from quota_gateway.model.charges import UnitsCharged
+from quota_gateway.model.events import SetDraining, SetMaintenance
 from quota_gateway.policy.engine import PolicyEngine
 from quota_gateway.sockets.listening import bind, inherit
 from quota_gateway.upstream.connection_pool import ConnectionPool
@@ -115,19 +116,17 @@
     def set_maintenance(self, backend: str, out: bool) -> bool:
         known = self.dispatcher.set_maintenance(backend, out)
         if known and self.hot_restart is not None:
-            self.hot_restart.broadcast(maintain=[backend, out])
+            self.hot_restart.broadcast(SetMaintenance(backend, out))
         return known
 
     def set_draining(self, on: bool) -> None:
         self.dispatcher.set_draining(on)
         if self.hot_restart is not None:
-            self.hot_restart.broadcast(drain=on)
+            self.hot_restart.broadcast(SetDraining(on))
 
     def forward_units(self, charged: UnitsCharged) -> None:
         if self.hot_restart is not None:
-            self.hot_restart.broadcast(
-                charged=[charged.customer, charged.plan, charged.quota_spread, charged.units]
-            )
+            self.hot_restart.broadcast(charged)
 
     def is_healthy(self) -> bool:
         return self.listener.is_ready() and not self.listener.stopping
