--- a/quota_gateway/hot_restart/coordinator.py
+++ b/quota_gateway/hot_restart/coordinator.py
@@ -9,11 +9,9 @@
 from __future__ import annotations
 
 import asyncio
-import json
 import logging
 import socket
 from collections.abc import Callable, Iterator
-from typing import Any, cast
 
 from quota_gateway.discovery.client import EndpointEntry
 from quota_gateway.dispatch.dispatcher import RequestDispatcher
@@ -24,7 +22,6 @@
     OperatorCommand,
     Serving,
     StateTransfer,
-    decode_message,
     encode_endpoint_list,
 )
 from quota_gateway.hot_restart.process_link import ProcessLink
@@ -96,10 +93,8 @@
             return
         self._acceptor.start(listener)
 
-    def broadcast(self, notification: Notification | None = None, **members: Any) -> None:
+    def broadcast(self, notification: Notification) -> None:
         """Send an operator's command or charged units to the other process, if there is one."""
-        if notification is None:
-            notification = cast(Notification, decode_message(json.dumps(members).encode()))
         if self._deferred_commands is not None and self.links and not isinstance(notification, UnitsCharged):
             self._deferred_commands.append(notification)
         for link in self.links:
