--- a/quota_gateway/configuration/file.py
+++ b/quota_gateway/configuration/file.py
@@ -12,10 +12,11 @@
     read_connection_limits,
     read_settings,
 )
-from quota_gateway.discovery.client import EndpointUpdate, read_address, read_endpoint_update
+from quota_gateway.discovery.endpoint_update import EndpointUpdate, read_endpoint_update
 from quota_gateway.errors import ConfigurationError, EndpointListError
 from quota_gateway.model.endpoints import EndpointListKind
 from quota_gateway.model.settings import Settings
+from quota_gateway.sockets.addresses import parse_address as read_address
 
 LEAST_SOCKETS = 32  # with fewer there is nothing left to serve with
 
--- a/quota_gateway/discovery/client.py
+++ b/quota_gateway/discovery/client.py
@@ -5,23 +5,12 @@
 import asyncio
 from collections.abc import Callable
 
-from quota_gateway.discovery.endpoint_update import EndpointEntry, EndpointUpdate, read_endpoint_update
-from quota_gateway.discovery.poll_schedule import DEFAULT_POLL_SCHEDULE, PollSchedule, poll_schedule_for
+from quota_gateway.discovery.endpoint_update import EndpointUpdate
+from quota_gateway.discovery.poll_schedule import DEFAULT_POLL_SCHEDULE, PollSchedule
 from quota_gateway.discovery.poller import EndpointPoller
 from quota_gateway.sockets.addresses import Address
-from quota_gateway.sockets.addresses import parse_address as read_address
 from quota_gateway.sockets.dialing import ignore_descriptor_exhaustion
 
-# names that other modules still import from here
-__all__ = [
-    "DiscoveryClient",
-    "EndpointEntry",
-    "EndpointUpdate",
-    "poll_schedule_for",
-    "read_address",
-    "read_endpoint_update",
-]
-
 
 class DiscoveryClient:
     """Follows the endpoint list; after a move the old agent is followed until the new one has answered."""
--- a/quota_gateway/dispatch/dispatcher.py
+++ b/quota_gateway/dispatch/dispatcher.py
@@ -15,7 +15,7 @@
 
 from quota_gateway.body_streaming import RequestBodyStream, ResponseHead, StreamSink, StreamSource
 from quota_gateway.counter.client import CounterClient
-from quota_gateway.discovery.client import EndpointUpdate
+from quota_gateway.discovery.endpoint_update import EndpointUpdate
 from quota_gateway.metrics import Metrics
 from quota_gateway.model.actions import (
     Action,
--- a/quota_gateway/gateway_process.py
+++ b/quota_gateway/gateway_process.py
@@ -13,7 +13,8 @@
 from quota_gateway.admin.server import AdminOperations, AdminServer
 from quota_gateway.configuration.file import Configuration, read_configuration
 from quota_gateway.counter.client import CounterClient
-from quota_gateway.discovery.client import DiscoveryClient, poll_schedule_for
+from quota_gateway.discovery.client import DiscoveryClient
+from quota_gateway.discovery.poll_schedule import poll_schedule_for
 from quota_gateway.dispatch.dispatcher import RequestDispatcher
 from quota_gateway.downstream.client_connection import ClientListener
 from quota_gateway.errors import ConfigurationError
--- a/quota_gateway/hot_restart/coordinator.py
+++ b/quota_gateway/hot_restart/coordinator.py
@@ -14,7 +14,7 @@
 from collections.abc import Callable
 from typing import Any, cast
 
-from quota_gateway.discovery.client import EndpointEntry, EndpointUpdate
+from quota_gateway.discovery.endpoint_update import EndpointEntry, EndpointUpdate
 from quota_gateway.dispatch.dispatcher import RequestDispatcher
 from quota_gateway.model.charges import UnitsCharged
 from quota_gateway.model.endpoints import Endpoint, EndpointListKind, EndpointStatus
--- a/tests/test_counter_client.py
+++ b/tests/test_counter_client.py
@@ -9,9 +9,9 @@
 import pytest
 
 from quota_gateway.counter.client import IDLE_LIMIT, SILENT_AFTER, CounterClient
-from quota_gateway.discovery.client import read_address
 from quota_gateway.model.events import CounterReply
 from quota_gateway.model.outcomes import Outcome
+from quota_gateway.sockets.addresses import parse_address as read_address
 from tests.fakes import HOST, SOON, FakeCounter
 from tests.harness import run
 from tests.virtual_clock import run_on_virtual_clock
