--- /dev/null
+++ b/tests/test_endpoint_poller.py
@@ -0,0 +1,255 @@
+"""Polling of a discovery agent: retries, backoff, timeouts, and what is logged of failures."""
+
+from __future__ import annotations
+
+import asyncio
+
+import pytest
+
+from quota_gateway.discovery import poller as poller_module
+from quota_gateway.discovery.connection import parse_retry_after
+from quota_gateway.discovery.endpoint_update import EndpointUpdate
+from quota_gateway.discovery.poll_schedule import MAX_PROPAGATION_DELAY, poll_schedule_for
+from quota_gateway.discovery.poller import EndpointPoller
+from quota_gateway.errors import DiscoveryUnavailableError, EndpointListError
+from quota_gateway.model.endpoints import EndpointStatus
+from tests.discovery_harness import first_id, first_status, following
+from tests.fakes import FakeDiscovery, message, read_message
+from tests.harness import run
+
+DRAIN_TIMEOUT = 2.0  # seconds
+
+
+def idle_poller() -> EndpointPoller:
+    """Return a poller with a known generation, whose task has not run yet."""
+    return EndpointPoller(("127.0.0.1", 9), 1.0, lambda poller, update: None, generation=7)
+
+
+BAD_RESPONSES = {
+    "unavailable": message(503),
+    "rejected": message(410),
+    "malformed": message(200, b"rubbish"),
+    "older generation": message(200, b'{"generation": 0, "reset": false, "instances": []}'),
+}
+
+
+@pytest.mark.parametrize(
+    ("fault", "keeps_generation"),
+    [
+        ("reset", True),
+        ("unavailable", True),
+        ("rejected", False),
+        ("malformed", False),
+        ("older generation", False),
+    ],
+)
+def test_a_failed_watch_is_followed_by_a_poll_that_returns_at_once(
+    fault: str, keeps_generation: bool
+) -> None:
+    # another watch would wait for the next change, and a rejected one would be rejected again
+    async def test() -> None:
+        peer = FakeDiscovery()
+        async with following(peer) as (_, updates):
+            await updates.get()
+            await peer.until_asked(2)
+            (writer,) = peer.open
+            if fault == "reset":
+                writer.transport.abort()
+            else:
+                writer.write(BAD_RESPONSES[fault])
+            if keeps_generation:
+                await peer.change(peer.entry("b", "127.0.0.1:9"))
+            assert (await updates.get()).is_full != keeps_generation
+            is_immediate_watch = peer.asked[2].startswith("GET /v1/endpoints?since=1&timeout_ms=0 ")
+            assert is_immediate_watch == keeps_generation
+            await peer.until_asked(4)
+            assert "timeout_ms=2000 " in peer.asked[3]
+            await peer.change({"instanceId": "a", "lifecycle": "DELETED"})
+            assert first_status(await updates.get()) is EndpointStatus.REMOVED
+
+    run(test)
+
+
+def test_retries_use_jittered_and_growing_backoff(monkeypatch: pytest.MonkeyPatch) -> None:
+    async def record_delays() -> list[float]:
+        delays: list[float] = []
+        done = asyncio.Event()
+
+        async def record_sleep(seconds: float) -> None:
+            delays.append(seconds)
+            if len(delays) == 9:
+                done.set()
+                await asyncio.Event().wait()
+
+        async def fail_poll(poller: EndpointPoller) -> EndpointUpdate:
+            raise EndpointListError("status 503", 3.0 if len(delays) == 7 else 0.0)
+
+        monkeypatch.setattr("quota_gateway.discovery.poller.asyncio.sleep", record_sleep)
+        monkeypatch.setattr(EndpointPoller, "poll", fail_poll)
+        poller = EndpointPoller(("127.0.0.1", 9), 1.0, lambda poller, update: None)
+        await done.wait()
+        poller.stop()
+        return delays
+
+    async def test() -> None:
+        first, second = await record_delays(), await record_delays()
+        assert first != second  # gateways that failed together don't retry together
+        assert all(0 < delays[0] < 0.1 for delays in (first, second))
+        # Retry-After is capped by the maximum backoff, and jittered: all gateways were given the same one
+        assert first[7] != second[7]
+        assert all(0.5 <= delay <= 1.0 for delay in (*first[7:], *second[7:]))
+
+    run(test)
+
+
+VIRTUAL_CONNECT_TIMEOUT = 0.25  # seconds
+
+
+class ControlledTime:
+    """Stands in for asyncio in the poller: timeouts expire at the test's command, sleeps return at once."""
+
+    def __init__(self) -> None:
+        self.elapsed = 0.0  # seconds of expired timeouts and of sleeps
+        self.timeouts: list[tuple[float, asyncio.Timeout]] = []
+
+    def __getattr__(self, name: str) -> object:
+        return getattr(asyncio, name)
+
+    def timeout(self, seconds: float) -> asyncio.Timeout:
+        if seconds == VIRTUAL_CONNECT_TIMEOUT:  # runs within the poll's own timeout, and never expires
+            return asyncio.timeout(None)
+        self.timeouts.append((seconds, asyncio.timeout(None)))
+        return self.timeouts[-1][1]
+
+    async def sleep(self, seconds: float) -> None:
+        self.elapsed += seconds
+
+    def expire_last_timeout(self) -> None:
+        seconds, timeout = self.timeouts[-1]
+        self.elapsed += seconds
+        timeout.reschedule(asyncio.get_running_loop().time())
+
+
+class StallingDiscovery(FakeDiscovery):
+    """While it stalls it leaves requests unanswered, or starts responses that never end."""
+
+    stalls = False
+
+    def __init__(self, trickles: bool) -> None:
+        super().__init__()
+        self.trickles = trickles
+
+    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        while True:
+            request_line, _, _ = await read_message(reader)
+            async with self.changed:
+                self.asked.append(request_line)
+                self.changed.notify_all()
+            if self.stalls:
+                if self.trickles:
+                    writer.write(b"HTTP/1.1 200 X\r\nContent-Length: 99\r\n\r\n{")
+                await asyncio.Event().wait()
+            if "since" not in request_line:
+                writer.write(message(200, self.listing(True, list(self.entries.values()))))
+            elif "timeout_ms=0 " in request_line:
+                writer.write(message(200, self.listing(False, self.changes)))
+
+
+@pytest.mark.parametrize("trickles", [False, True])
+@pytest.mark.parametrize("pushed", [False, True])
+@pytest.mark.parametrize("gateway_count", [1, 3, 40, 200])
+def test_a_stalled_watch_is_replaced_within_the_propagation_delay(
+    gateway_count: int, pushed: bool, trickles: bool, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    # counted from the start of the stall, and also if the next poll stalls too
+    async def test() -> None:
+        peer, time = StallingDiscovery(trickles), ControlledTime()
+        peer.entries = {"a": peer.entry("a", "127.0.0.1:9")}
+        schedule = poll_schedule_for(gateway_count, pushed, DRAIN_TIMEOUT)
+        monkeypatch.setattr(poller_module, "asyncio", time)
+        monkeypatch.setattr(
+            "quota_gateway.discovery.poll_schedule.random.uniform", lambda lower, upper: upper
+        )
+        async with following(peer, None, schedule, VIRTUAL_CONNECT_TIMEOUT) as (_, updates):
+            await updates.get()
+            await peer.until_asked(2)
+            peer.stalls = True
+            time.expire_last_timeout()  # of the watch
+            await peer.until_asked(3)
+            peer.stalls = False
+            await peer.change(peer.entry("a", "127.0.0.1:9", "DRAINING"))
+            time.expire_last_timeout()  # of the poll after it
+            assert first_status(await updates.get()) is EndpointStatus.DRAINING
+            assert time.elapsed <= MAX_PROPAGATION_DELAY
+
+    run(test)
+
+
+def test_polling_survives_deeply_nested_json_and_infinite_numbers() -> None:
+    async def test() -> None:
+        peer = FakeDiscovery()
+        async with following(peer) as (_, updates):
+            await updates.get()
+            bodies = (b"[" * 200_000, b'{"generation": 1e999, "reset": true, "instances": []}')
+            for number, body in enumerate(bodies):
+                await peer.until_asked(2 + 2 * number)
+                for writer in list(peer.open):
+                    writer.write(message(200, body))
+                assert (await updates.get()).is_full
+
+    run(test)
+
+
+def test_only_timeouts_extend_the_answer_timeout_and_only_bad_lists_reset_the_generation() -> None:
+    async def test() -> None:
+        poller = idle_poller()
+        for timeouts in (1, 2):
+            poller.handle_failure(TimeoutError())
+            assert (poller.consecutive_timeouts, poller.generation) == (timeouts, 7)
+        poller.handle_failure(DiscoveryUnavailableError("status 503"))
+        assert (poller.consecutive_timeouts, poller.generation) == (2, 7)
+        poller.handle_failure(EndpointListError("status 410"))
+        assert poller.generation is None
+        poller.stop()
+
+    run(test)
+
+
+def test_an_unusable_list_is_logged_on_one_line(caplog: pytest.LogCaptureFixture) -> None:
+    async def test() -> None:
+        peer = FakeDiscovery()
+        async with following(peer) as (_, updates):
+            await updates.get()
+            for body in (b'{"generation": 2,\n "instances": 7}', b"rubbish" * 99):
+                await peer.until_asked(len(peer.asked))
+                for writer in list(peer.open):
+                    writer.write(message(200, body))
+                await peer.change(peer.entry("a", "127.0.0.1:9"))
+                assert first_id(await updates.get()) == "a"
+
+    run(test)
+    messages = [record.getMessage() for record in caplog.records]
+    assert messages
+    assert all("\n" not in text and len(text) < 300 for text in messages)
+
+
+def test_a_series_of_failures_is_logged_once(caplog: pytest.LogCaptureFixture) -> None:
+    async def test() -> None:
+        poller = idle_poller()
+        errors = (TimeoutError(), EndpointListError("bad\nlist"), DiscoveryUnavailableError("status 503"))
+        for error in errors:
+            poller.handle_failure(error)
+        poller.stop()
+
+    run(test)
+    assert [record.getMessage() for record in caplog.records] == [
+        "endpoint list poll of 127.0.0.1:9 failed, keeping the last known list: timed out"
+    ]
+
+
+@pytest.mark.parametrize(
+    ("value", "seconds"),
+    [(b"1.5", 1.5), (b"nan", 0), (b"inf", 0), (b"-3", 0), (b"Tue, 01 Dec 2026", 0)],
+)
+def test_only_a_positive_number_of_seconds_is_taken_as_retry_after(value: bytes, seconds: float) -> None:
+    assert parse_retry_after(value) == seconds
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -1,4 +1,4 @@
-"""After a restart: ready, and a request served, within 10 s: a whole fleet, discovery and counter down."""
+"""Restarted gateways are ready, and serve a request, within 10 s, with discovery and the counter down."""
 
 from __future__ import annotations
 
@@ -12,33 +12,37 @@
 import pytest
 
 from tests.fakes import HOST, FakeBackend, settings_text
+from tests.faulty_discovery import DiscoveryFault, FaultyDiscovery
 from tests.harness import READY, GatewayHarness, request, roomy_settings, run
-from tests.test_endpoint_updates import Discoverer
 from tests.test_gateway_process import ROOT, RUN
 from tests.virtual_clock import run_on_virtual_clock, start_clock
 
-READY_WITHIN = 10.0  # seconds, for nine in ten
-FLEET = 12
-FAULTS = ["refused", "busy", "dial hangs", "silent", "trickles", "cut", "rubbish"]
+MAX_STARTUP_TIME = 10.0  # seconds, for nine gateways in ten
+MAX_DISCOVERY_WAIT = 1.5  # seconds on the virtual clock: one connect timeout, and a margin
+FLEET_SIZE = 12
+MAX_DESCRIPTORS = 1024
 
 
-class Restarted:
-    """One gateway's program and the seconds from its start until it was ready and had a request served."""
+class RestartedGateway:
+    """One gateway, and the seconds from its start until it was ready and had served a request."""
 
-    def __init__(self, bed: GatewayHarness, number: int) -> None:
-        self.bed, self.number = bed, number
-        self.took = float("inf")
+    def __init__(self, harness: GatewayHarness, number: int) -> None:
+        self.harness = harness
+        self.number = number
+        self.startup_time = float("inf")
 
-    async def watch(self) -> None:
-        loop = asyncio.get_running_loop()
-        began = loop.time()
-        while await self.status(READY) != 200 or await self.status(request(self.number)) != 200:
+    async def wait_until_serving(self, started_at: float) -> None:
+        while not await self.is_serving():  # noqa: ASYNC110 - readiness can only be polled, over HTTP
             await asyncio.sleep(0.05)
-        self.took = loop.time() - began
+        self.startup_time = asyncio.get_running_loop().time() - started_at
+
+    async def is_serving(self) -> bool:
+        return await self.status(READY) == 200 and await self.status(request(self.number)) == 200
 
     async def status(self, text: bytes) -> int:
+        """Return the status of the response to a request on a new connection; 0 without a response."""
         try:
-            client = await self.bed.client()
+            client = await self.harness.client()
         except OSError:
             return 0
         try:
@@ -49,122 +53,133 @@
             client.writer.close()
 
 
-async def beds_of(number: int, fault: str) -> tuple[list[GatewayHarness], Discoverer]:
-    """Beds that share a discovery with this fault, a counter that is down, and two backends."""
-    discovery, backends = Discoverer(), [FakeBackend(), FakeBackend()]
-    for peer in (discovery, *backends):
-        await peer.start()
-    entries = [discovery.entry(f"b{n}", b.address) for n, b in enumerate(backends)]
-    discovery.entries = {e["instanceId"]: e for e in entries}
-    beds = []
-    for _ in range(number):
-        bed = GatewayHarness(0)
-        bed.backends, bed.discovery = backends, discovery
-        await bed.counter.start()
-        await bed.counter.stop()
-        beds.append(bed)
-    await discovery.begin(fault)
-    return beds, discovery
-
-
-def fleet_settings(number: int) -> dict[str, Any]:
-    """Thin plans: each request needs the counter's word, or goes without it where it is down."""
-    env = settings_text()
-    env["balancers"], env["limits"]["dial_timeout"] = number, 250.0
-    return env
-
-
-@pytest.mark.parametrize("fault", FAULTS)
-def test_a_fleet_that_restarts_at_once_is_ready_whatever_discovery_does(fault: str) -> None:
-    """Whole programs in one loop, by its clock: how long a start waits, wherever it runs."""
-    took: list[float] = []
+async def start_peers(
+    gateway_count: int, fault: DiscoveryFault
+) -> tuple[list[RestartedGateway], FaultyDiscovery]:
+    """Start two backends and discovery with this fault for all gateways, whose counters are down."""
+    discovery = FaultyDiscovery()
+    backends = [FakeBackend(), FakeBackend()]
+    for server in (discovery, *backends):
+        await server.start()
+    entries = [discovery.entry(f"b{number}", backend.address) for number, backend in enumerate(backends)]
+    discovery.entries = {entry["instanceId"]: entry for entry in entries}
+    fleet = []
+    for number in range(gateway_count):
+        harness = GatewayHarness(0)
+        harness.backends = backends
+        harness.discovery = discovery
+        await harness.counter.start()
+        await harness.counter.stop()
+        fleet.append(RestartedGateway(harness, number))
+    await discovery.start_fault(fault)
+    return fleet, discovery
+
+
+async def stop_peers(fleet: list[RestartedGateway], discovery: FaultyDiscovery) -> None:
+    for server in (discovery, *fleet[0].harness.backends):
+        await server.stop()
+
+
+def fleet_settings(gateway_count: int) -> dict[str, Any]:
+    """Return settings with small quotas: each request needs the counter, or its fallback where it is down."""
+    settings = settings_text()
+    settings["balancers"] = gateway_count
+    settings["limits"]["dial_timeout"] = 250.0
+    return settings
+
+
+@pytest.mark.parametrize("fault", DiscoveryFault)
+def test_a_fleet_that_restarts_at_once_is_ready_whatever_discovery_does(fault: DiscoveryFault) -> None:
+    """Run the gateways in one loop on a virtual clock: it shows the waits of a start on any machine."""
+    startup_times: list[float] = []
+
+    async def start(gateway: RestartedGateway) -> None:
+        started_at = asyncio.get_running_loop().time()
+        await gateway.harness.begin(fleet_settings(FLEET_SIZE), MAX_DESCRIPTORS)
+        await gateway.wait_until_serving(started_at)
+        startup_times.append(gateway.startup_time)
 
     async def test() -> None:
-        beds, discovery = await beds_of(FLEET, fault)
+        fleet, discovery = await start_peers(FLEET_SIZE, fault)
         with pytest.MonkeyPatch.context() as patch:
             patch.setattr("quota_gateway.gateway_process.start_clock", start_clock)
-            fleet = [Restarted(bed, number) for number, bed in enumerate(beds)]
-
-            async def start(restarted: Restarted) -> None:
-                began = asyncio.get_running_loop().time()
-                await restarted.bed.begin(fleet_settings(FLEET), 1024)
-                await restarted.watch()
-                took.append(asyncio.get_running_loop().time() - began)
-
-            await asyncio.gather(*(start(each) for each in fleet))
-        for bed in beds:
-            await bed.process.stop(0.0, 0.0)
-        for peer in (discovery, *beds[0].backends):
-            await peer.stop()
+            await asyncio.gather(*(start(gateway) for gateway in fleet))
+        for gateway in fleet:
+            await gateway.harness.process.stop(0.0, 0.0)
+        await stop_peers(fleet, discovery)
 
     run_on_virtual_clock(test)
-    print(f"ready: {FLEET} gateways, {fault}: {max(took):.2f} s at most")
-    assert max(took) <= 1.5  # what a start waits for is bounded by one dial, and a little
-
-
-@pytest.mark.parametrize("fault", ["refused", "silent"])
+    print(f"ready: {FLEET_SIZE} gateways, {fault}: {max(startup_times):.2f} s at most")
+    assert max(startup_times) <= MAX_DISCOVERY_WAIT
+
+
+async def start_process(gateway: RestartedGateway, directory: pathlib.Path) -> asyncio.subprocess.Process:
+    """Start the gateway by the deployment's run command, on a free port."""
+    harness = gateway.harness
+    with socket.socket() as port_finder:
+        port_finder.bind((HOST, 0))
+        harness.port = port_finder.getsockname()[1]
+    path = directory / f"{gateway.number}.json"
+    configuration = harness.configuration(fleet_settings(FLEET_SIZE), MAX_DESCRIPTORS)
+    configuration["listen"] = f"{HOST}:{harness.port}"
+    path.write_text(json.dumps(configuration))
+    return await asyncio.create_subprocess_exec(
+        "/bin/sh",
+        "-c",
+        RUN,
+        cwd=ROOT,
+        env={**os.environ, "RELAY_CONFIG": str(path)},
+        stderr=asyncio.subprocess.DEVNULL,
+    )
+
+
+@pytest.mark.parametrize("fault", [DiscoveryFault.REFUSED, DiscoveryFault.SILENT])
 def test_nine_in_ten_processes_that_are_started_at_once_are_ready_in_time(
-    fault: str, tmp_path: pathlib.Path
+    fault: DiscoveryFault, tmp_path: pathlib.Path
 ) -> None:
-    """`run` itself, as many times; this machine's cores count too."""
+    """Run the gateways as processes; the result depends on this machine's cores too."""
 
     async def test() -> None:
-        beds, discovery = await beds_of(FLEET, fault)
-        fleet, children = [], []
-        for number, bed in enumerate(beds):
-            with socket.socket() as probe:
-                probe.bind((HOST, 0))
-                bed.port = probe.getsockname()[1]
-            path = tmp_path / f"{number}.json"
-            told = bed.configuration(fleet_settings(FLEET), 1024) | {"listen": f"{HOST}:{bed.port}"}
-            path.write_text(json.dumps(told))
-            children.append(
-                await asyncio.create_subprocess_exec(
-                    "/bin/sh",
-                    "-c",
-                    RUN,
-                    cwd=ROOT,
-                    env={**os.environ, "RELAY_CONFIG": str(path)},
-                    stderr=asyncio.subprocess.DEVNULL,
-                )
-            )
-            fleet.append(Restarted(bed, number))
+        fleet, discovery = await start_peers(FLEET_SIZE, fault)
+        processes = [await start_process(gateway, tmp_path) for gateway in fleet]
+        started_at = asyncio.get_running_loop().time()
         try:
-            async with asyncio.timeout(2 * READY_WITHIN):
-                await asyncio.gather(*(each.watch() for each in fleet))
+            async with asyncio.timeout(2 * MAX_STARTUP_TIME):
+                await asyncio.gather(*(gateway.wait_until_serving(started_at) for gateway in fleet))
         finally:
-            for child in children:
-                child.kill()
-                await child.wait()
-            for peer in (discovery, *beds[0].backends):
-                await peer.stop()
-        took = sorted(each.took for each in fleet)
-        print(f"ready: {FLEET} processes, {fault}: {took[-1]:.2f} s at most")
-        assert took[int(0.9 * FLEET)] <= READY_WITHIN
+            for process in processes:
+                process.kill()
+                await process.wait()
+            await stop_peers(fleet, discovery)
+        startup_times = sorted(gateway.startup_time for gateway in fleet)
+        print(f"ready: {FLEET_SIZE} processes, {fault}: {startup_times[-1]:.2f} s at most")
+        assert startup_times[int(0.9 * FLEET_SIZE)] <= MAX_STARTUP_TIME
 
     run(test)
 
 
-def test_one_that_knows_no_backend_says_so_until_discovery_names_one() -> None:
-    """Ready is a promise to serve: with nothing to serve with it is not made."""
+def test_a_gateway_without_endpoints_is_ready_only_once_discovery_names_one() -> None:
+    """Ready means able to serve, which a gateway without endpoints is not."""
 
     async def test() -> None:
-        bed = GatewayHarness(1)
-        peer = bed.discovery = Discoverer()
+        harness = GatewayHarness(1)
+        peer = harness.discovery = FaultyDiscovery()
+        servers = (*harness.backends, peer, harness.counter)
         with pytest.MonkeyPatch.context() as patch:
             patch.setattr("quota_gateway.gateway_process.start_clock", start_clock)
-            for each in (*bed.backends, peer, bed.counter):
-                await each.start()
-            await peer.begin("busy")
-            await bed.begin(roomy_settings(), 1024)
-        client = await bed.client()
+            for server in servers:
+                await server.start()
+            await peer.start_fault(DiscoveryFault.UNAVAILABLE)
+            await harness.begin(roomy_settings(), MAX_DESCRIPTORS)
+        client = await harness.client()
         assert (await client.ask(READY))[0] == 503
-        await peer.over(peer.entry("b0", bed.backends[0].address))
+        await peer.end_fault(peer.entry("b0", harness.backends[0].address))
         await asyncio.sleep(1.5)
-        assert (await client.ask(READY))[0] == 200 and (await client.ask(request(1)))[0] == 200
+        assert (await client.ask(READY))[0] == 200
+        assert (await client.ask(request(1)))[0] == 200
         client.writer.close()
-        await bed.process.stop(0.0, 0.0)
-        for each in (*bed.backends, peer, bed.counter):
-            await each.stop()
+        await harness.process.stop(0.0, 0.0)
+        for server in servers:
+            await server.stop()
 
     run_on_virtual_clock(test)
