--- a/quota_gateway/discovery/poll_schedule.py
+++ b/quota_gateway/discovery/poll_schedule.py
@@ -19,7 +19,7 @@
 PUSHED_ANSWER_TIMEOUT_RATIO = 0.375  # of the drain timeout: two polls have to fit into it
 PUSHED_MAX_BACKOFF_RATIO = 0.125  # of the drain timeout: what the two polls leave of it, but for a margin
 
-MIN_JITTER = 0.5  # smallest part of a backoff that is waited; the rest is random, to spread a fleet's retries
+MIN_JITTER = 0.5  # smallest part of a backoff that is waited; the remainder is random, to spread retries
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,4 +1,4 @@
-"""The discovery client: updates in order, moves between agents, and their effect in a whole gateway."""
+"""The discovery client: updates in order, moves between agents, and their effect in a gateway."""
 
 from __future__ import annotations
 
@@ -103,6 +103,7 @@
         async with following(old) as (client, updates):
             await updates.get()
             await old.until_asked(2)
+            (old_poller,) = client.pollers
             async with new.changed:  # delays the new agent's response
                 client.move(parse_address(new.address))
                 await old.change(old.entry("a", "127.0.0.1:9", "DRAINING"))
@@ -115,6 +116,7 @@
             await old.change(old.entry("c", "127.0.0.1:7"))
             await new.change(new.entry("d", "127.0.0.1:6"))
             assert first_id(await updates.get()) == "d"  # and nothing of the old agent
+            assert old_poller.task.cancelled()
         await new.stop()
 
     run(test)
