--- a/quota_gateway/configuration/file.py
+++ b/quota_gateway/configuration/file.py
@@ -12,10 +12,11 @@
     read_connection_limits,
     read_settings,
 )
-from quota_gateway.discovery.client import EndpointUpdate, read_address, read_endpoint_update
+from quota_gateway.discovery.endpoint_update import EndpointUpdate, read_endpoint_update
 from quota_gateway.errors import ConfigurationError, EndpointListError
 from quota_gateway.model.endpoints import EndpointListKind
 from quota_gateway.model.settings import Settings
+from quota_gateway.sockets.addresses import parse_address
 
 LEAST_SOCKETS = 32  # with fewer there is nothing left to serve with
 
@@ -56,7 +57,7 @@
 
 def build_configuration(told: dict[str, Any], environ: dict[str, str]) -> Configuration:
     settings = read_settings(told["settings"])
-    counter = read_address(told["counter"]) if settings.counter_enabled else None
+    counter = parse_address(told["counter"]) if settings.counter_enabled else None
     console = environ.get("RELAY_CONSOLE") or told.get("console")
     descriptor = environ.get("RELAY_SOCKET_FD")
     soft, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
@@ -65,11 +66,11 @@
         raise ValueError(f"limits: sockets is below {LEAST_SOCKETS}")
     return Configuration(
         name=str(environ.get("RELAY_NAME") or told["name"]),
-        listen_address=read_address(environ.get("RELAY_LISTEN") or told["listen"]),
-        discovery=read_address(environ.get("RELAY_DISCOVERY") or told["discovery"]),
-        file_discovery=read_address(told["discovery"]) if "discovery" in told else None,
+        listen_address=parse_address(environ.get("RELAY_LISTEN") or told["listen"]),
+        discovery=parse_address(environ.get("RELAY_DISCOVERY") or told["discovery"]),
+        file_discovery=parse_address(told["discovery"]) if "discovery" in told else None,
         counter=counter,
-        admin_address=read_address(console) if console else None,
+        admin_address=parse_address(console) if console else None,
         listen_descriptor=int(descriptor) if descriptor else None,
         shared_folder=environ.get("TMPDIR") or None,
         seed=int(told["seed"], 16),
--- a/quota_gateway/hot_restart/coordinator.py
+++ b/quota_gateway/hot_restart/coordinator.py
@@ -13,7 +13,7 @@
 import socket
 from collections.abc import Callable, Iterator
 
-from quota_gateway.discovery.client import EndpointEntry
+from quota_gateway.discovery.endpoint_update import EndpointEntry
 from quota_gateway.dispatch.dispatcher import RequestDispatcher
 from quota_gateway.hot_restart.messages import (
     Hello,
--- a/quota_gateway/hot_restart/messages.py
+++ b/quota_gateway/hot_restart/messages.py
@@ -12,7 +12,7 @@
 from enum import StrEnum
 from typing import Any
 
-from quota_gateway.discovery.client import EndpointEntry, EndpointUpdate
+from quota_gateway.discovery.endpoint_update import EndpointEntry, EndpointUpdate
 from quota_gateway.errors import HotRestartError
 from quota_gateway.model.charges import UnitsCharged
 from quota_gateway.model.endpoints import Endpoint, EndpointListKind, EndpointStatus
--- a/tests/test_counter_client.py
+++ b/tests/test_counter_client.py
@@ -10,9 +10,9 @@
 
 from quota_gateway.counter.client import CounterClient
 from quota_gateway.counter.connection import IDLE_TIMEOUT, STALL_FACTOR
-from quota_gateway.discovery.client import read_address
 from quota_gateway.model.events import CounterReply
 from quota_gateway.model.outcomes import Outcome
+from quota_gateway.sockets.addresses import parse_address
 from tests.fakes import HOST, SOON, FakeCounter
 from tests.harness import run
 from tests.virtual_clock import run_on_virtual_clock
@@ -36,7 +36,7 @@
 ) -> AsyncIterator[tuple[CounterClient, ReplyRecorder, FakeCounter]]:
     server, replies = FakeCounter(), ReplyRecorder()
     await server.start()
-    address = read_address(server.address)
+    address = parse_address(server.address)
     client = CounterClient(lambda: replies.now, address, timeout, 5.0, replies.queue.put_nowait)
     yield client, replies, server
     client.close()
@@ -225,7 +225,7 @@
             server.free.clear()
             client.add("c1.7", 3.0, 4.0)
             await until(lambda: server.calls)
-            client.move(read_address(new_server.address))
+            client.move(parse_address(new_server.address))
             client.add("c1.7", 4.0, 4.0)
             assert await replies.next() == ("c1.7", Outcome.SUCCESS, 4.0)
             server.free.set()
@@ -286,14 +286,14 @@
         server, replies = DelayedCounter(*delays), asyncio.Queue[CounterReply]()
         await server.start()
         client = CounterClient(
-            asyncio.get_running_loop().time, read_address(server.address), 0.03, 5.0, replies.put_nowait
+            asyncio.get_running_loop().time, parse_address(server.address), 0.03, 5.0, replies.put_nowait
         )
         assert client.reply_timeout == 0.03
         for outcome in outcomes:
             client.add("c1.7", 1.0, 4.0)
             assert (await replies.get()).outcome.value == outcome
             await asyncio.sleep(0.4)  # a late reply has arrived by then
-        client.move(read_address(server.address))
+        client.move(parse_address(server.address))
         assert client.reply_timeout == 0.03  # the latency of the new address is unknown
         client.close()
         await server.stop()
