--- a/quota_gateway/sockets/dialing.py
+++ b/quota_gateway/sockets/dialing.py
@@ -1,4 +1,4 @@
-"""Dials where descriptors may be short: idle clients make way, and the dial is tried again."""
+"""Outgoing TCP connections, retried while the process or the system is short of descriptors."""
 
 from __future__ import annotations
 
@@ -7,29 +7,39 @@
 from collections.abc import Callable
 from typing import TypeVar
 
-LACKING = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
-AGAIN = 0.02  # seconds until the next try: what makes way is closed by then
+# No descriptor or kernel memory for one more socket: passes once other connections are closed.
+RESOURCE_EXHAUSTION_ERRNOS = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
+RETRY_DELAY = 0.02  # seconds; connections closed to free descriptors are gone from the kernel by then
 
-P = TypeVar("P", bound=asyncio.BaseProtocol)
+LACKING = RESOURCE_EXHAUSTION_ERRNOS
+AGAIN = RETRY_DELAY
+
+ProtocolT = TypeVar("ProtocolT", bound=asyncio.BaseProtocol)
 
 
 async def connect_with_retry(
-    factory: Callable[[], P], address: tuple[str, int], short: Callable[[], None]
-) -> P:
-    """A connection to the address; `short` is called where no descriptor is left for one.
+    protocol_factory: Callable[[], ProtocolT],
+    address: tuple[str, int],
+    on_descriptor_exhaustion: Callable[[], None],
+) -> ProtocolT:
+    """Connect to `address` (host, port) and return the connection's protocol.
+
+    While no descriptor is left for the socket, `on_descriptor_exhaustion` is called to free some, and the
+    connect is retried after RETRY_DELAY. There is no limit on retries: the caller sets a timeout.
 
-    Goes on until the caller's own limit on time ends it. OSError: refused, or unreachable.
+    Raises OSError if the address refuses the connection or can't be reached.
     """
     loop = asyncio.get_running_loop()
     while True:
         try:
-            return (await loop.create_connection(factory, *address))[1]
+            _, protocol = await loop.create_connection(protocol_factory, *address)
+            return protocol
         except OSError as error:
-            if error.errno not in LACKING:
+            if error.errno not in RESOURCE_EXHAUSTION_ERRNOS:
                 raise
-        short()
-        await asyncio.sleep(AGAIN)
+        on_descriptor_exhaustion()
+        await asyncio.sleep(RETRY_DELAY)
 
 
 def ignore_descriptor_exhaustion() -> None:
-    """For a dialler that has no clients beside it."""
+    """Do nothing: the handler for a caller that has no connections to close."""
--- a/quota_gateway/sockets/listening.py
+++ b/quota_gateway/sockets/listening.py
@@ -1,13 +1,17 @@
-"""Listening sockets: bound here, or inherited from the platform, which holds them across processes."""
+"""Listening sockets: bound by this process, or inherited from the platform that started it."""
 
 from __future__ import annotations
 
 import socket
 
-BACKLOG = 1024
+BACKLOG = 1024  # connections that the kernel may queue: a burst of clients, until the loop accepts them
 
 
 def bind(address: tuple[str, int]) -> socket.socket:
+    """Return a non-blocking socket that listens at `address` (host, port), an IPv6 one if host has a colon.
+
+    Raises OSError if the address is in use or isn't one of this machine's.
+    """
     listener = socket.socket(socket.AF_INET6 if ":" in address[0] else socket.AF_INET)
     try:
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -21,7 +25,12 @@
 
 
 def inherit(descriptor: int) -> socket.socket:
-    """The platform's socket, which others accept from too: closing it here ends nothing that waits there."""
+    """Return the listening socket at `descriptor`, which the platform opened, as a non-blocking one.
+
+    Other processes accept from the same socket: closing it here leaves its queue of connections to them.
+
+    Raises OSError if the descriptor isn't a listening socket; the descriptor stays open then.
+    """
     listener = socket.socket(fileno=descriptor)
     if not listener.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
         listener.detach()
