--- a/quota_gateway/upstream/__init__.py
+++ b/quota_gateway/upstream/__init__.py
@@ -1,1 +1,1 @@
-"""The backends' side: attempts, connections and their pool."""
+"""Connections to the upstream endpoints, and the attempts that are sent on them."""
--- /dev/null
+++ b/quota_gateway/upstream/connection.py
@@ -0,0 +1,255 @@
+"""A connection to an endpoint: sends one attempt at a time, with flow control in both directions."""
+
+from __future__ import annotations
+
+import asyncio
+import select
+from collections.abc import Callable
+from typing import Protocol, cast
+
+from quota_gateway.body_streaming import RequestBodyStream, ResponseHead, StreamSink
+from quota_gateway.model.outcomes import Outcome
+from quota_gateway.upstream.attempt import AttemptResult, UpstreamAttempt
+from quota_gateway.upstream.endpoint_connections import EndpointConnections
+from quota_gateway.upstream.idle_timeout import AdaptiveIdleTimeout
+from quota_gateway.upstream.response_parser import ResponseParser
+
+READ_TIMEOUT = 0.5  # seconds between parts of a response; endpoints have it complete when they begin to send
+READ_TIMEOUT_FRACTION = 0.2  # of the attempt's time, at most: enough must be left for a retry
+STREAM_READ_TIMEOUT = 10.0  # seconds between parts of a streamed response, which can't be retried
+
+
+class ConnectionOwner(Protocol):
+    """What a connection needs of its pool."""
+
+    clock: Callable[[], float]
+    loop: asyncio.AbstractEventLoop
+    read_buffer: bytearray
+    idle_timeout: AdaptiveIdleTimeout
+    attempts_written: int
+
+    def connection_opened(self, connection: UpstreamConnection) -> None:
+        """Take note of an established connection."""
+
+    def connection_closed(self, connection: UpstreamConnection) -> None:
+        """Take note of the end of a connection, established or not."""
+
+    def release(self, connection: UpstreamConnection) -> None:
+        """Take back a connection that is fit for another attempt."""
+
+
+class UpstreamConnection(asyncio.BufferedProtocol):
+    """A keep-alive connection, to be used for one attempt at a time."""
+
+    def __init__(self, pool: ConnectionOwner, endpoint: EndpointConnections) -> None:
+        """Prepare a connection that isn't established yet."""
+        self.pool = pool
+        self.endpoint = endpoint
+        self.attempt: UpstreamAttempt | None = None
+        self.idle_since = 0.0  # on the pool's clock
+        self.idle_time = 0.0  # seconds that it was idle before its current attempt; 0: this is its first
+        self.transport: asyncio.Transport | None = None
+        self._descriptor = -1
+        self._response = ResponseParser(self._open_stream)
+        self.stall: asyncio.TimerHandle | None = None  # the read timeout's timer
+        self.paused = False  # reading a streamed response is
+        self._is_writing_paused = False  # while the kernel has not taken all that was written
+        self._is_writing_body = False
+
+    def is_open(self) -> bool:
+        """Return whether the connection is established and not closing."""
+        return self.transport is not None and not self.transport.is_closing()
+
+    def has_unread_input(self) -> bool:
+        """Return whether bytes, which the next response would be mistaken for, or a close wait to be read."""
+        poll = select.poll()
+        poll.register(self._descriptor, select.POLLIN)
+        return bool(poll.poll(0))
+
+    def close(self) -> None:
+        """Close the connection at once; `connection_lost` follows in a later turn of the loop."""
+        if self.transport is not None:
+            self.transport.abort()
+
+    def close_idle_siblings(self) -> None:
+        """Close all idle connections to the same endpoint."""
+        self.endpoint.drop_idle()
+
+    def send_attempt(self, attempt: UpstreamAttempt, now: float) -> None:
+        """Send the attempt's request, of a streamed body as much as there is."""
+        assert self.transport is not None
+        self.attempt = attempt
+        attempt.connection = self
+        self._response.reset()
+        self.paused = False
+        self.transport.write(encode_request(attempt, now))
+        body_stream = attempt.body_stream
+        if body_stream is not None:
+            body_stream.on_data = lambda: self._continue_sending(attempt)
+        self._continue_sending(attempt)
+
+    def _continue_sending(self, attempt: UpstreamAttempt) -> None:
+        """Send what the kernel takes of a streamed body; take note when the request is written completely."""
+        is_over = attempt.written_at is not None or self.attempt is not attempt
+        if self._is_writing_body or is_over or self.transport is None:
+            return
+        body_stream = attempt.body_stream
+        if body_stream is not None:
+            self._is_writing_body = True  # taking a chunk may call back for more
+            self._write_chunks(self.transport, body_stream)
+            self._is_writing_body = False
+        if self._is_writing_paused:
+            return
+        if body_stream is None or (body_stream.is_complete and not body_stream.chunks):
+            attempt.written_at = self.pool.clock()
+            self.pool.attempts_written += 1
+
+    def _write_chunks(self, transport: asyncio.Transport, body_stream: RequestBodyStream) -> None:
+        while not self._is_writing_paused and (chunk := body_stream.next_chunk()):
+            transport.write(chunk)
+        if self._is_writing_paused or body_stream.chunks or not body_stream.is_complete:
+            return
+        if body_stream.trailer:
+            transport.write(body_stream.trailer)
+
+    def pause_writing(self) -> None:
+        """Stop sending: the kernel's send buffer is full."""
+        self._is_writing_paused = True
+
+    def resume_writing(self) -> None:
+        """Go on sending: the kernel has taken all that was written."""
+        self._is_writing_paused = False
+        if self.attempt is not None:
+            self._continue_sending(self.attempt)
+
+    def abandon(self, attempt: UpstreamAttempt) -> None:
+        """Close the connection if it still carries `attempt`: the close tells the endpoint to stop."""
+        if self.attempt is attempt:
+            self.attempt = None
+            self._response.sink = None
+            self.close()
+
+    def pause(self) -> None:
+        """Stop reading a streamed response, and the read timeout with it."""
+        if self._response.sink is not None and not self.paused and self.transport is not None:
+            self.paused = True
+            self.transport.pause_reading()
+            self._cancel_read_timer()
+
+    def resume(self) -> None:
+        """Go on reading a streamed response."""
+        if self.paused and self.transport is not None:
+            self.paused = False
+            self.transport.resume_reading()
+            if self.attempt is not None:
+                self._restart_read_timer(self.attempt)
+
+    def get_buffer(self, sizehint: int) -> bytearray:
+        """Return the buffer for the next read, which all connections share."""
+        return self.pool.read_buffer
+
+    def buffer_updated(self, nbytes: int) -> None:
+        """Take the bytes that were read."""
+        self.data_received(bytes(memoryview(self.pool.read_buffer)[:nbytes]))
+
+    def data_received(self, data: bytes) -> None:
+        """Parse a part of the response, and end the attempt if the response is complete or invalid."""
+        attempt = self.attempt
+        if attempt is None:
+            self.close()  # no request was sent, or more came than belonged to its response
+            return
+        response = self._response
+        response.feed(data)
+        if self.attempt is not attempt:
+            return  # the attempt was abandoned while a part was forwarded
+        if response.is_complete:
+            self._finish(attempt)
+        elif response.is_invalid():
+            # The endpoint may have executed the request, however odd its response is.
+            attempt.end(AttemptResult(Outcome.BROKEN_RESPONSE))
+        elif response.is_in_progress and not self.paused:
+            self._restart_read_timer(attempt)
+
+    def _open_stream(self, head: ResponseHead) -> StreamSink | None:
+        return self.attempt.open_stream(head) if self.attempt is not None else None
+
+    def _restart_read_timer(self, attempt: UpstreamAttempt) -> None:
+        timeout = read_timeout(attempt, self._response.sink is not None)
+        self._cancel_read_timer()
+        self.stall = self.pool.loop.call_later(timeout, self._read_timed_out, attempt)
+
+    def _cancel_read_timer(self) -> None:
+        if self.stall is not None:
+            self.stall.cancel()
+            self.stall = None
+
+    def _read_timed_out(self, attempt: UpstreamAttempt) -> None:
+        self.stall = None
+        if self.attempt is attempt:
+            attempt.end(AttemptResult(Outcome.BROKEN_RESPONSE))
+
+    def _finish(self, attempt: UpstreamAttempt) -> None:
+        """End the attempt with its complete response; the connection is released first, for the next one."""
+        self._cancel_read_timer()
+        allows_reuse = self._response.allows_reuse() and attempt.written_at is not None
+        result = self._response.take_result()
+        if self.paused and self.transport is not None:
+            self.paused = False
+            self.transport.resume_reading()
+        if allows_reuse:
+            self.attempt = None
+            attempt.connection = None
+            self.pool.idle_timeout.record_live(self.idle_time)
+            self.pool.release(self)
+        attempt.end(result)
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Take the established transport."""
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's doesn't derive from asyncio's
+        # Without a buffer above the kernel's, pause_writing tells that a request isn't written completely.
+        self.transport.set_write_buffer_limits(high=0)
+        self._descriptor = self.transport.get_extra_info("socket").fileno()
+        self.pool.connection_opened(self)
+
+    def eof_received(self) -> bool:
+        """Take the endpoint's half-close, which may end a response; let the transport close."""
+        if self.attempt is not None and self._response.complete_at_eof():
+            self._finish(self.attempt)
+        return False
+
+    def connection_lost(self, exc: Exception | None) -> None:
+        """End the attempt in flight, if there is one, and free what the connection holds."""
+        self.pool.connection_closed(self)
+        attempt = self.attempt
+        self.attempt = None
+        self.transport = None
+        self._response.release()
+        self._cancel_read_timer()
+        if attempt is None:
+            return
+        if not self._response.bytes_received:
+            self.pool.idle_timeout.record_reset(self.idle_time, self.pool.clock() - attempt.started_at)
+        # An incompletely written request can't have been executed. A complete write proves nothing, not even
+        # on a pooled connection that the endpoint had closed by then.
+        outcome = Outcome.CONNECT_FAILED if attempt.written_at is None else Outcome.BROKEN_RESPONSE
+        attempt.end(AttemptResult(outcome))
+
+
+def encode_request(attempt: UpstreamAttempt, now: float) -> bytes:
+    """Return the request's head with the time budget left at `now`, and its body unless that is streamed."""
+    body_stream = attempt.body_stream
+    if body_stream is None:
+        framing = b""
+        time_budget = attempt.time_budget(now)
+    else:
+        framing = body_stream.framing
+        time_budget = body_stream.time_budget
+    return b"%b%bX-Budget: %.3f\r\n\r\n%b" % (attempt.head, framing, time_budget, attempt.body)
+
+
+def read_timeout(attempt: UpstreamAttempt, is_streamed: bool) -> float:
+    """Return the seconds to wait for the next part of a response that has begun."""
+    if is_streamed:
+        return STREAM_READ_TIMEOUT
+    attempt_time = attempt.deadline - attempt.waiting_since
+    return max(min(READ_TIMEOUT, READ_TIMEOUT_FRACTION * attempt_time), 0.0)
--- /dev/null
+++ b/quota_gateway/upstream/response_headers.py
@@ -0,0 +1,68 @@
+"""The header fields of a response that the gateway acts on."""
+
+from __future__ import annotations
+
+from quota_gateway.body_streaming import MOST_BODY as MAX_BODY_BYTES
+
+MAX_BILLED_UNITS = 1e6  # exclusive; more is a fault of the endpoint
+
+
+class ResponseHeaders:
+    """What the header lines of one message say."""
+
+    __slots__ = (
+        "billed_units",
+        "content_length",
+        "forwarded",
+        "has_connection_close",
+        "is_chunked",
+        "is_malformed",
+        "is_rejection",
+    )
+
+    def __init__(self) -> None:
+        """Start without any header line."""
+        self.billed_units = 0.0
+        self.content_length: int | None = None  # bytes; None: not declared
+        self.forwarded = b""  # the lines that the client gets with the body
+        self.has_connection_close = False
+        self.is_chunked = False
+        self.is_malformed = False
+        self.is_rejection = False  # `X-Rejected: 1`
+
+    @property
+    def is_ended_by_eof(self) -> bool:
+        """Whether the body lasts to the end of the stream, and the endpoint announced that it closes."""
+        return self.has_connection_close and self.content_length is None and not self.is_chunked
+
+    def add(self, name: bytes, value: bytes) -> None:
+        """Take one header line as httptools reports it."""
+        name = name.lower()
+        value = value.strip()  # httptools leaves trailing whitespace in place
+        match name:
+            case b"x-rejected":
+                self.is_rejection = value == b"1"
+            case b"billed-units":
+                self.billed_units = parse_billed_units(value)
+            case b"content-length":
+                self._set_content_length(value)
+            case b"transfer-encoding":
+                self.is_chunked = value.lower().endswith(b"chunked")
+            case b"connection":
+                self.has_connection_close = value.lower() == b"close"
+            case b"content-type" | b"content-encoding":
+                self.forwarded += b"%b: %b\r\n" % (name.title(), value)
+
+    def _set_content_length(self, value: bytes) -> None:
+        self.content_length = int(value) if value.isdigit() else None
+        if self.content_length is None or self.content_length > MAX_BODY_BYTES:
+            self.is_malformed = True  # a response that is too long is not waited for
+
+
+def parse_billed_units(value: bytes) -> float:
+    """Return the units that an endpoint billed; 0 for a value that makes no sense."""
+    try:
+        units = float(value)
+    except ValueError:
+        return 0.0
+    return units if 0.0 < units < MAX_BILLED_UNITS else 0.0
--- /dev/null
+++ b/quota_gateway/upstream/response_parser.py
@@ -0,0 +1,213 @@
+"""The response to one attempt: what httptools reports of it, and the limits that it must keep.
+
+A response of moderate length is buffered. A longer one is passed to a sink as it comes, if there is one for
+it. Interim (1xx) responses are skipped, and bytes behind the response only make the connection unfit for
+another request.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+import httptools
+
+from quota_gateway.body_streaming import HELD as MAX_BUFFERED_BYTES
+from quota_gateway.body_streaming import MOST_BODY as MAX_BODY_BYTES
+from quota_gateway.body_streaming import ResponseHead, StreamSink
+from quota_gateway.model.outcomes import Outcome
+from quota_gateway.upstream.attempt import AttemptResult
+from quota_gateway.upstream.response_headers import ResponseHeaders
+
+MAX_HEAD_BYTES = 32 * 1024  # before the body, interim responses included; normal ones take a hundredth of it
+MAX_FRAMING_PER_BODY_BYTE = 64  # bytes; a chunk may be as small as one byte
+REJECTION_STATUSES = (503, 504)  # those with which `X-Rejected: 1` says that the request was not executed
+
+
+class ResponseParser:
+    """Parses the responses on one connection, one after the other."""
+
+    __slots__ = (
+        "_body_chunks",
+        "_body_size",
+        "_has_surplus",
+        "_headers",
+        "_is_in_body",
+        "_is_malformed",
+        "_keep_alive",
+        "_open_stream",
+        "_parser",
+        "_status",
+        "bytes_received",
+        "is_complete",
+        "is_in_progress",
+        "sink",
+    )
+
+    def __init__(self, open_stream: Callable[[ResponseHead], StreamSink | None]) -> None:
+        """Take the function that provides a sink for a long response, or None if it can't be forwarded."""
+        self._open_stream: Callable[[ResponseHead], StreamSink | None] | None = open_stream
+        self._parser: httptools.HttpResponseParser | None = httptools.HttpResponseParser(self)
+        self._reset_message()
+        self.reset()
+
+    def reset(self) -> None:
+        """Prepare for the response to the next attempt."""
+        self.bytes_received = 0
+        self.is_complete = False
+        self.is_in_progress = False  # a message has begun and not ended
+        self.sink: StreamSink | None = None  # where a long response goes
+        self._status = 0
+        self._keep_alive = False
+        self._has_surplus = False  # a second message began behind the response
+        self._is_malformed = False
+        self._is_in_body = False
+        self._body_chunks: list[bytes] = []  # the headers are replaced in on_message_begin
+        self._body_size = 0
+
+    def _reset_message(self) -> None:
+        self._headers = ResponseHeaders()
+        self._body_chunks = []
+        self._body_size = 0
+
+    def release(self) -> None:
+        """Break the reference cycles with the parser and the connection, so that all are freed at once."""
+        self._parser = None
+        self._open_stream = None
+
+    def feed(self, data: bytes) -> None:
+        """Parse the next bytes of the connection."""
+        self.bytes_received += len(data)
+        while self._parser is not None and data:
+            try:
+                self._parser.feed_data(data)
+            except httptools.HttpParserUpgrade as upgrade:
+                # A 101 that nobody asked for. The real response follows it, and needs a fresh parser.
+                self._parser = httptools.HttpResponseParser(self)
+                data = data[upgrade.args[0] :]
+            except httptools.HttpParserError:
+                self._is_malformed = True
+                return
+            else:
+                return
+
+    def is_invalid(self) -> bool:
+        """Return whether the response is malformed or over a limit, so that it can't become complete."""
+        max_bytes = MAX_HEAD_BYTES
+        if self._is_in_body:
+            max_bytes += 2 * MAX_BUFFERED_BYTES + MAX_FRAMING_PER_BODY_BYTE * self._body_size
+        max_body_bytes = MAX_BUFFERED_BYTES if self.sink is None else MAX_BODY_BYTES
+        return self._is_malformed or self.bytes_received > max_bytes or self._body_size > max_body_bytes
+
+    def complete_at_eof(self) -> bool:
+        """Take the end of the stream; return whether it completes the response.
+
+        It does only if the response has no length and announced `Connection: close`: otherwise a broken
+        connection could not be told from the response's end.
+        """
+        if self.is_complete or self._is_malformed:
+            return False
+        self.is_complete = self._is_in_body and self._headers.is_ended_by_eof
+        return self.is_complete
+
+    def allows_reuse(self) -> bool:
+        """Return whether the connection may carry another request after this complete response."""
+        has_fault = self._has_surplus or self._is_malformed
+        return self._keep_alive and not has_fault and self._was_received_whole()
+
+    def take_result(self) -> AttemptResult:
+        """Return the result of a complete response, and drop what was buffered of it."""
+        was_received_whole = self._was_received_whole()
+        body_chunks = self._body_chunks
+        headers = self._headers
+        self._body_chunks = []
+        self.sink = None
+        if not was_received_whole:
+            return AttemptResult(Outcome.BROKEN_RESPONSE)
+        if self._status == 200:
+            body = b"".join(body_chunks)
+            return AttemptResult(Outcome.SUCCESS, body, headers.billed_units, headers.forwarded)
+        if headers.is_rejection and self._status in REJECTION_STATUSES:
+            return AttemptResult(Outcome.REJECTED)
+        return AttemptResult(Outcome.ERROR)
+
+    def _was_received_whole(self) -> bool:
+        return self.sink is not None or self._body_size <= MAX_BUFFERED_BYTES
+
+    # Callbacks of httptools.
+
+    def on_message_begin(self) -> None:
+        """Start a message: an interim response, the response itself, or one that nobody asked for."""
+        self.is_in_progress = True
+        if self.is_complete:
+            self._has_surplus = True
+        else:
+            self._reset_message()  # drops what an interim response brought
+
+    def on_header(self, name: bytes, value: bytes) -> None:
+        """Take a header line; trailers, and headers of what follows the response, are ignored."""
+        if self.is_complete or self._is_in_body:
+            return
+        self._headers.add(name, value)
+        if self._headers.is_malformed:
+            self._is_malformed = True  # also by an interim response
+
+    def on_headers_complete(self) -> None:
+        """Start the body of the response, as a stream if its declared length is over the buffer's limit."""
+        if self.is_complete or self._parser is None:
+            return
+        status = self._parser.get_status_code()
+        if is_interim(status):
+            return
+        self._is_in_body = True
+        self._status = status
+        content_length = self._headers.content_length
+        if content_length is not None and content_length > MAX_BUFFERED_BYTES:
+            self._start_streaming()
+
+    def on_body(self, data: bytes) -> None:
+        """Buffer or forward a part of the body."""
+        if self.is_complete:
+            return
+        self._body_size += len(data)
+        if self.sink is not None:
+            if self._body_size <= MAX_BODY_BYTES:
+                self.sink.write_body(data)
+        elif self._body_size <= MAX_BUFFERED_BYTES:
+            self._body_chunks.append(data)
+        elif self._may_be_streamed():
+            self._body_chunks.append(data)
+            self._start_streaming()
+
+    def _may_be_streamed(self) -> bool:
+        """Return False for an error, whose body nobody reads, and for a malformed response."""
+        return self._status == 200 and not self._is_malformed
+
+    def _start_streaming(self) -> None:
+        """Open a sink and forward what was buffered; without a sink the response is too long."""
+        if self._open_stream is not None and self._may_be_streamed():
+            headers = self._headers
+            head = ResponseHead(headers.content_length, headers.forwarded, headers.billed_units)
+            self.sink = self._open_stream(head)
+        if self.sink is None:
+            self._is_malformed = True
+            return
+        body_chunks = self._body_chunks
+        self._body_chunks = []
+        for chunk in body_chunks:
+            self.sink.write_body(chunk)
+
+    def on_message_complete(self) -> None:
+        """End a message, and with it the response unless it was an interim one."""
+        if self.is_complete or self._parser is None:
+            return
+        self.is_in_progress = False
+        status = self._parser.get_status_code()
+        if not is_interim(status):
+            self.is_complete = True
+            self._status = status
+            self._keep_alive = self._parser.should_keep_alive()  # known only during this callback
+
+
+def is_interim(status: int) -> bool:
+    """Return whether the response is followed by the real one."""
+    return 100 <= status < 200
--- a/tests/test_upstream_connections.py
+++ b/tests/test_upstream_connections.py
@@ -13,14 +13,11 @@
 
 from quota_gateway.body_streaming import HELD
 from quota_gateway.model.outcomes import Outcome
-from quota_gateway.upstream import connection_pool
-from quota_gateway.upstream.connection_pool import (
-    MOST_HEAD,
-    RESTED,
-    AttemptResult,
-    ConnectionPool,
-    UpstreamAttempt,
-)
+from quota_gateway.upstream import connection
+from quota_gateway.upstream.attempt import AttemptResult, UpstreamAttempt
+from quota_gateway.upstream.connection_pool import ConnectionPool
+from quota_gateway.upstream.endpoint_connections import MIN_IDLE_BEFORE_REUSE
+from quota_gateway.upstream.response_parser import MAX_HEAD_BYTES
 from tests.fakes import HOST, SOON, Asked, FakeBackend, Step, message
 from tests.harness import run
 
@@ -151,9 +148,9 @@
         async with sending(lambda writer, asked: None) as (sender, peer):
             _, answer = sender.start()
             await peer.until(lambda: len(peer.seen) == 1)
-            (connection,) = sender.pool.connections
+            (upstream,) = sender.pool.connections
             for byte in text:
-                connection.data_received(bytes((byte,)))
+                upstream.data_received(bytes((byte,)))
             assert (await answer).outcome is outcome
 
     run(test)
@@ -180,7 +177,7 @@
     async def test() -> None:
         async with sending(says(message(200)), cuts) as (sender, peer):
             assert await sender.outcome() is Outcome.SUCCESS
-            await asyncio.sleep(2 * RESTED)
+            await asyncio.sleep(2 * MIN_IDLE_BEFORE_REUSE)
             assert await sender.outcome() is Outcome.BROKEN_RESPONSE
             assert len(peer.seen) == 2 and peer.connections == 1
 
@@ -375,7 +372,7 @@
             _, first = sender.start()
             answer = await first
             assert (answer.outcome, answer.body, answer.units) == (Outcome.SUCCESS, b"mine", 2.0)
-            await asyncio.sleep(2 * RESTED)
+            await asyncio.sleep(2 * MIN_IDLE_BEFORE_REUSE)
             assert (await sender.start()[1]).body == b"next"
             assert peer.connections == 2  # what brings more than it was asked for is not used again
 
@@ -386,13 +383,15 @@
     async def test() -> None:
         async with sending(says(message(200, b"mine"))) as (sender, peer):
             await sender.outcome()
-            await asyncio.sleep(2 * RESTED)
-            (connection,) = sender.pool.connections
-            assert connection.is_quiet()
+            await asyncio.sleep(2 * MIN_IDLE_BEFORE_REUSE)
+            (upstream,) = sender.pool.connections
+            assert not upstream.has_unread_input()
             sock = next(iter(peer.open)).get_extra_info("socket")
             os.write(sock.fileno(), message(200, b"late"))
-            select.select([connection.descriptor], [], [], SOON)  # it is there, and the loop had no turn yet
-            assert not connection.is_quiet()
+            assert upstream.transport is not None
+            upstream_socket = upstream.transport.get_extra_info("socket")
+            select.select([upstream_socket], [], [], SOON)  # it is there, and the loop had no turn yet
+            assert upstream.has_unread_input()
 
     run(test)
 
@@ -414,7 +413,7 @@
                 assert answer == AttemptResult(Outcome.SUCCESS, b"real", 0.0, b"")
             else:
                 assert answer.outcome is Outcome.ERROR  # the rejection was not the real answer's
-            await asyncio.sleep(2 * RESTED)
+            await asyncio.sleep(2 * MIN_IDLE_BEFORE_REUSE)
             assert await sender.outcome() is Outcome.SUCCESS and peer.connections == 1
 
     run(test)
@@ -423,8 +422,8 @@
 @pytest.mark.parametrize(
     "text",
     [
-        b"HTTP/1.1 200 OK\r\n" + b"X-Pad: pppppppppppppppppppp\r\n" * (MOST_HEAD // 20),
-        b"HTTP/1.1 100 Continue\r\n\r\n" * (MOST_HEAD // 20),
+        b"HTTP/1.1 200 OK\r\n" + b"X-Pad: pppppppppppppppppppp\r\n" * (MAX_HEAD_BYTES // 20),
+        b"HTTP/1.1 100 Continue\r\n\r\n" * (MAX_HEAD_BYTES // 20),
         b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nabc",
         b"HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\nabc",
         b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\nabc",
@@ -439,7 +438,7 @@
     # each of these was waited for until the attempt's time was up, and the request failed with it
     async def test() -> None:
         if len(text) > 50 or b"\r\n\r\n" in text and b": 10\r" not in text:  # all but those that just stop
-            monkeypatch.setattr(connection_pool, "STALLED", 1000.0)
+            monkeypatch.setattr(connection, "READ_TIMEOUT", 1000.0)
         async with sending(says(text)) as (sender, peer):
             assert await sender.outcome(1000.0) is Outcome.BROKEN_RESPONSE
             await peer.until(lambda: peer.ended == 1)
@@ -455,7 +454,7 @@
             timers = Timers(sender.pool.loop)
             sender.pool.loop = timers  # type: ignore[assignment]
             _, ended = sender.start(wait)
-            delay, stalled = await timers.until("has_stalled")
+            delay, stalled = await timers.until("_read_timed_out")
             assert delay == pytest.approx(patience, rel=0.01)
             stalled()
             assert (await ended).outcome is Outcome.BROKEN_RESPONSE
@@ -502,8 +501,10 @@
             now = 9.0  # as long as was too long
             assert await sender.outcome() is Outcome.SUCCESS and peer.connections == 3
             now = 11.0
-            before = sender.pool.idle_limit
+            before = sender.pool.idle_timeout.seconds
             assert await sender.outcome() is Outcome.SUCCESS and peer.connections == 3
-            assert before < sender.pool.idle_limit < 30.0  # one that lives tells that longer would do as well
+            assert (
+                before < sender.pool.idle_timeout.seconds < 30.0
+            )  # one that lives tells that longer would do as well
 
     run(test)
