--- a/quota_gateway/dispatch/dispatcher.py
+++ b/quota_gateway/dispatch/dispatcher.py
@@ -49,7 +49,8 @@
 from quota_gateway.model.outcomes import Outcome
 from quota_gateway.model.timers import Timer
 from quota_gateway.policy.engine import PolicyEngine
-from quota_gateway.upstream.connection_pool import AttemptResult, ConnectionPool, UpstreamAttempt
+from quota_gateway.upstream.attempt import AttemptResult, UpstreamAttempt
+from quota_gateway.upstream.connection_pool import ConnectionPool
 
 EARLY = 0.1  # seconds before the client's end at which the module takes a request to be over: the budget
 # runs from the client's send, the answer has its way back, and the core may be busy with another gateway
--- a/quota_gateway/downstream/client_connection.py
+++ b/quota_gateway/downstream/client_connection.py
@@ -20,7 +20,8 @@
 from quota_gateway.downstream.response_writer import ResponseWriter
 from quota_gateway.errors import InvalidRequestError
 from quota_gateway.model.settings import Settings
-from quota_gateway.sockets.dialing import AGAIN, LACKING
+from quota_gateway.sockets.dialing import RESOURCE_EXHAUSTION_ERRNOS as LACKING
+from quota_gateway.sockets.dialing import RETRY_DELAY as AGAIN
 
 MOST_HEAD = 32 * 1024  # bytes of request line and headers: a generous browser sends a quarter of it
 MOST_PIPELINED = 16  # requests under way on one connection: further ones stay unread
--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -9,7 +9,7 @@
 
 from quota_gateway.body_streaming import HELD, MOST_BODY
 from quota_gateway.downstream.client_connection import MOST_ERRORS, MOST_HEAD, SETTLED
-from quota_gateway.upstream.connection_pool import RESTED
+from quota_gateway.upstream.endpoint_connections import MIN_IDLE_BEFORE_REUSE as RESTED
 from tests.fakes import SOON, Asked, message, serve, serve_after
 from tests.harness import READY, Client, GatewayHarness, request, roomy_settings, run, running
 
