--- a/quota_gateway/sockets/dialing.py
+++ b/quota_gateway/sockets/dialing.py
@@ -11,9 +11,6 @@
 RESOURCE_EXHAUSTION_ERRNOS = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
 RETRY_DELAY = 0.02  # seconds; connections closed to free descriptors are gone from the kernel by then
 
-LACKING = RESOURCE_EXHAUSTION_ERRNOS
-AGAIN = RETRY_DELAY
-
 ProtocolT = TypeVar("ProtocolT", bound=asyncio.BaseProtocol)
 
 
--- a/quota_gateway/upstream/connection_pool.py
+++ b/quota_gateway/upstream/connection_pool.py
@@ -8,13 +8,11 @@
 from quota_gateway.body_streaming import READ_AT_ONCE as READ_BUFFER_BYTES
 from quota_gateway.model.outcomes import Outcome
 from quota_gateway.sockets.dialing import connect_with_retry, ignore_descriptor_exhaustion
-from quota_gateway.upstream.attempt import AttemptResult as AttemptResult
-from quota_gateway.upstream.attempt import UpstreamAttempt as UpstreamAttempt
+from quota_gateway.upstream.attempt import AttemptResult, UpstreamAttempt
 from quota_gateway.upstream.connection import UpstreamConnection
-from quota_gateway.upstream.endpoint_connections import MIN_IDLE_BEFORE_REUSE, EndpointConnections
+from quota_gateway.upstream.endpoint_connections import EndpointConnections
 from quota_gateway.upstream.idle_timeout import AdaptiveIdleTimeout
 
-RESTED = MIN_IDLE_BEFORE_REUSE
 SWEEP_INTERVAL = 1.0  # seconds between checks for idle connections to close: short against their timeout
 
 
