--- /dev/null
+++ b/tests/upstream_harness.py
@@ -0,0 +1,156 @@
+"""A connection pool with one scripted endpoint on loopback, and attempts whose results can be awaited."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+from collections.abc import AsyncIterator, Callable
+from contextlib import asynccontextmanager
+from typing import NamedTuple
+
+from quota_gateway.model.outcomes import Outcome
+from quota_gateway.upstream.attempt import AttemptResult, UpstreamAttempt
+from quota_gateway.upstream.connection_pool import ConnectionPool
+from tests.fakes import HOST, FakeBackend
+from tests.fakes import Asked as HttpMessage
+from tests.fakes import Step as ResponseStep
+
+ENDPOINT_ID = "b"
+REQUEST_BODY = b"ab"
+ATTEMPT_TIMEOUT = 5.0  # seconds; no test comes near it
+CONNECT_TIMEOUT = 0.25  # seconds
+KEEPALIVE_TIMEOUT = 60.0  # seconds
+MAX_CONNECTIONS = 10
+
+
+class RecordingOwner:
+    """An attempt's owner, which keeps the result for the test."""
+
+    def __init__(self) -> None:
+        self.result: asyncio.Future[AttemptResult] = asyncio.get_running_loop().create_future()
+
+    def attempt_ended(self, attempt: UpstreamAttempt, result: AttemptResult) -> None:
+        self.result.set_result(result)
+
+    def may_begin(self, now: float) -> bool:
+        return True
+
+
+class StartedAttempt(NamedTuple):
+    """An attempt under way, and its result to come."""
+
+    attempt: UpstreamAttempt
+    result: asyncio.Future[AttemptResult]
+
+
+def new_attempt(
+    pool: ConnectionPool,
+    endpoint_id: str = ENDPOINT_ID,
+    timeout: float = ATTEMPT_TIMEOUT,
+    body: bytes = REQUEST_BODY,
+) -> StartedAttempt:
+    """Return an attempt that isn't started yet; `timeout` is in seconds."""
+    owner = RecordingOwner()
+    now = pool.clock()
+    head = b"POST /api HTTP/1.1\r\nX-Call-Id: 1\r\nContent-Length: %d\r\n" % len(body)
+    attempt = UpstreamAttempt(endpoint_id, head, body, now, now + timeout, 0, owner)
+    return StartedAttempt(attempt, owner.result)
+
+
+class AttemptSender:
+    """Starts attempts on a pool."""
+
+    def __init__(self, pool: ConnectionPool) -> None:
+        self.pool = pool
+
+    def start(self, timeout: float = ATTEMPT_TIMEOUT, body: bytes = REQUEST_BODY) -> StartedAttempt:
+        started = new_attempt(self.pool, timeout=timeout, body=body)
+        self.pool.start(started.attempt)
+        return started
+
+    async def result(self) -> AttemptResult:
+        return await self.start().result
+
+    async def outcome(self, timeout: float = ATTEMPT_TIMEOUT) -> Outcome:
+        return (await self.start(timeout).result).outcome
+
+
+class ManualTimer(NamedTuple):
+    """A timer that a test fires itself."""
+
+    delay: float
+    fire: Callable[[], None]
+
+
+class ManualTimerLoop:
+    """The running loop, except that its timers never fire by themselves."""
+
+    def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
+        self.create_task = loop.create_task
+        self.create_connection = loop.create_connection
+        self.loop = loop
+        self.timers: dict[str, ManualTimer] = {}  # by the name of the callback
+        self.timer_added = asyncio.Event()
+
+    def call_later(
+        self, delay: float, callback: Callable[..., None], *arguments: object
+    ) -> asyncio.TimerHandle:
+        self.timers[callback.__name__] = ManualTimer(delay, lambda: callback(*arguments))
+        self.timer_added.set()
+        return self.loop.call_later(1e6, callback, *arguments)  # a handle that can be cancelled
+
+    async def timer(self, callback_name: str) -> ManualTimer:
+        """Return the callback's timer, waiting until there is one."""
+        while callback_name not in self.timers:
+            self.timer_added.clear()
+            await self.timer_added.wait()
+        return self.timers[callback_name]
+
+
+@asynccontextmanager
+async def sending(
+    *script: ResponseStep, keepalive: float = KEEPALIVE_TIMEOUT
+) -> AsyncIterator[tuple[AttemptSender, FakeBackend]]:
+    """Run an endpoint that follows `script`, and a pool that knows it."""
+    endpoint = FakeBackend()
+    await endpoint.start()
+    endpoint.script = list(script)
+    pool = ConnectionPool(asyncio.get_running_loop().time, CONNECT_TIMEOUT, keepalive, MAX_CONNECTIONS)
+    pool.set_address(ENDPOINT_ID, address_of(endpoint))
+    yield AttemptSender(pool), endpoint
+    pool.close()
+    await endpoint.stop()
+
+
+@asynccontextmanager
+async def connecting_forever() -> AsyncIterator[AttemptSender]:
+    """Run a pool whose connects aren't completed: the endpoint's accept queue is full."""
+    with socket.socket() as listener, socket.socket() as filler:
+        listener.bind((HOST, 0))
+        listener.listen(0)
+        filler.connect(listener.getsockname())
+        pool = ConnectionPool(asyncio.get_running_loop().time, 30.0, KEEPALIVE_TIMEOUT, MAX_CONNECTIONS)
+        pool.set_address(ENDPOINT_ID, listener.getsockname())
+        yield AttemptSender(pool)
+        pool.close()
+
+
+def address_of(endpoint: FakeBackend) -> tuple[str, int]:
+    host, _, port = endpoint.address.rpartition(":")
+    return host, int(port)
+
+
+def respond_with(text: bytes, close: bool = False) -> ResponseStep:
+    """Write `text`, and close the connection on demand."""
+
+    def step(writer: asyncio.StreamWriter, request: HttpMessage) -> None:
+        writer.write(text)
+        if close:
+            writer.close()
+
+    return step
+
+
+def abort_connection(writer: asyncio.StreamWriter, request: HttpMessage) -> None:
+    """Close the connection without a response."""
+    writer.transport.abort()
