--- a/tests/test_connection_faults.py
+++ b/tests/test_connection_faults.py
@@ -12,7 +12,7 @@
 from quota_gateway.downstream.client_connection import MOST_ERRORS
 from quota_gateway.model.outcomes import Outcome
 from tests.harness import GatewayHarness, request, roomy_settings, run, running
-from tests.test_upstream_connections import sending
+from tests.upstream_harness import sending
 from tests.virtual_clock import run_on_virtual_clock, start_clock, this_loop
 
 LATE = [0.05, 0.2, 0.3, 1.0, 1.5]  # seconds that a dial takes; up to 0.25 s it is waited for
