--- a/tests/test_descriptor_exhaustion.py
+++ b/tests/test_descriptor_exhaustion.py
@@ -1,4 +1,4 @@
-"""Idle clients fill the descriptors while discovery is down: the program must come through, and find back."""
+"""A gateway whose clients use up its descriptors while discovery and the counter are down."""
 
 from __future__ import annotations
 
@@ -6,37 +6,38 @@
 import os
 import pathlib
 import resource
-from typing import Any
+from asyncio.subprocess import Process
 
 import pytest
 
-from tests.fakes import HOST, SOON, Asked, message
+from tests.fakes import HOST, message
+from tests.fakes import SOON as EVENT_TIMEOUT
+from tests.fakes import Asked as HttpMessage
 from tests.harness import READY, GatewayHarness, request, run
 from tests.test_gateway_process import process
 
-LIMITS = [256, 1024]
+DESCRIPTOR_LIMITS = [256, 1024]
+POLL_INTERVAL = 0.02  # seconds between looks at another process, which sends no event
+RECONNECT_DELAY = 0.05  # seconds
+CONNECTIONS_SETTLE_TIME = 0.3  # seconds in which the idle clients have connected as far as they can
 
 
-def descriptors(child: Any) -> int:
-    return len(os.listdir(f"/proc/{child.pid}/fd"))
-
-
-class Idle:
+class IdleClients:
     """Clients that connect, send nothing, and connect again when they are closed."""
 
-    def __init__(self, bed: GatewayHarness, number: int) -> None:
-        self.bed = bed
-        self.tasks = [asyncio.get_running_loop().create_task(self.stay()) for _ in range(number)]
+    def __init__(self, gateway: GatewayHarness, count: int) -> None:
+        self.gateway = gateway
+        self.tasks = [asyncio.get_running_loop().create_task(self.stay_connected()) for _ in range(count)]
 
-    async def stay(self) -> None:
+    async def stay_connected(self) -> None:
         while True:
             try:
-                reader, writer = await asyncio.open_connection(HOST, self.bed.port)
+                reader, writer = await asyncio.open_connection(HOST, self.gateway.port)
                 await reader.read()
                 writer.close()
             except OSError:
                 pass
-            await asyncio.sleep(0.05)
+            await asyncio.sleep(RECONNECT_DELAY)
 
     async def stop(self) -> None:
         for task in self.tasks:
@@ -44,89 +45,108 @@
         await asyncio.gather(*self.tasks, return_exceptions=True)
 
 
-def plain(writer: asyncio.StreamWriter, asked: Asked) -> None:
-    writer.write(message(200))  # the units stay as they were guessed
+def respond_without_billed_units(writer: asyncio.StreamWriter, request: HttpMessage) -> None:
+    writer.write(message(200))
+
+
+def open_descriptors(child: Process) -> int:
+    return len(os.listdir(f"/proc/{child.pid}/fd"))
 
 
-async def until_full(child: Any, least: int) -> int:
-    async with asyncio.timeout(SOON):
-        while descriptors(child) < least:
-            await asyncio.sleep(0.02)
-    return descriptors(child)
+async def wait_for_open_descriptors(child: Process, minimum: int) -> int:
+    async with asyncio.timeout(EVENT_TIMEOUT):
+        while open_descriptors(child) < minimum:  # noqa: ASYNC110 - another process sets no event
+            await asyncio.sleep(POLL_INTERVAL)
+    return open_descriptors(child)
 
 
-async def down(bed: GatewayHarness) -> None:
-    assert bed.discovery.server is not None and bed.counter.server is not None
-    for peer in (bed.discovery, bed.counter):
-        assert peer.server is not None
-        peer.server.close()
-        for writer in list(peer.open):
+async def stop_discovery_and_counter(gateway: GatewayHarness) -> None:
+    for service in (gateway.discovery, gateway.counter):
+        assert service.server is not None
+        service.server.close()
+        for writer in list(service.open):
             writer.transport.abort()
 
 
-async def up(bed: GatewayHarness) -> None:
-    for peer in (bed.discovery, bed.counter):
-        host, _, port = peer.address.rpartition(":")
-        peer.server = await asyncio.start_server(peer.connected, host, int(port))
+async def restart_discovery_and_counter(gateway: GatewayHarness) -> None:
+    for service in (gateway.discovery, gateway.counter):
+        host, _, port = service.address.rpartition(":")
+        service.server = await asyncio.start_server(service.connected, host, int(port))
 
 
-async def asked_of_backend(bed: GatewayHarness, number: int) -> int:
-    """A new client's request, as often as its connection is closed unread, which a full gateway may do."""
-    async with asyncio.timeout(SOON):
+async def request_status(gateway: GatewayHarness, number: int) -> int:
+    """Return the status of a new client's request; a full gateway may close connections unread at first."""
+    async with asyncio.timeout(EVENT_TIMEOUT):
         while True:
-            client = await bed.client()
+            client = await gateway.client()
             try:
                 return (await client.ask(request(number)))[0]
             except (OSError, asyncio.IncompleteReadError):
-                await asyncio.sleep(0.02)
+                await asyncio.sleep(POLL_INTERVAL)
             finally:
                 client.writer.close()
 
 
-@pytest.mark.parametrize("short", [False, True])
-@pytest.mark.parametrize("limit", LIMITS)
-def test_idle_clients_that_fill_the_descriptors_keep_nothing_from_coming_back(
-    limit: int, short: bool, tmp_path: pathlib.Path
+async def assert_endpoint_change_arrives(gateway: GatewayHarness, number: int) -> int:
+    """Have the second backend replace the first; return the number of the last request that was sent."""
+    first, second = gateway.backends
+    discovery = gateway.discovery
+    second.script = [respond_without_billed_units] * 1000
+    discovery.entries["b1"] = discovery.entry("b1", second.address)
+    await discovery.change(discovery.entries["b1"], discovery.entry("b0", first.address, "DRAINING"))
+    async with asyncio.timeout(EVENT_TIMEOUT):
+        while not second.seen:
+            number += 1
+            assert await request_status(gateway, number) in (200, 429)
+    return number
+
+
+async def assert_counter_is_called(gateway: GatewayHarness, number: int) -> None:
+    """Send requests near their customer's quota, which are counted."""
+    client = await gateway.client()
+    assert (await client.ask(READY))[0] == 200
+    async with asyncio.timeout(EVENT_TIMEOUT):
+        while not gateway.counter.calls:
+            number += 1
+            await client.ask(request(number, plan="pro", units="8"))
+            await asyncio.sleep(POLL_INTERVAL)
+
+
+async def assert_clean_exit(child: Process) -> None:
+    child.terminate()
+    async with asyncio.timeout(EVENT_TIMEOUT):
+        assert await child.wait() == 0
+    assert child.stderr is not None
+    stderr = (await child.stderr.read()).decode()
+    assert "Traceback" not in stderr, stderr
+
+
+@pytest.mark.parametrize("is_limit_lowered", [False, True])
+@pytest.mark.parametrize("limit", DESCRIPTOR_LIMITS)
+def test_gateway_recovers_while_idle_clients_use_up_its_descriptors(
+    limit: int, is_limit_lowered: bool, tmp_path: pathlib.Path
 ) -> None:
-    """`short`: the limit is lowered to what is open, so that not one descriptor more can be had."""
+    """With `is_limit_lowered` the limit is set to what is open, so that no descriptor is left at all."""
 
     async def test() -> None:
-        async with process(tmp_path, descriptors=limit, console=True) as (bed, child):
-            await down(bed)
-            idle = Idle(bed, limit + 100)
-            open_now = await until_full(child, limit // 2)
-            if short:
-                await asyncio.sleep(0.3)  # until the rest has come
-                open_now = descriptors(child)
-                resource.prlimit(child.pid, resource.RLIMIT_NOFILE, (open_now, open_now))
-            assert open_now <= limit
-            assert await asked_of_backend(bed, 1) == 200  # a new client, and a new connection to a backend
-            status, text = await bed.call("GET", "/stats")
+        async with process(tmp_path, descriptors=limit, console=True) as (gateway, child):
+            await stop_discovery_and_counter(gateway)
+            clients = IdleClients(gateway, limit + 100)
+            open_count = await wait_for_open_descriptors(child, limit // 2)
+            if is_limit_lowered:
+                await asyncio.sleep(CONNECTIONS_SETTLE_TIME)
+                open_count = open_descriptors(child)
+                resource.prlimit(child.pid, resource.RLIMIT_NOFILE, (open_count, open_count))
+            assert open_count <= limit
+            # A new client and a new upstream connection are served, and so is the admin API.
+            assert await request_status(gateway, 1) == 200
+            status, text = await gateway.call("GET", "/stats")
             assert status == 200 and "svc.success.lookup=" in text
-            await up(bed)
-            bed.backends[1].script = [plain] * 1000
-            bed.discovery.entries["b1"] = bed.discovery.entry("b1", bed.backends[1].address)
-            await bed.discovery.change(
-                bed.discovery.entries["b1"], bed.discovery.entry("b0", bed.backends[0].address, "DRAINING")
-            )
-            number = 1
-            async with asyncio.timeout(SOON):
-                while not bed.backends[1].seen:  # discovery is reached, and the backend that it names
-                    number += 1
-                    assert await asked_of_backend(bed, number) in (200, 429)
-            client = await bed.client()
-            assert (await client.ask(READY))[0] == 200
-            async with asyncio.timeout(SOON):
-                while not bed.counter.calls:  # and the counter
-                    number += 1
-                    await client.ask(request(number, plan="pro", units="8"))  # near its quota
-                    await asyncio.sleep(0.02)
+            await restart_discovery_and_counter(gateway)
+            number = await assert_endpoint_change_arrives(gateway, 1)
+            await assert_counter_is_called(gateway, number)
             assert child.returncode is None
-            await idle.stop()
-            child.terminate()
-            async with asyncio.timeout(SOON):
-                assert await child.wait() == 0
-            said = (await child.stderr.read()).decode()
-            assert "Traceback" not in said, said
+            await clients.stop()
+            await assert_clean_exit(child)
 
     run(test)
