--- a/quota_gateway/sockets/dialing.py
+++ b/quota_gateway/sockets/dialing.py
@@ -9,7 +9,7 @@
 
 # No descriptor or kernel memory for one more socket: passes once other connections are closed.
 RESOURCE_EXHAUSTION_ERRNOS = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
-RETRY_DELAY = 0.02  # seconds; connections closed to free descriptors are gone from the kernel by then
+RETRY_DELAY = 0.02  # seconds; the connections that were closed to free descriptors have released them by then
 
 ProtocolT = TypeVar("ProtocolT", bound=asyncio.BaseProtocol)
 
--- a/quota_gateway/upstream/attempt.py
+++ b/quota_gateway/upstream/attempt.py
@@ -1,7 +1,7 @@
 """One attempt to have a request served by an endpoint, and the result it ends with.
 
 An attempt is sent at most once, on one connection. Whether the request may be retried depends on how far
-the attempt came, which its result tells; the policy engine decides on it.
+the attempt came, which its result shows; the policy engine decides on it.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from quota_gateway.body_streaming import RequestBodyStream, ResponseHead, StreamSink, StreamSource
 from quota_gateway.model.outcomes import Outcome
 
-MIN_TIME_BUDGET = 0.001  # seconds; the least that the three decimals of X-Budget can tell from none
+MIN_TIME_BUDGET = 0.001  # seconds; X-Budget has three decimals, and 0 would say that no time is left
 
 
 @dataclass(frozen=True, slots=True)
@@ -55,7 +55,7 @@
     """
 
     endpoint_id: str
-    head: bytes  # request line and header lines, without the body's framing, the budget and the blank line
+    head: bytes  # request line and header lines but for X-Budget, and for the framing of a streamed body
     body: bytes
     started_at: float
     deadline: float
@@ -78,7 +78,7 @@
 
     @property
     def written(self) -> bool:
-        """Whether a connection has the attempt, of which the endpoint may execute any byte sent."""
+        """Whether a connection carries the attempt, which the endpoint may have begun to execute by then."""
         return self.connection is not None
 
     @property
--- a/quota_gateway/upstream/connection.py
+++ b/quota_gateway/upstream/connection.py
@@ -123,7 +123,7 @@
             self._continue_sending(self.attempt)
 
     def abandon(self, attempt: UpstreamAttempt) -> None:
-        """Close the connection if it still carries `attempt`: the close tells the endpoint to stop."""
+        """Close the connection if it still carries `attempt`: nobody waits for the response any more."""
         if self.attempt is attempt:
             self.attempt = None
             self._response.sink = None
@@ -206,7 +206,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Take the established transport."""
         self.transport = cast(asyncio.Transport, transport)  # uvloop's doesn't derive from asyncio's
-        # Without a buffer above the kernel's, pause_writing tells that a request isn't written completely.
+        # Without a buffer above the kernel's, pause_writing is called for any request not written completely.
         self.transport.set_write_buffer_limits(high=0)
         self._descriptor = self.transport.get_extra_info("socket").fileno()
         self.pool.connection_opened(self)
--- a/quota_gateway/upstream/idle_timeout.py
+++ b/quota_gateway/upstream/idle_timeout.py
@@ -8,7 +8,7 @@
 
 IDLE_TIMEOUT_FRACTION = 0.5  # of the endpoints' keep-alive timeout: well before they close
 MIN_IDLE_TIMEOUT = 0.05  # seconds; pooling must stay of use however many stale connections are seen
-DECREASE_FACTOR = 0.7  # on a stale connection, applied to the time that one was idle
+DECREASE_FACTOR = 0.7  # on a stale connection, of the timeout or of its idle time if that was shorter
 INCREASE_FACTOR = 1.01  # on a live connection, which allows a little more
 STALE_DETECTION_WINDOW = 0.02  # seconds after a send; a reset that comes later has another cause
 
--- a/quota_gateway/upstream/response_parser.py
+++ b/quota_gateway/upstream/response_parser.py
@@ -102,7 +102,7 @@
         """Take the end of the stream; return whether it completes the response.
 
         It does only if the response has no length and announced `Connection: close`: otherwise a broken
-        connection could not be told from the response's end.
+        connection could not be distinguished from the response's end.
         """
         if self.is_complete or self._is_malformed:
             return False
