--- a/tests/harness.py
+++ b/tests/harness.py
@@ -1,4 +1,4 @@
-"""One whole gateway in the test's own loop, with scripted peers around it."""
+"""One gateway in the test's own event loop, with fake upstreams, and clients that write raw HTTP."""
 
 from __future__ import annotations
 
@@ -7,182 +7,235 @@
 import struct
 from collections.abc import AsyncIterator, Awaitable, Callable
 from contextlib import asynccontextmanager
-from typing import Any
+from typing import Any, NamedTuple
 
 import uvloop
 
 from quota_gateway.configuration.file import build_configuration
 from quota_gateway.gateway_process import GatewayProcess
 from tests.fakes import (
+    EVENT_TIMEOUT,
     HOST,
-    SOON,
-    Asked,
     FakeBackend,
     FakeCounter,
     FakeDiscovery,
+    FakeServer,
+    HttpMessage,
     read_message,
     settings_text,
 )
 
 CUSTOMER = "00000000000000c1"
 READY = b"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n"
+TEST_TIMEOUT = 3 * EVENT_TIMEOUT  # seconds until a whole test fails
+SOCKET_LIMIT = 1024  # sockets that a gateway may have open, unless a test says otherwise
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: on, for no time at all
 
 
 def run(test: Callable[[], Awaitable[None]]) -> None:
-    async def bounded() -> None:
-        async with asyncio.timeout(3 * SOON):
+    """Run an asynchronous test on uvloop; raises TimeoutError after TEST_TIMEOUT seconds."""
+
+    async def run_with_timeout() -> None:
+        async with asyncio.timeout(TEST_TIMEOUT):
             await test()
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        runner.run(bounded())
+        runner.run(run_with_timeout())
 
 
 def request(
     number: int,
-    klass: str = "lookup",
+    request_class: str = "lookup",
     budget: float = 5.0,
     plan: str = "basis",
     customer: str = CUSTOMER,
     units: str = "1",
     body: bytes = b"typed text",
     drop: str = "",
-    **more: str,
+    **headers: str,
 ) -> bytes:
-    """A client's request; `drop` leaves a header out, and `more` replaces or adds some."""
-    get = klass == "lookup"
-    headers = {
+    """Return a client's request as it goes over the wire.
+
+    `budget` is the time in seconds until its deadline. The header named in `drop` is left out; `headers` are
+    added or replace others, with underscores in place of hyphens.
+    """
+    is_get = request_class == "lookup"
+    fields = {
         "Host": "backend.local",
         "X-Call-Id": f"{number:016x}",
-        "X-Call-Class": klass,
+        "X-Call-Class": request_class,
         "Plan": plan,
         "X-Budget": f"{budget:.3f}",
         "Quota-Info": f"units={units},spread=2,first=0",
     }
-    if klass == "report":
-        headers["Idempotency-Key"] = f"key{number:029x}"
-    if not get:
-        headers["Content-Length"] = str(len(body))
-    headers.update({k.replace("_", "-"): v for k, v in more.items()})
-    headers.pop(drop, None)
-    lines = [f"{'GET' if get else 'POST'} /api?client={customer} HTTP/1.1"]
-    lines += [f"{k}: {v}" for k, v in headers.items()]
-    return "\r\n".join([*lines, "", ""]).encode() + (b"" if get else body)
+    if request_class == "report":
+        fields["Idempotency-Key"] = f"key{number:029x}"
+    if not is_get:
+        fields["Content-Length"] = str(len(body))
+    fields.update({name.replace("_", "-"): value for name, value in headers.items()})
+    fields.pop(drop, None)
+    lines = [f"{'GET' if is_get else 'POST'} /api?client={customer} HTTP/1.1"]
+    lines += [f"{name}: {value}" for name, value in fields.items()]
+    head = "\r\n".join([*lines, "", ""]).encode()
+    return head if is_get else head + body
+
+
+class HttpResponse(NamedTuple):
+    """A response as a client read it; the names of `headers` are in lower case."""
+
+    status: int
+    headers: dict[str, str]
+    body: bytes
 
 
 class Client:
-    """A client's connection, written to by hand."""
+    """A client's connection to the gateway, over which a test writes raw HTTP."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.reader, self.writer = reader, writer
+        self.reader = reader
+        self.writer = writer
 
     def send(self, text: bytes) -> None:
+        """Write to the connection without waiting for a response."""
         self.writer.write(text)
 
-    async def answer(self) -> tuple[int, dict[str, str], bytes]:
-        async with asyncio.timeout(SOON):
-            first, headers, body = await read_message(self.reader)
-        return int(first.split()[1]), headers, body
+    async def answer(self) -> HttpResponse:
+        """Read the next response; raises TimeoutError after EVENT_TIMEOUT seconds."""
+        async with asyncio.timeout(EVENT_TIMEOUT):
+            status_line, headers, body = await read_message(self.reader)
+        return HttpResponse(int(status_line.split()[1]), headers, body)
 
-    async def ask(self, text: bytes) -> tuple[int, dict[str, str], bytes]:
+    async def ask(self, text: bytes) -> HttpResponse:
+        """Send a request and read its response."""
         self.send(text)
         return await self.answer()
 
     def reset(self) -> None:
-        """Ends the connection so that the gateway sees it broken, not only closed for sending."""
+        """Close the connection with a TCP reset, which the gateway can tell from a half-close."""
         sock = self.writer.get_extra_info("socket")
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
         self.writer.transport.abort()
 
     async def closed(self) -> bool:
-        """Waits for the gateway to close; False if it sends something more first."""
-        async with asyncio.timeout(SOON):
+        """Wait until the gateway closes the connection; False if it sends something more first."""
+        async with asyncio.timeout(EVENT_TIMEOUT):
             return await self.reader.read(1) == b""
 
 
 class GatewayHarness:
+    """A gateway process object between clients and fake upstreams, all in one event loop.
+
+    The fake upstreams are there from the constructor on, so that a test may change them before `start`.
+    """
+
     def __init__(self, backends: int) -> None:
         self.backends = [FakeBackend() for _ in range(backends)]
-        self.discovery, self.counter = FakeDiscovery(), FakeCounter()
-        self.port = self.admin_port = 0
+        self.discovery = FakeDiscovery()
+        self.counter = FakeCounter()
+        self.port = 0
+        self.admin_port = 0
         self.process: GatewayProcess
 
-    async def start(self, env: dict[str, Any], sockets: int) -> None:
-        for peer in (*self.backends, self.discovery, self.counter):
-            await peer.start()
-        entries = [self.discovery.entry(f"b{n}", b.address) for n, b in enumerate(self.backends)]
-        self.discovery.entries = {e["instanceId"]: e for e in entries}
-        await self.begin(env, sockets)
-
-    async def begin(self, env: dict[str, Any], sockets: int) -> None:
-        """The gateway alone, before peers that are there."""
-        told = self.configuration(env, sockets)
-        configuration = build_configuration(told, {})
+    @property
+    def upstreams(self) -> list[FakeServer]:
+        """All fake servers that the gateway connects to."""
+        return [*self.backends, self.discovery, self.counter]
+
+    async def start(self, settings: dict[str, Any], socket_limit: int) -> None:
+        """Start the fake upstreams, list the backends at discovery, and start the gateway."""
+        for upstream in self.upstreams:
+            await upstream.start()
+        entries = [
+            self.discovery.entry(f"b{number}", backend.address)
+            for number, backend in enumerate(self.backends)
+        ]
+        self.discovery.entries = {entry["instanceId"]: entry for entry in entries}
+        await self.begin(settings, socket_limit)
+
+    async def begin(self, settings: dict[str, Any], socket_limit: int) -> None:
+        """Start the gateway alone, where the fake upstreams listen already."""
+        configuration = build_configuration(self.configuration(settings, socket_limit), {})
         self.process = GatewayProcess(configuration)
-        self.process.listen_address = self.process.admin_address = (HOST, 0)
+        self.process.listen_address = (HOST, 0)
+        self.process.admin_address = (HOST, 0)
         await self.process.start()
-        assert self.process.listener.listener is not None
-        self.port = self.process.listener.listener.getsockname()[1]
-        assert self.process.admin.listener is not None
-        self.admin_port = self.process.admin.listener.getsockname()[1]
+        self.port = bound_port(self.process.listener.listener)
+        self.admin_port = bound_port(self.process.admin.listener)
 
-    def configuration(self, env: dict[str, Any], sockets: int) -> dict[str, Any]:
+    def configuration(self, settings: dict[str, Any], socket_limit: int) -> dict[str, Any]:
+        """Return the contents of a configuration file for this gateway."""
         return {
             "name": "n0",
             "listen": f"{HOST}:1",
             "discovery": self.discovery.address,
             "counter": self.counter.address,
             "seed": "8c1f30d27a5be964",
-            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": sockets},
+            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": socket_limit},
             "known": {"generation": 1, "reset": True, "instances": list(self.discovery.entries.values())},
-            "settings": env,
+            "settings": settings,
         }
 
+    async def client(self, receive_buffer: int = 0) -> Client:
+        """Connect a client; `receive_buffer` is its socket's buffer in bytes, 0 for the system's default."""
+        sock = socket.socket()
+        if receive_buffer:
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, receive_buffer)
+        sock.setblocking(False)
+        await asyncio.get_running_loop().sock_connect(sock, (HOST, self.port))
+        return Client(*await asyncio.open_connection(sock=sock))
+
     async def admin_client(self) -> Client:
+        """Connect to the admin server."""
         return Client(*await asyncio.open_connection(HOST, self.admin_port))
 
     async def call(self, method: str, path: str) -> tuple[int, str]:
-        """An operator's call; the connection must end after it."""
-        operator = await self.admin_client()
-        status, _, text = await operator.ask(f"{method} {path} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
-        assert await operator.closed()
-        operator.writer.close()
+        """Make one call of the admin API, after which the gateway must close the connection.
+
+        Returns the response's status and text.
+        """
+        client = await self.admin_client()
+        status, _, text = await client.ask(f"{method} {path} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
+        assert await client.closed()
+        client.writer.close()
         return status, text.decode()
 
     async def metrics(self) -> dict[str, int]:
+        """Read all metrics from the admin API; their names are without the prefix `svc.`."""
         status, text = await self.call("GET", "/stats")
         assert status == 200
         pairs = (line.partition("=") for line in text.splitlines())
         return {name.removeprefix("svc."): int(value) for name, _, value in pairs}
 
-    async def client(self, receive_buffer: int = 0) -> Client:
-        sock = socket.socket()
-        if receive_buffer:
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, receive_buffer)
-        sock.setblocking(False)
-        await asyncio.get_running_loop().sock_connect(sock, (HOST, self.port))
-        return Client(*await asyncio.open_connection(sock=sock))
+    def seen(self) -> list[HttpMessage]:
+        """Return the requests that all backends have received."""
+        return [request for backend in self.backends for request in backend.seen]
+
 
-    def seen(self) -> list[Asked]:
-        return [asked for b in self.backends for asked in b.seen]
+def bound_port(listening: socket.socket | None) -> int:
+    """Return the port of a listening socket, which must be there."""
+    assert listening is not None
+    port: int = listening.getsockname()[1]
+    return port
 
 
 def roomy_settings(**limits: Any) -> dict[str, Any]:
-    """The settings with a first plan wide enough that its requests go on at once and uncounted."""
-    env = settings_text(**limits)
-    env["packages"][0].update(peak_units=400.0, units_per_s=100.0)
-    return env
+    """Return settings whose first plan has enough quota to forward its requests at once and uncounted."""
+    settings = settings_text(**limits)
+    settings["packages"][0].update(peak_units=400.0, units_per_s=100.0)
+    return settings
 
 
 @asynccontextmanager
 async def running(
-    backends: int = 1, env: dict[str, Any] | None = None, sockets: int = 1024
+    backends: int = 1, env: dict[str, Any] | None = None, sockets: int = SOCKET_LIMIT
 ) -> AsyncIterator[GatewayHarness]:
-    bed = GatewayHarness(backends)
-    await bed.start(env or roomy_settings(), sockets)
+    """Run a gateway with the settings `env`, by default roomy ones, and at most so many open sockets."""
+    harness = GatewayHarness(backends)
+    await harness.start(env or roomy_settings(), sockets)
     try:
-        yield bed
+        yield harness
     finally:
-        if not bed.process.listener.stopping:
-            await bed.process.stop(0.0, 0.0)
-        for peer in (*bed.backends, bed.discovery, bed.counter):
-            await peer.stop()
+        if not harness.process.listener.stopping:
+            await harness.process.stop(0.0, 0.0)
+        for upstream in harness.upstreams:
+            await upstream.stop()
--- a/tests/virtual_clock.py
+++ b/tests/virtual_clock.py
@@ -1,4 +1,4 @@
-"""An event loop on a clock of its own, over real sockets: time passes only while nothing is to be done."""
+"""An event loop with a virtual clock over real sockets: time passes only while there is nothing to do."""
 
 from __future__ import annotations
 
@@ -6,77 +6,94 @@
 import selectors
 import time
 from collections.abc import Awaitable, Callable
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
-SETTLE = 0.0002  # real seconds of a look before a short jump: loopback delivers while it is written to
-LONG_JUMP, LONG_SETTLE = 0.05, 0.002  # a jump from which the look is longer: a limit must not end too early
-IDLE = 0.01  # real seconds of a look where no timer is set
+START_TIME = 1000.0  # seconds; the time of the virtual clock when a test starts
+UNIX_TIME_OFFSET = 1.7e9  # seconds from the virtual clock to the Unix time that tests give to the gateway
+TEST_TIMEOUT = 600.0  # seconds of the virtual clock until a test fails
 
-if TYPE_CHECKING:
-    Events = list[tuple[selectors.SelectorKey, int]]
+# How long, in seconds of real time, sockets are polled before the clock advances. Loopback delivers while it
+# is written to, so that a short poll finds what there is; before a long step the poll is longer, since a
+# timeout that fires too early would change a test's result.
+SHORT_POLL = 0.0002
+LONG_POLL = 0.002
+LONG_STEP = 0.05  # seconds of the virtual clock from which a step counts as long
+POLL_WITHOUT_TIMER = 0.01
+
+ReadyKeys = list[tuple[selectors.SelectorKey, int]]
 
 
 class VirtualClockSelector(selectors.DefaultSelector):
-    """Waits for sockets in real time, and only briefly: then the clock jumps to the next timer."""
+    """Polls sockets for a short real time; if none is ready, advances the clock to the next timer."""
 
     loop: VirtualClockLoop
 
-    def select(self, timeout: float | None = None) -> Events:
-        ready: Events = super().select(0)
-        if ready or timeout is not None and timeout <= 0:
+    def select(self, timeout: float | None = None) -> ReadyKeys:
+        """Return ready sockets; `timeout` is the time to the loop's next timer, None without one."""
+        ready: ReadyKeys = super().select(0)
+        if ready or (timeout is not None and timeout <= 0):
             return ready
-        if timeout is not None and timeout < LONG_JUMP:
-            time.sleep(SETTLE)  # the selector's own wait counts whole milliseconds
-            ready = super().select(0)
-        else:
-            ready = super().select(LONG_SETTLE if timeout is not None else IDLE)
-        if not ready and timeout is not None:
+        if timeout is None:
+            return super().select(POLL_WITHOUT_TIMER)
+        ready = self.poll_before_step(timeout)
+        if not ready:
             self.loop.now += timeout
         return ready
 
+    def poll_before_step(self, step: float) -> ReadyKeys:
+        """Poll once more before the clock advances by `step` seconds."""
+        if step >= LONG_STEP:
+            return super().select(LONG_POLL)
+        time.sleep(SHORT_POLL)  # the selector's own timeout counts whole milliseconds
+        return super().select(0)
+
 
 class VirtualClockLoop(asyncio.SelectorEventLoop):
-    """`now` is its time in seconds; it starts at 1,000, and all timers, sleeps and timeouts go by it.
+    """An event loop whose timers, sleeps and timeouts go by `now`, its time in seconds.
 
-    A dial to a port in `late` comes up so many seconds later; adding to `now` makes for a busy core.
+    A connection to a port in `late` takes so many seconds to come up. A test that adds to `now` simulates a
+    loop that was busy for that time.
     """
 
     def __init__(self) -> None:
         self.late: dict[int, float] = {}
+        self.now = START_TIME
         selector = VirtualClockSelector()
-        self.now = 1000.0
         selector.loop = self
         super().__init__(selector)
 
     def time(self) -> float:
+        """Return the virtual time in seconds."""
         return self.now
 
     async def create_connection(
-        self, protocol_factory: Any, host: Any = None, port: Any = None, **more: Any
+        self, protocol_factory: Any, host: Any = None, port: Any = None, **options: Any
     ) -> Any:
+        """Connect like any event loop, after the delay that `late` has for the port."""
         if port in self.late:
             await asyncio.sleep(self.late[port])
-        return await super().create_connection(protocol_factory, host, port, **more)
+        return await super().create_connection(protocol_factory, host, port, **options)
 
 
 def this_loop() -> VirtualClockLoop:
+    """Return the running event loop, which must be one with a virtual clock."""
     loop = asyncio.get_running_loop()
     assert isinstance(loop, VirtualClockLoop)
     return loop
 
 
 def start_clock() -> Callable[[], float]:
-    """In the place of the program's own: Unix time by this loop's clock."""
+    """Return a function that gives Unix time by the running loop's clock, in place of the gateway's own."""
     loop = this_loop()
-    return lambda: 1.7e9 + loop.now
+    return lambda: UNIX_TIME_OFFSET + loop.now
 
 
-def run_on_virtual_clock(test: Callable[[], Awaitable[None]], at_most: float = 600.0) -> None:
-    """Runs the test on such a loop; it fails after so many seconds of that clock."""
+def run_on_virtual_clock(test: Callable[[], Awaitable[None]], timeout: float = TEST_TIMEOUT) -> None:
+    """Run an asynchronous test on such a loop; raises TimeoutError after `timeout` seconds of its clock."""
 
-    async def bounded() -> None:
-        async with asyncio.timeout(at_most):
+    async def run_with_timeout() -> None:
+        async with asyncio.timeout(timeout):
             await test()
 
     with asyncio.Runner(loop_factory=VirtualClockLoop) as runner:
-        runner.run(bounded())
+        runner.run(run_with_timeout())
