--- a/tests/policy_harness.py
+++ b/tests/policy_harness.py
@@ -1,8 +1,10 @@
-"""Builds settings and events for tests, and a driver that checks the rules on every action."""
+"""Settings and events for tests of the policy engine, and a harness that checks every action it takes."""
 
 from __future__ import annotations
 
+import heapq
 from dataclasses import replace
+from typing import NamedTuple
 
 from quota_gateway.model.actions import Action, FailRequest, IncrementCounter, Reject, SetTimer, StartAttempt
 from quota_gateway.model.endpoints import Endpoint, EndpointListKind, EndpointStatus
@@ -20,14 +22,51 @@
 from quota_gateway.model.timers import decode_timer, encode_timer
 from quota_gateway.policy.engine import PolicyEngine
 
-SAFE = RequestClass("read", Idempotency.IDEMPOTENT, IdempotencyScope.ALL, 5.0, 1.0, 4.0, 0.0, 1.0, False)
-KEYED = RequestClass(
-    "keyed", Idempotency.IDEMPOTENCY_KEY, IdempotencyScope.CELL, 3.0, 1.0, 4.0, 0.0, 1.0, False
+START_TIME = 100.0  # seconds; the time at which the tests' engines start
+COUNTER_LATENCY = 0.001  # seconds that a reply of the counter takes
+RESPONSE_DELAY_TOLERANCE = 0.008  # seconds past its deadline by which a request must have its response
+ENGINE_SEED = 1
+
+SAFE = RequestClass(
+    name="read",
+    idempotency=Idempotency.IDEMPOTENT,
+    idempotency_scope=IdempotencyScope.ALL,
+    idempotency_window=5.0,
+    latency_objective=1.0,
+    deadline=4.0,
+    late_value_ratio=0.0,
+    priority_weight=1.0,
+    streams_response=False,
+)
+KEYED = replace(
+    SAFE,
+    name="keyed",
+    idempotency=Idempotency.IDEMPOTENCY_KEY,
+    idempotency_scope=IdempotencyScope.CELL,
+    idempotency_window=3.0,
+)
+ONCE = replace(
+    SAFE,
+    name="pay",
+    idempotency=Idempotency.NON_IDEMPOTENT,
+    latency_objective=2.0,
+    deadline=6.0,
+    priority_weight=5.0,
 )
-ONCE = RequestClass("pay", Idempotency.NON_IDEMPOTENT, IdempotencyScope.ALL, 5.0, 2.0, 6.0, 0.0, 5.0, False)
-PLAN = Plan("small", 4.0, 8.0, 0, 0.0, 0.0, 1.0, 0.0, 1.0)
-CAPPED = Plan("capped", 4.0, 8.0, 0, 6.0, 12.0, 1.0, 0.0, 1.0)
-OPEN = Plan("open", 0.0, 0.0, 2, 0.0, 0.0, 1.0, 0.0, 1.0)
+
+PLAN = Plan(
+    name="small",
+    rate=4.0,
+    burst=8.0,
+    concurrency=0,
+    hard_limit_rate=0.0,
+    hard_limit_burst=0.0,
+    priority_factor=1.0,
+    over_quota_value=0.0,
+    over_quota_cost=1.0,
+)
+CAPPED = replace(PLAN, name="capped", hard_limit_rate=6.0, hard_limit_burst=12.0)
+OPEN = replace(PLAN, name="open", rate=0.0, burst=0.0, concurrency=2)
 
 SETTINGS = Settings(
     gateway_index=0,
@@ -59,10 +98,12 @@
 def backend(
     name: str, cell: int = 0, status: EndpointStatus = EndpointStatus.SERVING, started: float | None = None
 ) -> Endpoint:
+    """Return an endpoint; `started` is when its process began, in seconds, None for unknown."""
     return Endpoint(name, "z", "k", cell, status, 1.0, started)
 
 
 def backends(*entries: Endpoint, kind: EndpointListKind = EndpointListKind.FULL) -> EndpointListUpdate:
+    """Return an update of the endpoint list."""
     return EndpointListUpdate(kind, entries)
 
 
@@ -72,133 +113,208 @@
     plan: str = "small",
     customer: str = "c",
     units: float = 1.0,
-    deadline: float = 104.0,
+    deadline: float = START_TIME + 4.0,
     width: int = 2,
 ) -> RequestReceived:
-    return RequestReceived(number, klass, plan, customer, deadline, units, width, 0, False)
+    """Return a client's request; `width` is over how many gateways its customer's quota is spread."""
+    return RequestReceived(
+        request_id=number,
+        request_class=klass,
+        plan=plan,
+        customer=customer,
+        deadline=deadline,
+        units=units,
+        quota_spread=width,
+        first_gateway=0,
+        is_retry=False,
+    )
 
 
 def ended(
     number: int,
     attempt: int,
-    where: str,
+    endpoint_id: str,
     outcome: Outcome,
     elapsed: float = 0.1,
     over: bool | None = None,
     true_units: float = 0.0,
 ) -> AttemptEnded:
-    final = outcome is Outcome.SUCCESS if over is None else over
-    return AttemptEnded(number, attempt, where, outcome, elapsed, final, true_units, ())
+    """Return the end of an attempt; `over` says that it answered its request, by default if it succeeded."""
+    request_answered = outcome is Outcome.SUCCESS if over is None else over
+    return AttemptEnded(number, attempt, endpoint_id, outcome, elapsed, request_answered, true_units, ())
+
+
+def gateway(
+    now: float = START_TIME, listed: EndpointListUpdate | None = None, **changes: object
+) -> PolicyEngine:
+    """Return an engine that knows two endpoints or those listed, with some settings changed."""
+    engine = PolicyEngine(replace(SETTINGS, **changes), ENGINE_SEED, now)  # type: ignore[arg-type]
+    engine.handle(listed or backends(backend("a"), backend("b", 1)), now)
+    return engine
+
+
+class SentAttempt(NamedTuple):
+    """Where and when an attempt was sent."""
+
+    endpoint_id: str
+    sent_at: float
+
+
+class SentUnits(NamedTuple):
+    """When the first attempt of a request was sent, and the request's units."""
 
+    sent_at: float
+    units: float
 
-def gateway(now: float = 100.0, listed: EndpointListUpdate | None = None, **changes: object) -> PolicyEngine:
-    made = PolicyEngine(replace(SETTINGS, **changes), 1, now)  # type: ignore[arg-type]
-    made.handle(listed or backends(backend("a"), backend("b", 1)), now)
-    return made
+
+class ScheduledTimer(NamedTuple):
+    """A timer as the simulator holds it, ordered by its time and then by its text on the wire."""
+
+    due_at: float
+    text: str
 
 
 class EngineHarness:
-    """Plays a client, backends and timers around one gateway and asserts the rules on each action."""
+    """Plays clients, backends and timers around one engine, and asserts its invariants on each action.
+
+    `open` has the requests without a response, `answered` the final actions of the others, `sent` each
+    request's attempts, and `counts` the keys of counter calls without a reply.
+    """
 
-    def __init__(self, made: PolicyEngine, settings: Settings = SETTINGS) -> None:
-        self.gateway, self.settings = made, settings
-        self.classes = {c.name: c for c in settings.request_classes}
-        self.now = 100.0
+    def __init__(self, engine: PolicyEngine, settings: Settings = SETTINGS) -> None:
+        self.gateway = engine
+        self.settings = settings
+        self.classes = {request_class.name: request_class for request_class in settings.request_classes}
+        self.now = START_TIME
         self.open: dict[int, RequestReceived] = {}
         self.answered: dict[int, Action] = {}
-        self.sent: dict[int, list[tuple[str, float]]] = {}
+        self.sent: dict[int, list[SentAttempt]] = {}
         self.outcomes: dict[int, dict[int, Outcome]] = {}
-        self.timers: list[tuple[float, str]] = []
+        self.timers: list[ScheduledTimer] = []
         self.counts: list[str] = []
         self.listed: dict[str, Endpoint] = {}
-        self.first_units: dict[str, list[tuple[float, float]]] = {}
+        self.first_units: dict[str, list[SentUnits]] = {}
 
     def out(self, number: int) -> list[int]:
-        return [n for n in range(len(self.sent.get(number, []))) if n not in self.outcomes.get(number, {})]
+        """Return the indices of a request's attempts that are in flight."""
+        outcomes = self.outcomes.get(number, {})
+        return [index for index in range(len(self.sent.get(number, []))) if index not in outcomes]
+
+    def possibly_executed(self, number: int) -> list[int]:
+        """Return the indices of a request's attempts that a backend may have executed, or may yet."""
+        outcomes = self.outcomes.get(number, {})
+        return [
+            index
+            for index in range(len(self.sent.get(number, [])))
+            if index not in outcomes or not outcomes[index].proves_not_executed
+        ]
 
     def tell(self, event: Event) -> list[Action]:
-        if isinstance(event, EndpointListUpdate) and event.kind is not EndpointListKind.FAILED:
-            if event.kind is not EndpointListKind.DELTA:
-                self.listed = {}
-            self.listed.update({b.endpoint_id: b for b in event.endpoints})
-        if isinstance(event, RequestReceived):
-            self.open[event.request_id] = event
-        if isinstance(event, AttemptEnded):
-            self.outcomes.setdefault(event.request_id, {})[event.attempt_index] = event.outcome
-            if event.request_answered:
-                self.open.pop(event.request_id, None)
-        if isinstance(event, ClientDisconnected):
-            self.open.pop(event.request_id, None)
+        """Have the engine handle an event now, and check the actions that it returns."""
+        self.record(event)
         actions = self.gateway.handle(event, self.now)
         for action in actions:
             self.check(action)
         return actions
 
-    def risky(self, number: int) -> list[int]:
-        gone = self.outcomes.get(number, {})
-        return [
-            n
-            for n in range(len(self.sent.get(number, [])))
-            if n not in gone or not gone[n].proves_not_executed
-        ]
+    def record(self, event: Event) -> None:
+        """Keep what the checks need to know of an event."""
+        match event:
+            case EndpointListUpdate(kind=EndpointListKind.FAILED):
+                pass
+            case EndpointListUpdate(kind=kind, endpoints=endpoints):
+                if kind is not EndpointListKind.DELTA:
+                    self.listed = {}
+                self.listed.update({endpoint.endpoint_id: endpoint for endpoint in endpoints})
+            case RequestReceived(request_id=number):
+                self.open[number] = event
+            case AttemptEnded(request_id=number, attempt_index=index, outcome=outcome):
+                self.outcomes.setdefault(number, {})[index] = outcome
+                if event.request_answered:
+                    self.open.pop(number, None)
+            case ClientDisconnected(request_id=number):
+                self.open.pop(number, None)
 
     def check(self, action: Action) -> None:
-        if isinstance(action, SetTimer):
-            assert action.delay > 0
-            self.timers.append((self.now + action.delay, encode_timer(action.timer)))
-        elif isinstance(action, IncrementCounter):
-            self.counts.append(action.name)
-        elif isinstance(action, StartAttempt):
-            asked = self.open[action.request_id]  # a send for a request that is over breaks a rule
-            klass, tries = self.classes[asked.request_class], self.sent.setdefault(action.request_id, [])
-            target = self.listed[action.endpoint_id]
-            assert target.status is EndpointStatus.SERVING
-            assert self.settings.hedging_allowed or not self.out(action.request_id)
-            assert len(tries) < self.settings.max_attempts
-            risky = self.risky(action.request_id)
-            if risky:
-                assert klass.idempotency is not Idempotency.NON_IDEMPOTENT
-                if klass.idempotency is Idempotency.IDEMPOTENCY_KEY:
-                    where, when = tries[risky[0]]
-                    assert (
-                        self.listed[where].cell == target.cell
-                        or klass.idempotency_scope is IdempotencyScope.ALL
-                    )
-                    assert self.now - when < klass.idempotency_window
-            if not tries:
-                self.first_units.setdefault(asked.customer, []).append((self.now, asked.units))
-            tries.append((action.endpoint_id, self.now))
-        elif isinstance(action, Reject | FailRequest):
-            asked = self.open.pop(action.request_id)  # a second answer breaks a rule
-            assert self.now <= asked.deadline + 0.008
-            klass = self.classes[asked.request_class]
-            if isinstance(action, Reject) and self.risky(action.request_id):
-                assert klass.idempotency is Idempotency.IDEMPOTENT or (
-                    klass.idempotency is Idempotency.IDEMPOTENCY_KEY
-                    and klass.idempotency_scope is IdempotencyScope.ALL
-                )
-            self.answered[action.request_id] = action
+        """Assert the invariants on one action, and record it."""
+        match action:
+            case SetTimer():
+                assert action.delay > 0
+                timer = ScheduledTimer(self.now + action.delay, encode_timer(action.timer))
+                heapq.heappush(self.timers, timer)
+            case IncrementCounter():
+                self.counts.append(action.name)
+            case StartAttempt():
+                self.check_attempt(action)
+            case Reject() | FailRequest():
+                self.check_response(action)
+
+    def check_attempt(self, action: StartAttempt) -> None:
+        """Assert that an attempt has an open request and a serving endpoint, and that settings allow it."""
+        request = self.open[action.request_id]  # KeyError: the request has had its response
+        attempts = self.sent.setdefault(action.request_id, [])
+        endpoint = self.listed[action.endpoint_id]
+        assert endpoint.status is EndpointStatus.SERVING
+        assert self.settings.hedging_allowed or not self.out(action.request_id)
+        assert len(attempts) < self.settings.max_attempts
+        possibly_executed = self.possibly_executed(action.request_id)
+        if possibly_executed:
+            first = attempts[possibly_executed[0]]
+            self.check_idempotency(self.classes[request.request_class], first, endpoint)
+        if not attempts:
+            sent_units = SentUnits(self.now, request.units)
+            self.first_units.setdefault(request.customer, []).append(sent_units)
+        attempts.append(SentAttempt(action.endpoint_id, self.now))
+
+    def check_idempotency(self, request_class: RequestClass, first: SentAttempt, endpoint: Endpoint) -> None:
+        """Assert that a request which may have been executed is retried only where that does no harm."""
+        assert request_class.idempotency is not Idempotency.NON_IDEMPOTENT
+        if request_class.idempotency is Idempotency.IDEMPOTENCY_KEY:
+            same_cell = self.listed[first.endpoint_id].cell == endpoint.cell
+            assert same_cell or request_class.idempotency_scope is IdempotencyScope.ALL
+            assert self.now - first.sent_at < request_class.idempotency_window
+
+    def check_response(self, action: Reject | FailRequest) -> None:
+        """Assert one response a request, in time, and that a client may safely retry what is rejected."""
+        request = self.open.pop(action.request_id)  # KeyError: the request has had its response
+        assert self.now <= request.deadline + RESPONSE_DELAY_TOLERANCE
+        request_class = self.classes[request.request_class]
+        if isinstance(action, Reject) and self.possibly_executed(action.request_id):
+            assert request_class.idempotency is Idempotency.IDEMPOTENT or (
+                request_class.idempotency is Idempotency.IDEMPOTENCY_KEY
+                and request_class.idempotency_scope is IdempotencyScope.ALL
+            )
+        self.answered[action.request_id] = action
 
     def run_to(self, until: float) -> None:
-        """Fires the timers that fall due, and times out attempts at their requests' deadlines."""
+        """Advance the time: fire due timers, and time out attempts at their requests' deadlines."""
+        never = until + 1.0
         while True:
-            due = min(self.timers, default=(until + 1, ""))
-            ends = [(r.deadline, n) for n, r in self.open.items() if self.out(n)]
-            late = min(ends, default=(until + 1, 0))
-            if min(due[0], late[0]) > until:
+            timer_due_at = self.timers[0].due_at if self.timers else never
+            deadlines = (
+                (request.deadline, number) for number, request in self.open.items() if self.out(number)
+            )
+            deadline, number = min(deadlines, default=(never, 0))
+            if min(timer_due_at, deadline) > until:
                 break
-            if due[0] <= late[0]:
-                self.timers.remove(due)
-                self.now = max(self.now, due[0])
-                self.tell(TimerFired(decode_timer(due[1])))
+            if timer_due_at <= deadline:
+                self.now = max(self.now, timer_due_at)
+                self.tell(TimerFired(decode_timer(heapq.heappop(self.timers).text)))
             else:
-                self.now = max(self.now, late[0])
-                for n in self.out(late[1]):
-                    where, when = self.sent[late[1]][n]
-                    self.tell(ended(late[1], n, where, Outcome.TIMED_OUT, self.now - when, False))
+                self.now = max(self.now, deadline)
+                self.time_out_attempts(number)
         self.now = until
 
+    def time_out_attempts(self, number: int) -> None:
+        """End all attempts of a request that are in flight."""
+        for index in self.out(number):
+            attempt = self.sent[number][index]
+            elapsed = self.now - attempt.sent_at
+            self.tell(ended(number, index, attempt.endpoint_id, Outcome.TIMED_OUT, elapsed, False))
+
     def answer_counts(self, total: float, outcome: Outcome = Outcome.SUCCESS) -> None:
-        names, self.counts = self.counts, []
+        """Reply to all counter calls that have none yet."""
+        names = self.counts
+        self.counts = []
         for name in names:
-            self.tell(CounterReply(name, outcome, 0.001, total))
+            self.tell(CounterReply(name, outcome, COUNTER_LATENCY, total))
