--- a/tests/test_recorded_decisions.py
+++ b/tests/test_recorded_decisions.py
@@ -1,23 +1,22 @@
-"""Decisions stay what they were before the code was renamed and split: see tests/recorder.py."""
+"""The policy engine decides as it did when the recordings were made: see tests/recorder.py."""
 
 from __future__ import annotations
 
 import pytest
 
-from tests.recorder import FOLDER, LONG_STEPS, SHORT_SEED, SHORT_STEPS, digest, play
+from tests.recorder import DIGESTS, LONG_STEPS, SHORT_SEED, SHORT_STEPS, TRANSCRIPT, digest, play
 
-ROWS = (FOLDER / "decisions.sha256").read_text().splitlines()
-DIGESTS: dict[str, str] = dict(row.split() for row in ROWS)
+DIGESTS_BY_SEED: dict[str, str] = dict(row.split() for row in DIGESTS.read_text().splitlines())
 
 
 def test_a_short_sequence_is_decided_as_recorded_action_by_action() -> None:
-    recorded = (FOLDER / "decisions.txt").read_text().splitlines()
+    recorded = TRANSCRIPT.read_text().splitlines()
     played = play(SHORT_SEED, SHORT_STEPS)
-    for number, (now, before) in enumerate(zip(played, recorded, strict=False)):
-        assert now == before, f"line {number + 1}"
+    for number, (line, recorded_line) in enumerate(zip(played, recorded, strict=False)):
+        assert line == recorded_line, f"line {number + 1}"
     assert len(played) == len(recorded)
 
 
-@pytest.mark.parametrize("seed", list(DIGESTS))
+@pytest.mark.parametrize("seed", list(DIGESTS_BY_SEED))
 def test_a_long_sequence_is_decided_as_recorded(seed: str) -> None:
-    assert digest(play(int(seed), LONG_STEPS)) == DIGESTS[seed]
+    assert digest(play(int(seed), LONG_STEPS)) == DIGESTS_BY_SEED[seed]
