--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -130,7 +130,7 @@
 class FakeBackend(FakeServer):
     """A backend that answers each request by the next step of `script`, and by `serve` once there is none.
 
-    `seen` has the requests received so far, and `ended` counts the connections that the gateway closed.
+    `seen` has the requests received so far; `ended` counts connections that the gateway closed.
     """
 
     def __init__(self) -> None:
@@ -241,7 +241,8 @@
 class FakeCounter(FakeServer):
     """A counter that adds up increments by key, over the Redis protocol.
 
-    No reply is written while the event `free` is not set; the replies in `say` go out in place of totals.
+    No reply is written while the event `free` is not set.
+    The replies in `say` are sent in place of totals.
     """
 
     def __init__(self) -> None:
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -89,7 +89,7 @@
 
 def main() -> None:
     """Run all cases of each size of fleet in several processes, and print the summaries."""
-    parser = argparse.ArgumentParser(description="Cold starts under fleets of instances of the module.")
+    parser = argparse.ArgumentParser(description="Slow starts under fleets of gateways.")
     parser.add_argument("--starts", type=int, default=400, help="of each size of fleet")
     parser.add_argument("--processes", type=int, default=4)
     parser.add_argument("--gateways", type=int, nargs="*", default=FLEET_SIZES)
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -56,8 +56,8 @@
 ) -> bytes:
     """Return a client's request as it goes over the wire.
 
-    `budget` is the time in seconds until its deadline. The header named in `drop` is left out; `headers` are
-    added or replace others, with underscores in place of hyphens.
+    `budget` is the time in seconds until its deadline. The header named in `drop` is left out.
+    `headers` are added or replace others, with underscores in place of hyphens.
     """
     is_get = request_class == "lookup"
     fields = {
@@ -229,7 +229,7 @@
 async def running(
     backends: int = 1, env: dict[str, Any] | None = None, sockets: int = SOCKET_LIMIT
 ) -> AsyncIterator[GatewayHarness]:
-    """Run a gateway with the settings `env`, by default roomy ones, and at most so many open sockets."""
+    """Run a gateway with these settings, by default `roomy_settings`, and so many sockets at most."""
     harness = GatewayHarness(backends)
     await harness.start(env or roomy_settings(), sockets)
     try:
--- a/tests/policy_harness.py
+++ b/tests/policy_harness.py
@@ -139,7 +139,7 @@
     over: bool | None = None,
     true_units: float = 0.0,
 ) -> AttemptEnded:
-    """Return the end of an attempt; `over` says that it answered its request, by default if it succeeded."""
+    """Return the end of an attempt; `over`: it answered its request, by default on success."""
     request_answered = outcome is Outcome.SUCCESS if over is None else over
     return AttemptEnded(number, attempt, endpoint_id, outcome, elapsed, request_answered, true_units, ())
 
@@ -177,8 +177,8 @@
 class EngineHarness:
     """Plays clients, backends and timers around one engine, and asserts its invariants on each action.
 
-    `open` has the requests without a response, `answered` the final actions of the others, `sent` each
-    request's attempts, and `counts` the keys of counter calls without a reply.
+    `open` has the requests without a response, `answered` the final actions of the others,
+    `sent` each request's attempts, and `counts` the keys of counter calls without a reply.
     """
 
     def __init__(self, engine: PolicyEngine, settings: Settings = SETTINGS) -> None:
--- a/tests/virtual_clock.py
+++ b/tests/virtual_clock.py
@@ -51,8 +51,8 @@
 class VirtualClockLoop(asyncio.SelectorEventLoop):
     """An event loop whose timers, sleeps and timeouts go by `now`, its time in seconds.
 
-    A connection to a port in `late` takes so many seconds to come up. A test that adds to `now` simulates a
-    loop that was busy for that time.
+    A connection to a port in `late` takes so many seconds to come up. A test that adds to `now`
+    simulates a loop that was busy for that time.
     """
 
     def __init__(self) -> None:
