--- a/quota_gateway/configuration/file.py
+++ b/quota_gateway/configuration/file.py
@@ -1,80 +1,99 @@
-"""Reads the configuration file and the environment variables that go before it."""
+"""Reads the configuration file and the environment variables that override parts of it."""
 
 from __future__ import annotations
 
 import json
 import resource
+from collections.abc import Mapping
 from dataclasses import dataclass
 from typing import Any
 
-from quota_gateway.configuration.settings_reader import (
-    ConnectionLimits,
-    read_connection_limits,
-    read_settings,
-)
+from quota_gateway.configuration.connection_limits import ConnectionLimits, read_connection_limits
+from quota_gateway.configuration.settings_reader import read_settings
 from quota_gateway.discovery.client import EndpointUpdate, read_address, read_endpoint_update
 from quota_gateway.errors import ConfigurationError, EndpointListError
 from quota_gateway.model.endpoints import EndpointListKind
 from quota_gateway.model.settings import Settings
 
-LEAST_SOCKETS = 32  # with fewer there is nothing left to serve with
+FILE_VARIABLE = "RELAY_CONFIG"
+NAME_VARIABLE = "RELAY_NAME"
+LISTEN_VARIABLE = "RELAY_LISTEN"
+DISCOVERY_VARIABLE = "RELAY_DISCOVERY"
+ADMIN_VARIABLE = "RELAY_CONSOLE"
+LISTEN_DESCRIPTOR_VARIABLE = "RELAY_SOCKET_FD"
+SHARED_FOLDER_VARIABLE = "TMPDIR"
+
+MIN_DESCRIPTORS = 32  # with fewer, none are left for clients and endpoints
+SEED_BASE = 16  # the file has the seed as hexadecimal digits
 
 
 @dataclass(frozen=True, slots=True)
 class Configuration:
+    """All that one gateway process is configured with."""
+
     name: str
-    listen_address: tuple[str, int]
+    listen_address: tuple[str, int]  # for clients
     discovery: tuple[str, int]
-    file_discovery: tuple[str, int] | None  # the same by the file, whatever the environment said
-    counter: tuple[str, int] | None
-    admin_address: tuple[str, int] | None  # where operators call, if anywhere
-    listen_descriptor: int | None  # of the clients' listening socket, where the platform holds it
-    shared_folder: str | None  # what the processes of this gateway share
+    file_discovery: tuple[str, int] | None  # the address in the file, also where the environment overrides it
+    counter: tuple[str, int] | None  # None: the settings do without the counter service
+    admin_address: tuple[str, int] | None  # None: no admin server
+    listen_descriptor: int | None  # of a listening socket for clients that the platform passes on
+    shared_folder: str | None  # common to the processes of a hot restart
     seed: int
     max_descriptors: int
-    known_endpoints: EndpointUpdate
+    known_endpoints: EndpointUpdate  # the cached endpoint list to start with
     settings: Settings
     connection_limits: ConnectionLimits
 
 
-def read_configuration(environ: dict[str, str]) -> Configuration:
-    """RELAY_CONFIG's file; the other variables hold parts of it and go before it where they are set."""
-    path = environ.get("RELAY_CONFIG")
+def read_configuration(environment: Mapping[str, str]) -> Configuration:
+    """Return the configuration in the file that `$RELAY_CONFIG` names.
+
+    Other variables override parts of the file where they are set. ConfigurationError says in one line what
+    keeps the file from being used.
+    """
+    path = environment.get(FILE_VARIABLE)
     if not path:
-        raise ConfigurationError("RELAY_CONFIG is not set")
+        raise ConfigurationError(f"{FILE_VARIABLE} is not set")
     try:
         with open(path, encoding="utf-8") as file:
-            told = json.load(file)
-        return build_configuration(told, environ)
+            content = json.load(file)
+        return build_configuration(content, environment)
     except OSError as error:
         raise ConfigurationError(f"{path}: {error.strerror}") from error
     except KeyError as error:
         raise ConfigurationError(f"{path}: {error.args[0]} is missing") from error
     except (ValueError, TypeError, AttributeError, EndpointListError) as error:
-        raise ConfigurationError(f"{path}: {' '.join(str(error).split())}") from error
+        problem = " ".join(str(error).split())  # it may quote the file, line breaks included
+        raise ConfigurationError(f"{path}: {problem}") from error
 
 
-def build_configuration(told: dict[str, Any], environ: dict[str, str]) -> Configuration:
-    settings = read_settings(told["settings"])
-    counter = read_address(told["counter"]) if settings.counter_enabled else None
-    console = environ.get("RELAY_CONSOLE") or told.get("console")
-    descriptor = environ.get("RELAY_SOCKET_FD")
-    soft, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
-    sockets = min(int(told["limits"]["sockets"]), soft)
-    if sockets < LEAST_SOCKETS:
-        raise ValueError(f"limits: sockets is below {LEAST_SOCKETS}")
+def build_configuration(content: dict[str, Any], environment: Mapping[str, str]) -> Configuration:
+    """Return the configuration of a decoded file; a wrong one raises what its values lead to."""
+    settings = read_settings(content["settings"])
+    admin_address = environment.get(ADMIN_VARIABLE) or content.get("console")
+    listen_descriptor = environment.get(LISTEN_DESCRIPTOR_VARIABLE)
     return Configuration(
-        name=str(environ.get("RELAY_NAME") or told["name"]),
-        listen_address=read_address(environ.get("RELAY_LISTEN") or told["listen"]),
-        discovery=read_address(environ.get("RELAY_DISCOVERY") or told["discovery"]),
-        file_discovery=read_address(told["discovery"]) if "discovery" in told else None,
-        counter=counter,
-        admin_address=read_address(console) if console else None,
-        listen_descriptor=int(descriptor) if descriptor else None,
-        shared_folder=environ.get("TMPDIR") or None,
-        seed=int(told["seed"], 16),
-        max_descriptors=sockets,
-        known_endpoints=read_endpoint_update(told["known"], EndpointListKind.CACHED),
+        name=str(environment.get(NAME_VARIABLE) or content["name"]),
+        listen_address=read_address(environment.get(LISTEN_VARIABLE) or content["listen"]),
+        discovery=read_address(environment.get(DISCOVERY_VARIABLE) or content["discovery"]),
+        file_discovery=read_address(content["discovery"]) if "discovery" in content else None,
+        counter=read_address(content["counter"]) if settings.counter_enabled else None,
+        admin_address=read_address(admin_address) if admin_address else None,
+        listen_descriptor=int(listen_descriptor) if listen_descriptor else None,
+        shared_folder=environment.get(SHARED_FOLDER_VARIABLE) or None,
+        seed=int(content["seed"], SEED_BASE),
+        max_descriptors=_descriptor_limit(content),
+        known_endpoints=read_endpoint_update(content["known"], EndpointListKind.CACHED),
         settings=settings,
-        connection_limits=read_connection_limits(told["settings"]),
+        connection_limits=read_connection_limits(content["settings"]),
     )
+
+
+def _descriptor_limit(content: dict[str, Any]) -> int:
+    """Return how many descriptors the process may have: by the file, and by its own resource limit."""
+    soft_limit, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
+    max_descriptors = min(int(content["limits"]["sockets"]), soft_limit)
+    if max_descriptors < MIN_DESCRIPTORS:
+        raise ValueError(f"limits: sockets is below {MIN_DESCRIPTORS}")
+    return max_descriptors
--- /dev/null
+++ b/quota_gateway/configuration/settings_object.py
@@ -0,0 +1,62 @@
+"""Typed access to the JSON objects of the settings."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from typing import Any, TypeVar
+
+from quota_gateway.errors import SettingsError
+
+MILLISECONDS_PER_SECOND = 1000.0
+
+T = TypeVar("T")
+
+
+class SettingsObject:
+    """One JSON object of the settings; each accessor raises SettingsError with the key that is at fault."""
+
+    __slots__ = ("values",)
+
+    def __init__(self, values: Any) -> None:
+        """Wrap a decoded JSON value; one that is no object is treated as an object without keys."""
+        self.values: Mapping[str, Any] = values if isinstance(values, dict) else {}
+
+    def required(self, key: str) -> Any:
+        """Return the value of a key as it stands in the file."""
+        if key not in self.values:
+            raise SettingsError(key, "is missing")
+        return self.values[key]
+
+    def section(self, key: str) -> SettingsObject:
+        """Return the object that stands under a key."""
+        return SettingsObject(self.required(key))
+
+    def sections(self, key: str) -> list[SettingsObject]:
+        """Return the objects of the list that stands under a key."""
+        return [SettingsObject(item) for item in self.required(key)]
+
+    def boolean(self, key: str) -> bool:
+        """Return whether the value of a key is true."""
+        return bool(self.required(key))
+
+    def number(self, key: str) -> float:
+        """Return the number that stands under a key."""
+        value = self.required(key)
+        if isinstance(value, bool) or not isinstance(value, int | float):
+            raise SettingsError(key, "is not a number")
+        return float(value)
+
+    def integer(self, key: str) -> int:
+        """Return the number that stands under a key, without its fraction."""
+        return int(self.number(key))
+
+    def seconds(self, key: str) -> float:
+        """Return a duration in seconds; the settings have it in milliseconds."""
+        return self.number(key) / MILLISECONDS_PER_SECOND
+
+    def choice(self, key: str, choices: Mapping[str, T]) -> T:
+        """Return what a key's value stands for, out of a fixed set of values."""
+        value = self.required(key)
+        if value not in choices:
+            raise SettingsError(key, f"has an unknown value {value!r}")
+        return choices[value]
--- a/quota_gateway/configuration/settings_reader.py
+++ b/quota_gateway/configuration/settings_reader.py
@@ -1,119 +1,89 @@
-"""Reads the settings object that both programs are given: the adapter by wire, the gateway in its file."""
+"""Reads the settings object: the simulator sends it when an instance starts, a gateway has it in its file."""
 
 from __future__ import annotations
 
-from dataclasses import dataclass
 from typing import Any
 
+from quota_gateway.configuration.settings_object import SettingsObject
 from quota_gateway.model.endpoints import EndpointStatus
 from quota_gateway.model.settings import Idempotency, IdempotencyScope, Plan, RequestClass, Settings
 
-REPEATS = {
+IDEMPOTENCIES = {
     "repeatable": Idempotency.IDEMPOTENT,
     "by_key": Idempotency.IDEMPOTENCY_KEY,
     "once": Idempotency.NON_IDEMPOTENT,
 }
-SCOPES = {"all": IdempotencyScope.ALL, "zone": IdempotencyScope.ZONE, "cell": IdempotencyScope.CELL}
+IDEMPOTENCY_SCOPES = {
+    "all": IdempotencyScope.ALL,
+    "zone": IdempotencyScope.ZONE,
+    "cell": IdempotencyScope.CELL,
+}
 STATUSES = {
     "SERVING": EndpointStatus.SERVING,
     "DRAINING": EndpointStatus.DRAINING,
     "DELETED": EndpointStatus.REMOVED,
 }
+PUSHED_MEMBERSHIP = "pushed"  # endpoint lists come from a local agent; else the gateway polls discovery
 
 
-def take(source: dict[str, Any], key: str) -> Any:
-    if not isinstance(source, dict) or key not in source:
-        raise ValueError(f"settings: missing key {key}")
-    return source[key]
-
-
-def read_settings(env: dict[str, Any]) -> Settings:
-    """The settings of an instance from its first message; ValueError names a key that is missing or wrong."""
-    limits, rules, domain = take(env, "limits"), take(env, "rules"), take(env, "domain")
-
-    def number(source: dict[str, Any], key: str) -> float:
-        value = take(source, key)
-        if isinstance(value, bool) or not isinstance(value, int | float):
-            raise ValueError(f"settings: {key} is not a number")
-        return float(value)
-
-    def seconds(source: dict[str, Any], key: str) -> float:
-        return number(source, key) / 1000.0
-
-    def named(table: dict[str, Any], source: dict[str, Any], key: str) -> Any:
-        value = take(source, key)
-        if value not in table:
-            raise ValueError(f"settings: {key} has an unknown value {value!r}")
-        return table[value]
-
-    classes = tuple(
-        RequestClass(
-            name=take(c, "name"),
-            idempotency=named(REPEATS, c, "semantics"),
-            idempotency_scope=named(SCOPES, c, "dedup_scope"),
-            idempotency_window=seconds(c, "memory_span"),
-            latency_objective=seconds(c, "aim"),
-            deadline=seconds(c, "deadline"),
-            late_value_ratio=number(c, "late_share"),
-            priority_weight=number(c, "credit"),
-            streams_response=bool(take(c, "stream")),
-        )
-        for c in take(env, "services")
-    )
-    plans = tuple(
-        Plan(
-            name=take(p, "name"),
-            rate=number(p, "units_per_s"),
-            burst=number(p, "peak_units"),
-            concurrency=int(number(p, "concurrency")),
-            hard_limit_rate=number(p, "hard_rate"),
-            hard_limit_burst=number(p, "cap_depth"),
-            priority_factor=number(p, "value_factor"),
-            over_quota_value=number(p, "extra_worth"),
-            over_quota_cost=number(p, "overrun_cost"),
-        )
-        for p in take(env, "packages")
-    )
+def read_settings(values: dict[str, Any]) -> Settings:
+    """Return the typed settings; SettingsError names a key that is missing or has a wrong value."""
+    settings = SettingsObject(values)
+    limits = settings.section("limits")
+    rules = settings.section("rules")
+    domain = settings.section("domain")
     return Settings(
-        gateway_index=int(number(env, "me")),
-        gateway_count=int(number(env, "balancers")),
-        request_classes=classes,
-        plans=plans,
-        zone=take(env, "zone"),
-        endpoint_list_pushed=take(env, "membership_mode") == "pushed",
-        poll_interval=seconds(rules, "ask_every"),
-        counter_enabled=bool(take(domain, "counter")),
-        counter_timeout=seconds(domain, "count_limit"),
-        counter_call_cost=number(domain, "count_fee"),
-        cancellation_allowed=bool(take(limits, "cancel")),
-        health_checks_allowed=bool(take(limits, "may_probe")),
-        hedging_allowed=bool(take(limits, "second_copies")),
-        max_attempts=int(number(limits, "max_attempts")),
-        retry_after_allowed=bool(take(limits, "retry_after")),
-        max_retry_after=seconds(limits, "max_retry_after"),
-        slow_start_minimum=number(rules, "cold_from"),
-        slow_start_window=seconds(rules, "warm_within"),
-        slow_start_overload_ratio=number(rules, "fall_multiple"),
-        overload_duration=seconds(rules, "overload_for"),
-        load_report_fields=tuple(take(take(env, "report"), "fields")),
-        max_request_units=number(domain, "max_units"),
-        settles_actual_units=bool(take(domain, "post_paid")),
+        request_classes=tuple(read_request_class(source) for source in settings.sections("services")),
+        plans=tuple(read_plan(source) for source in settings.sections("packages")),
+        gateway_index=settings.integer("me"),
+        gateway_count=settings.integer("balancers"),
+        zone=settings.required("zone"),
+        endpoint_list_pushed=settings.required("membership_mode") == PUSHED_MEMBERSHIP,
+        poll_interval=rules.seconds("ask_every"),
+        counter_enabled=domain.boolean("counter"),
+        counter_timeout=domain.seconds("count_limit"),
+        counter_call_cost=domain.number("count_fee"),
+        cancellation_allowed=limits.boolean("cancel"),
+        health_checks_allowed=limits.boolean("may_probe"),
+        hedging_allowed=limits.boolean("second_copies"),
+        max_attempts=limits.integer("max_attempts"),
+        retry_after_allowed=limits.boolean("retry_after"),
+        max_retry_after=limits.seconds("max_retry_after"),
+        slow_start_minimum=rules.number("cold_from"),
+        slow_start_window=rules.seconds("warm_within"),
+        slow_start_overload_ratio=rules.number("fall_multiple"),
+        overload_duration=rules.seconds("overload_for"),
+        load_report_fields=tuple(settings.section("report").required("fields")),
+        max_request_units=domain.number("max_units"),
+        settles_actual_units=domain.boolean("post_paid"),
     )
 
 
-@dataclass(frozen=True, slots=True)
-class ConnectionLimits:
-    """What the settings say of connections and lists: the sockets need it, the decisions don't."""
-
-    connect_timeout: float
-    keepalive_timeout: float
-    drain_timeout: float  # after a backend's end is told
+def read_request_class(source: SettingsObject) -> RequestClass:
+    """Return one class of requests out of the settings' `services`."""
+    return RequestClass(
+        name=source.required("name"),
+        idempotency=source.choice("semantics", IDEMPOTENCIES),
+        idempotency_scope=source.choice("dedup_scope", IDEMPOTENCY_SCOPES),
+        idempotency_window=source.seconds("memory_span"),
+        latency_objective=source.seconds("aim"),
+        deadline=source.seconds("deadline"),
+        late_value_ratio=source.number("late_share"),
+        priority_weight=source.number("credit"),
+        streams_response=source.boolean("stream"),
+    )
 
 
-def read_connection_limits(env: dict[str, Any]) -> ConnectionLimits:
-    limits = take(env, "limits")
-    connect_with_retry, keep = float(take(limits, "dial_timeout")), float(take(limits, "keepalive"))
-    stop = float(take(take(env, "rules"), "stop_sending_within"))
-    if connect_with_retry <= 0 or keep <= 0 or stop <= 0:
-        raise ValueError("settings: dial_timeout, keepalive and stop_sending_within must be above nought")
-    return ConnectionLimits(connect_with_retry / 1000.0, keep / 1000.0, stop / 1000.0)
+def read_plan(source: SettingsObject) -> Plan:
+    """Return one customer plan out of the settings' `packages`."""
+    return Plan(
+        name=source.required("name"),
+        rate=source.number("units_per_s"),
+        burst=source.number("peak_units"),
+        concurrency=source.integer("concurrency"),
+        hard_limit_rate=source.number("hard_rate"),
+        hard_limit_burst=source.number("cap_depth"),
+        priority_factor=source.number("value_factor"),
+        over_quota_value=source.number("extra_worth"),
+        over_quota_cost=source.number("overrun_cost"),
+    )
--- a/quota_gateway/model/settings_validation.py
+++ b/quota_gateway/model/settings_validation.py
@@ -1,11 +1,12 @@
-"""Checks settings for values that make no sense."""
+"""Checks settings for values that make no sense together with what they stand for."""
 
 from __future__ import annotations
 
+from quota_gateway.errors import SettingsError
 from quota_gateway.model.settings import Settings
 
-# attributes that must not be negative, and the names by which settings files know them
-SETTINGS_NAMES = {
+# attributes that must not be negative, with their keys in the settings object, which errors name
+SETTINGS_KEYS = {
     "slow_start_window": "warm_within",
     "overload_duration": "overload_for",
     "slow_start_overload_ratio": "fall_multiple",
@@ -13,14 +14,14 @@
     "max_retry_after": "max_retry_after",
     "poll_interval": "ask_every",
 }
-PLAN_NAMES = {
+PLAN_KEYS = {
     "rate": "units_per_s",
     "burst": "peak_units",
     "hard_limit_rate": "hard_rate",
     "hard_limit_burst": "cap_depth",
     "concurrency": "concurrency",
 }
-REQUEST_CLASS_NAMES = {
+REQUEST_CLASS_KEYS = {
     "latency_objective": "aim",
     "deadline": "deadline",
     "idempotency_window": "memory_span",
@@ -28,19 +29,19 @@
 
 
 def validate_settings(settings: Settings) -> None:
-    """Raise ValueError with the name of the first setting that makes no sense."""
+    """Raise SettingsError with the key of the first setting that makes no sense."""
     if settings.gateway_count < 1:
-        raise ValueError("settings: balancers is below 1")
+        raise SettingsError("balancers", "is below 1")
     if settings.max_attempts < 1:
-        raise ValueError("settings: max_attempts is below 1")
-    _require_not_negative(settings, "", SETTINGS_NAMES)
+        raise SettingsError("max_attempts", "is below 1")
+    _require_not_negative(settings, SETTINGS_KEYS, "is negative")
     for plan in settings.plans:
-        _require_not_negative(plan, f" of plan {plan.name}", PLAN_NAMES)
+        _require_not_negative(plan, PLAN_KEYS, f"of plan {plan.name} is negative")
     for request_class in settings.request_classes:
-        _require_not_negative(request_class, f" of class {request_class.name}", REQUEST_CLASS_NAMES)
+        _require_not_negative(request_class, REQUEST_CLASS_KEYS, f"of class {request_class.name} is negative")
 
 
-def _require_not_negative(source: object, owner: str, names: dict[str, str]) -> None:
-    for attribute, name in names.items():
+def _require_not_negative(source: object, keys: dict[str, str], problem: str) -> None:
+    for attribute, key in keys.items():
         if getattr(source, attribute) < 0:
-            raise ValueError(f"settings: {name}{owner} is negative")
+            raise SettingsError(key, problem)
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -12,7 +12,7 @@
 import pytest
 
 from quota_gateway.configuration.settings_reader import read_settings
-from quota_gateway.errors import SimulatorProtocolError
+from quota_gateway.errors import SettingsError, SimulatorProtocolError
 from quota_gateway.simulator.adapter import SimulatorHost, serve
 
 HERE = pathlib.Path(__file__).parent
@@ -90,8 +90,9 @@
 def test_missing_keys_are_named(part: str | None, key: str) -> None:
     bad = env()
     del (bad[part] if part else bad)[key]
-    with pytest.raises(ValueError, match=key):
+    with pytest.raises(SettingsError, match=key) as raised:
         read_settings(bad)
+    assert raised.value.setting == key
 
 
 def test_unknown_keys_are_passed_over() -> None:
