--- a/quota_gateway/gateway_process.py
+++ b/quota_gateway/gateway_process.py
@@ -1,218 +1,218 @@
-"""The parts of one gateway process, from its start to its end on SIGTERM."""
+"""One gateway process: creates its parts, connects them, and runs them until SIGTERM."""
 
 from __future__ import annotations
 
 import asyncio
+import contextlib
 import gc
 import logging
-import os
 import signal
 import time
 from collections.abc import Callable
 
 from quota_gateway.admin.server import AdminOperations, AdminServer
-from quota_gateway.configuration.file import Configuration, read_configuration
+from quota_gateway.configuration.descriptor_budget import divide_descriptors
+from quota_gateway.configuration.file import Configuration
+from quota_gateway.configuration.reload import ConfigurationReloader
 from quota_gateway.counter.client import CounterClient
 from quota_gateway.discovery.client import DiscoveryClient, poll_schedule_for
 from quota_gateway.dispatch.dispatcher import RequestDispatcher
 from quota_gateway.downstream.client_connection import ClientListener
-from quota_gateway.errors import ConfigurationError
 from quota_gateway.hot_restart.coordinator import HotRestartCoordinator
 from quota_gateway.model.charges import UnitsCharged
 from quota_gateway.policy.engine import PolicyEngine
+from quota_gateway.shutdown import ACCEPT_WINDOW, GracefulShutdown, answer_timeout_for
 from quota_gateway.sockets.listening import bind, inherit
 from quota_gateway.upstream.connection_pool import ConnectionPool
 
-RESERVE = 64  # descriptors kept for the listener, discovery, the counter, and what the run-time itself needs
-RESERVE_PART = 0.25  # of the descriptors, at most, that this may be
-CLIENTS_PART = 0.6  # of the other descriptors: held requests need none at the backends' side
-FIRST_LIST_WITHIN = 1.0  # seconds to wait for discovery's own word, at most
-STILL_COMING = 0.5  # seconds after SIGTERM in which clients still connect, by the protocol, and a little
-MOST_DEADLINE, KILLED_AFTER = 3.0, 0.7  # seconds: the longest deadline that counts, and SIGKILL past it
-BEFORE_KILL = 0.3  # seconds before that by which all is answered
-LAST_READ = 0.15  # seconds in which the last connections taken in bring what was already sent on them
-LAST_LOOK = 0.02  # seconds for what came just then to be read
-LAST_BYTES = 0.25  # seconds for clients to take what was written to them
+MAX_FIRST_LIST_TIMEOUT = 1.0  # seconds that a start waits for the first endpoint list from discovery
 
 log = logging.getLogger("quota_gateway")
 
 
 def start_clock() -> Callable[[], float]:
-    """Unix time that never jumps: periods and backends' starts are told by it at every gateway alike."""
-    began = time.time() - time.monotonic()
+    """Return a clock of Unix time in seconds that never jumps.
+
+    Quota periods and endpoints' start times are compared between gateways, so it can't be the monotonic time.
+    """
+    offset = time.time() - time.monotonic()
     monotonic = time.monotonic
-    return lambda: began + monotonic()
+    return lambda: offset + monotonic()
 
 
 class GatewayProcess:
-    """The parts of one gateway, from start to stop."""
+    """Owns the parts of one gateway from its start to its end."""
 
-    def __init__(self, told: Configuration) -> None:
+    def __init__(self, configuration: Configuration) -> None:
+        """Create all parts; none of them listens or connects before `start`."""
+        settings = configuration.settings
+        limits = configuration.connection_limits
+        descriptors = divide_descriptors(configuration.max_descriptors)
         clock = start_clock()
         self.loop = asyncio.get_running_loop()
-        free = told.max_descriptors - min(RESERVE, int(told.max_descriptors * RESERVE_PART))
-        clients = int(free * CLIENTS_PART)
+        self.listen_address = configuration.listen_address
+        self.listen_descriptor = configuration.listen_descriptor
+        self.admin_address = configuration.admin_address
+        self.endpoint_list_settled = False  # it is from discovery, or as good as can be had at the start
+        # discovery's agent is local: one that takes longer than a connect is overloaded, and clients wait
+        self.first_list_timeout = min(MAX_FIRST_LIST_TIMEOUT, limits.connect_timeout)
+        self.answer_timeout = answer_timeout_for(settings)
         self.pool = ConnectionPool(
-            clock,
-            told.connection_limits.connect_timeout,
-            told.connection_limits.keepalive_timeout,
-            free - clients,
+            clock, limits.connect_timeout, limits.keepalive_timeout, descriptors.upstream
         )
-        self.dispatcher = RequestDispatcher(PolicyEngine(told.settings, told.seed, clock()), clock, self.pool)
-        if told.counter is not None:
-            self.dispatcher.counter = CounterClient(
-                clock,
-                told.counter,
-                told.settings.counter_timeout,
-                told.connection_limits.connect_timeout,
-                self.dispatcher.handle_counter_reply,
-            )
-        self.dispatcher.apply_endpoint_update(told.known_endpoints)
-        self.discovery = DiscoveryClient(
-            told.discovery,
-            told.connection_limits.connect_timeout,
-            self.dispatcher.apply_endpoint_update,
-            told.known_endpoints.generation if told.known_endpoints.entries else None,
-            poll_schedule_for(
-                told.settings.gateway_count,
-                told.settings.endpoint_list_pushed,
-                told.connection_limits.drain_timeout,
-            ),
-            self.handle_descriptor_exhaustion,
+        engine = PolicyEngine(settings, configuration.seed, clock())
+        self.dispatcher = RequestDispatcher(engine, clock, self.pool)
+        self.dispatcher.counter = self._create_counter(configuration, clock)
+        self.dispatcher.apply_endpoint_update(configuration.known_endpoints)
+        self.listener = ClientListener(
+            self.dispatcher, settings, clock, descriptors.downstream, self.is_serving
         )
-        self.pool.on_descriptor_exhaustion = self.handle_descriptor_exhaustion
-        if self.dispatcher.counter is not None:
-            self.dispatcher.counter.on_descriptor_exhaustion = self.handle_descriptor_exhaustion
-        # its agent is on this machine: what takes longer than a dial stands in a line, and clients wait too
-        self.first_list_timeout = min(FIRST_LIST_WITHIN, told.connection_limits.connect_timeout)
-        deadline = max(c.deadline for c in told.settings.request_classes)
-        self.answer_timeout = min(deadline, MOST_DEADLINE) + KILLED_AFTER - BEFORE_KILL  # after SIGTERM
-        self.listener = ClientListener(self.dispatcher, told.settings, clock, clients, self.is_serving)
         self.dispatcher.drain_clients = self.listener.drain
-        self.listen_address, self.listen_descriptor = told.listen_address, told.listen_descriptor
-        self.hot_restart: HotRestartCoordinator | None = None
-        if (
-            told.listen_descriptor is not None and told.shared_folder is not None
-        ):  # else no other process can take over
-            self.hot_restart = HotRestartCoordinator(
-                told.shared_folder, self.dispatcher, self.discovery.answered, self.listener.set_superseded
-            )
-            self.dispatcher.report_units = self.forward_units
-        self.admin_address = told.admin_address
+        self.discovery = self._create_discovery(configuration)
+        self._connect_descriptor_exhaustion()
+        self.hot_restart = self._create_hot_restart(configuration)
         self.admin = AdminServer(
             AdminOperations(self.is_healthy, self.metrics_text, self.set_maintenance, self.set_draining)
         )
-        self.configured_addresses = told.file_discovery, told.counter
-        self.list_settled = False  # the list is discovery's own, or as good as can be had
+        self.reloader = ConfigurationReloader(
+            configuration, self.discovery, self.dispatcher.counter, self.dispatcher.metrics
+        )
+
+    def _create_counter(
+        self, configuration: Configuration, clock: Callable[[], float]
+    ) -> CounterClient | None:
+        if configuration.counter is None:
+            return None
+        return CounterClient(
+            clock,
+            configuration.counter,
+            configuration.settings.counter_timeout,
+            configuration.connection_limits.connect_timeout,
+            self.dispatcher.handle_counter_reply,
+        )
 
-    def handle_descriptor_exhaustion(self) -> None:
-        self.listener.handle_descriptor_exhaustion()
+    def _create_discovery(self, configuration: Configuration) -> DiscoveryClient:
+        settings = configuration.settings
+        limits = configuration.connection_limits
+        known = configuration.known_endpoints
+        return DiscoveryClient(
+            configuration.discovery,
+            limits.connect_timeout,
+            self.dispatcher.apply_endpoint_update,
+            known.generation if known.entries else None,
+            poll_schedule_for(settings.gateway_count, settings.endpoint_list_pushed, limits.drain_timeout),
+            self.listener.handle_descriptor_exhaustion,
+        )
+
+    def _connect_descriptor_exhaustion(self) -> None:
+        """Let the connection pool and the counter have idle clients closed when descriptors run out."""
+        self.pool.on_descriptor_exhaustion = self.listener.handle_descriptor_exhaustion
+        if self.dispatcher.counter is not None:
+            self.dispatcher.counter.on_descriptor_exhaustion = self.listener.handle_descriptor_exhaustion
+
+    def _create_hot_restart(self, configuration: Configuration) -> HotRestartCoordinator | None:
+        """Return None where no other process can take over: it needs the listening socket and the folder."""
+        if configuration.listen_descriptor is None or configuration.shared_folder is None:
+            return None
+        self.dispatcher.report_units = self.forward_units
+        return HotRestartCoordinator(
+            configuration.shared_folder,
+            self.dispatcher,
+            self.discovery.answered,
+            self.listener.set_superseded,
+        )
 
     def is_serving(self) -> bool:
-        return self.list_settled and self.dispatcher.engine.accepts_clients()
+        """Return whether requests can be forwarded, which clients ask at `/ready`."""
+        return self.endpoint_list_settled and self.dispatcher.engine.accepts_clients()
 
-    def set_maintenance(self, backend: str, out: bool) -> bool:
-        known = self.dispatcher.set_maintenance(backend, out)
+    def is_healthy(self) -> bool:
+        """Return whether this process serves and is not shutting down, which operators ask."""
+        return self.listener.is_ready() and not self.listener.stopping
+
+    def metrics_text(self) -> str:
+        """Return all metrics in the text format of the admin server."""
+        return self.dispatcher.metrics.text(self.dispatcher.gauges())
+
+    def set_maintenance(self, endpoint_id: str, enabled: bool) -> bool:
+        """Begin or end the maintenance of an endpoint, here and in the other process of a hot restart.
+
+        Return False for an endpoint that is not known.
+        """
+        known = self.dispatcher.set_maintenance(endpoint_id, enabled)
         if known and self.hot_restart is not None:
-            self.hot_restart.broadcast(maintain=[backend, out])
+            self.hot_restart.broadcast(maintain=[endpoint_id, enabled])
         return known
 
-    def set_draining(self, on: bool) -> None:
-        self.dispatcher.set_draining(on)
+    def set_draining(self, enabled: bool) -> None:
+        """Begin or end the draining of clients, here and in the other process of a hot restart."""
+        self.dispatcher.set_draining(enabled)
         if self.hot_restart is not None:
-            self.hot_restart.broadcast(drain=on)
+            self.hot_restart.broadcast(drain=enabled)
 
     def forward_units(self, charged: UnitsCharged) -> None:
+        """Report units that were charged here to the other process of a hot restart."""
         if self.hot_restart is not None:
             self.hot_restart.broadcast(
                 charged=[charged.customer, charged.plan, charged.quota_spread, charged.units]
             )
 
-    def is_healthy(self) -> bool:
-        return self.listener.is_ready() and not self.listener.stopping
-
-    def metrics_text(self) -> str:
-        return self.dispatcher.metrics.text(self.dispatcher.gauges())
-
     async def run(self) -> None:
+        """Serve until SIGTERM or SIGINT, then shut down gracefully; SIGHUP reloads the configuration."""
         stop = asyncio.Event()
         for number in (signal.SIGTERM, signal.SIGINT):
             self.loop.add_signal_handler(number, stop.set)
-        self.loop.add_signal_handler(signal.SIGHUP, self.reload)
+        self.loop.add_signal_handler(signal.SIGHUP, self.reloader.reload)
         signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})
         await self.start()
-        gc.freeze()  # what start-up made stays: no need to look through it again
+        gc.freeze()  # objects of the start live as long as the process: collections need not visit them
         await stop.wait()
         await self.stop()
 
     async def start(self) -> None:
-        self.open_admin()
+        """Begin to serve; OSError where an address or descriptor can't be listened on."""
+        self._open_admin()
         if self.listen_descriptor is None:
             self.listener.listen(bind(self.listen_address))
         self.discovery.start()
-        inheriting = (
-            self.loop.create_task(self.hot_restart.restore_from_older())
-            if self.hot_restart is not None
-            else None
-        )
-        try:
-            async with asyncio.timeout(self.first_list_timeout):
-                await self.discovery.answered.wait()
-        except TimeoutError:
-            pass
-        if inheriting is not None:
-            await inheriting
-        self.list_settled = True
-        if self.listen_descriptor is not None:  # what waits there is left to an older process until now
+        restoring = None
+        if self.hot_restart is not None:
+            restoring = self.loop.create_task(self.hot_restart.restore_from_older())
+        await self._wait_for_first_list()
+        if restoring is not None:
+            await restoring
+        self.endpoint_list_settled = True
+        if self.listen_descriptor is not None:  # until now an older process accepts what is in the queue
             self.listener.listen(inherit(self.listen_descriptor))
         if self.hot_restart is not None:
             self.hot_restart.announce_serving()
 
-    def open_admin(self) -> None:
+    def _open_admin(self) -> None:
         if self.admin_address is None:
             return
         try:
             self.admin.listen(self.admin_address)
-        except OSError as error:  # clients are served all the same
-            log.warning("no console at %s:%d: %s", *self.admin_address, error.strerror)
+        except OSError as error:  # clients can be served without it
+            log.warning("the admin server can't listen on %s:%d: %s", *self.admin_address, error.strerror)
 
-    def reload(self) -> None:
-        """Moves discovery and counter to where the file says now; without a usable file nothing changes."""
-        try:
-            fresh = read_configuration(dict(os.environ))
-        except ConfigurationError as error:
-            self.dispatcher.metrics.reloaded(False)
-            return log.warning("the configuration stays as it was: %s", error)
-        self.dispatcher.metrics.reloaded(True)
-        # an address in the environment holds until the file's own is changed: that is the later word
-        before, self.configured_addresses = self.configured_addresses, (fresh.file_discovery, fresh.counter)
-        if fresh.file_discovery is not None and fresh.file_discovery != before[0]:
-            self.discovery.move(fresh.file_discovery)
-        counter = self.dispatcher.counter
-        if counter is not None and fresh.counter is not None and fresh.counter != before[1]:
-            counter.move(fresh.counter)
-        return None
-
-    async def stop(self, still_coming: float = STILL_COMING, all_answered: float | None = None) -> None:
-        """Takes what still comes, answers all of it, and leaves nothing behind."""
-        began = self.loop.time()
-        end = began + (self.answer_timeout if all_answered is None else all_answered)
-        self.listener.stopping = True
-        await asyncio.sleep(still_coming)
-        while not self.listener.stop_listening() and self.loop.time() < end:
-            await asyncio.sleep(LAST_LOOK)  # for room: what waits there would be reset
-        await asyncio.sleep(LAST_READ)
-        self.listener.close_idle()
-        await asyncio.sleep(LAST_LOOK)
-        while await self.dispatcher.wait_until_answered(end - self.loop.time()):
-            self.listener.close_idle()
-            if not self.listener.has_open_connections() or self.loop.time() >= end:
-                break
-            await asyncio.sleep(LAST_LOOK)  # the rest of one half read, which may have come by then
-        self.dispatcher.fail_all_unanswered()
-        self.listener.close_idle()
-        await self.listener.wait_until_flushed(LAST_BYTES)
-        self.listener.close()
+    async def _wait_for_first_list(self) -> None:
+        """Wait for discovery's first answer; without one in time the cached endpoint list has to do."""
+        with contextlib.suppress(TimeoutError):
+            async with asyncio.timeout(self.first_list_timeout):
+                await self.discovery.answered.wait()
+
+    async def stop(self, accept_window: float = ACCEPT_WINDOW, answer_timeout: float | None = None) -> None:
+        """Shut down gracefully: every request that was received has its response, then all parts close.
+
+        `answer_timeout` is in seconds and by default what the settings allow for before SIGKILL.
+        """
+        if answer_timeout is None:
+            answer_timeout = self.answer_timeout
+        await GracefulShutdown(self.listener, self.dispatcher, answer_timeout).run(accept_window)
+        self._close()
+
+    def _close(self) -> None:
+        """Close what is left once no client is connected."""
         self.discovery.stop()
         self.admin.close()
         if self.hot_restart is not None:
--- a/tests/test_gateway_process.py
+++ b/tests/test_gateway_process.py
@@ -200,7 +200,7 @@
             path.write_text("{")
             child.send_signal(signal.SIGHUP)
             async with asyncio.timeout(SOON):
-                assert b"stays as it was" in await child.stderr.readline()
+                assert b"keeping the current configuration" in await child.stderr.readline()
             assert (await client.ask(request(1)))[0] == 200
             discovery, counter = FakeDiscovery(), FakeCounter()
             await discovery.start()
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -7,15 +7,16 @@
 import pytest
 
 from quota_gateway.configuration.file import build_configuration
-from quota_gateway.gateway_process import LAST_BYTES, GatewayProcess
+from quota_gateway.gateway_process import GatewayProcess
+from quota_gateway.shutdown import FLUSH_TIMEOUT
 from tests.fakes import Asked, serve_after
 from tests.harness import Client, GatewayHarness, request, roomy_settings, run, running
 
 
 @pytest.fixture(autouse=True)
 def at_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    for name in ("LAST_READ", "LAST_LOOK"):
-        monkeypatch.setattr(f"quota_gateway.gateway_process.{name}", 0.0)
+    for name in ("FINAL_READ_WINDOW", "READ_INTERVAL"):
+        monkeypatch.setattr(f"quota_gateway.shutdown.{name}", 0.0)
 
 
 @pytest.mark.parametrize("deadline", [0.8, 1.5, 2.5, 3.0, 8.0])
@@ -32,7 +33,7 @@
                 {},
             )
         )
-        assert min(deadline, 3.0) < program.answer_timeout < min(deadline, 3.0) + 0.7 - LAST_BYTES
+        assert min(deadline, 3.0) < program.answer_timeout < min(deadline, 3.0) + 0.7 - FLUSH_TIMEOUT
         program.listener.close()
         program.pool.close()
 
