--- a/quota_gateway/__main__.py
+++ b/quota_gateway/__main__.py
@@ -11,27 +11,29 @@
 
 from quota_gateway.configuration.file import Configuration, read_configuration
 from quota_gateway.errors import ConfigurationError
+from quota_gateway.exit_status import EXIT_FAILURE, EXIT_INVALID_INPUT, report_fatal_error
 from quota_gateway.gateway_process import GatewayProcess
 
 
-async def serve(told: Configuration) -> None:
-    await GatewayProcess(told).run()
+async def serve(configuration: Configuration) -> None:
+    """Run one gateway in the current event loop until it is told to stop by a signal."""
+    await GatewayProcess(configuration).run()
 
 
 def main() -> int:
+    """Run the gateway with the configuration of the environment, and return the exit status."""
     logging.basicConfig(format="%(name)s: %(message)s", level=logging.WARNING)
-    # left to itself it ends the process; one that comes early waits: the file may have been read by then
+    # SIGHUP would end the process; one that comes before the handler is there may follow a change of the file
+    # that has been read already, so it stays pending
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
     try:
-        told = read_configuration(dict(os.environ))
+        configuration = read_configuration(os.environ)
     except ConfigurationError as error:
-        print(f"quota_gateway: {error}", file=sys.stderr)
-        return 2
+        return report_fatal_error(error, EXIT_INVALID_INPUT)
     try:
-        uvloop.run(serve(told))
+        uvloop.run(serve(configuration))
     except OSError as error:
-        print(f"quota_gateway: {error}", file=sys.stderr)
-        return 1
+        return report_fatal_error(error, EXIT_FAILURE)
     return 0
 
 
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -13,7 +13,8 @@
 
 from quota_gateway.configuration.settings_reader import read_settings
 from quota_gateway.errors import SettingsError, SimulatorProtocolError
-from quota_gateway.simulator.adapter import SimulatorHost, serve
+from quota_gateway.simulator.adapter import serve
+from quota_gateway.simulator.host import SimulatorHost
 
 HERE = pathlib.Path(__file__).parent
 FRAMES = (HERE / "batch.txt").read_text()
@@ -104,6 +105,6 @@
 def test_instances_share_nothing() -> None:
     host = SimulatorHost()
     up = next(x for x in FRAMES.splitlines() if x.startswith("up\t"))
-    host.batch(1.0, ["about\t0", up, "about\t1", up])
-    host.batch(1.1, ["about\t1", "retire"])
-    assert list(host.gateways) == [0]
+    host.handle_batch(1.0, ["about\t0", up, "about\t1", up])
+    host.handle_batch(1.1, ["about\t1", "retire"])
+    assert list(host.engines) == [0]
