--- a/quota_gateway/configuration/__init__.py
+++ b/quota_gateway/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""Reads the configuration file, its settings and the environment."""
+"""The configuration of a gateway: its file, the settings in it, and the environment."""
--- a/quota_gateway/errors.py
+++ b/quota_gateway/errors.py
@@ -1,4 +1,4 @@
-"""Errors that the gateway raises itself: one hierarchy, each with what was at fault."""
+"""The hierarchy of errors that the gateway raises itself."""
 
 from __future__ import annotations
 
@@ -8,47 +8,47 @@
 
 
 class ConfigurationError(GatewayError):
-    """The gateway can't start, or reload, with the configuration that it was given."""
+    """The gateway can't start, or reload, with its configuration."""
 
 
 class SettingsError(GatewayError, ValueError):
-    """A setting is missing or makes no sense; `setting` is its name in the settings object."""
+    """A setting is missing or has a wrong value; `setting` is its key in the settings object."""
 
     def __init__(self, setting: str, problem: str) -> None:
-        """Take the setting's name and what is wrong with it, which reads on from the name."""
+        """Take the key, and the problem as it reads after the key."""
         super().__init__(f"settings: {setting} {problem}")
         self.setting = setting
 
 
 class EndpointListError(GatewayError):
-    """Discovery's answer is no list that the protocol allows.
+    """Discovery's response is not an endpoint list that the protocol allows.
 
-    `retry_after` is the wait in seconds that discovery asked for, 0 for none.
+    `retry_after` is the Retry-After of the response in seconds, 0 for none.
     """
 
     def __init__(self, problem: str, retry_after: float = 0.0) -> None:
-        """Take what is wrong with the answer, and the wait that came with it."""
+        """Take the problem, and the Retry-After that came with the response."""
         super().__init__(problem)
         self.retry_after = retry_after
 
 
 class DiscoveryUnavailableError(EndpointListError):
-    """No list came, or discovery had no capacity for the call: the known list is as good as before."""
+    """No response came, or discovery had no capacity for the poll: the known list stays valid."""
 
 
 class InvalidRequestError(GatewayError):
-    """A client's request breaks the protocol; `status` and `headers` are those of the response."""
+    """A client's request violates the protocol; `status` and `headers` are those of the response."""
 
     def __init__(self, status: int, problem: str, headers: bytes = b"") -> None:
-        """Take the response's status, its text, and header lines that go with it."""
+        """Take the status of the response, its text, and further header lines."""
         super().__init__(problem)
         self.status = status
         self.headers = headers
 
 
 class SimulatorProtocolError(GatewayError):
-    """A line from the simulator that its wire does not allow."""
+    """A line from the simulator is malformed, or out of place."""
 
 
 class HotRestartError(GatewayError):
-    """A message of the other process that can't be read."""
+    """A message of the other process of a hot restart can't be read."""
--- a/quota_gateway/model/actions.py
+++ b/quota_gateway/model/actions.py
@@ -1,4 +1,4 @@
-"""Actions: what the decisions want done. All times are seconds."""
+"""Actions: what the decisions ask the network code, or the simulator, to do. All times are in seconds."""
 
 from __future__ import annotations
 
@@ -7,12 +7,14 @@
 from quota_gateway.model.charges import UnitsCharged
 from quota_gateway.model.timers import Timer
 
+# Requests
+
 
 @dataclass(frozen=True, slots=True)
 class StartAttempt:
-    """Start an attempt; a request's attempts are numbered from 0 in the order of their sends.
+    """Forward a request to an endpoint; the attempts of a request are numbered from 0 in order of start.
 
-    One whose connection comes up later than `write_within` is not written; nought is no bound.
+    An attempt that has no connection `send_within` seconds from now is not sent; 0 means no such bound.
     """
 
     request_id: int
@@ -21,9 +23,17 @@
     send_within: float = 0.0
 
 
+@dataclass(frozen=True, slots=True)
+class CancelAttempt:
+    """Give up an attempt that is in flight."""
+
+    request_id: int
+    attempt_index: int
+
+
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Final answer: turned away, and trying again does no harm."""
+    """Final response: the request was not executed, and a retry is safe after `retry_after` seconds."""
 
     request_id: int
     retry_after: float
@@ -31,26 +41,25 @@
 
 @dataclass(frozen=True, slots=True)
 class FailRequest:
-    """Final answer: failed, with no promise about its effect."""
+    """Final response: the request failed, and may have been executed."""
 
     request_id: int
 
 
-@dataclass(frozen=True, slots=True)
-class CancelAttempt:
-    request_id: int
-    attempt_index: int
+# Timers and services
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
+    """Send TimerFired with this timer in `delay` seconds."""
+
     delay: float
     timer: Timer
 
 
 @dataclass(frozen=True, slots=True)
 class IncrementCounter:
-    """Add to a named number of the counter service and get its total."""
+    """Add to a number that the counter service keeps under a name, and send CounterReply with its total."""
 
     name: str
     amount: float
@@ -59,28 +68,31 @@
 
 @dataclass(frozen=True, slots=True)
 class PollEndpoints:
-    """Ask discovery for the list and its changes from now on."""
+    """Poll discovery for the endpoint list, and follow its changes from now on."""
+
+
+# Connections
 
 
 @dataclass(frozen=True, slots=True)
 class CloseIdleConnections:
-    """Let go of all that is held towards a backend and carries no attempt: it is about to be restarted."""
+    """Close the connections to an endpoint that carry no attempt: it is about to be restarted."""
 
     endpoint_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class DrainClientConnections:
-    """Have clients' connections end with the answers that are out, or keep them open again."""
+    """Close clients' connections after their responses in flight, or keep them alive again."""
 
     enabled: bool
 
 
 Action = (
     StartAttempt
+    | CancelAttempt
     | Reject
     | FailRequest
-    | CancelAttempt
     | SetTimer
     | IncrementCounter
     | PollEndpoints
--- a/quota_gateway/model/endpoints.py
+++ b/quota_gateway/model/endpoints.py
@@ -1,4 +1,4 @@
-"""Endpoints, and the list that names them."""
+"""Endpoints, and the kinds of lists that name them."""
 
 from __future__ import annotations
 
@@ -7,13 +7,17 @@
 
 
 class EndpointListKind(Enum):
-    DELTA = "changes"
-    FULL = "whole"
-    CACHED = "remembered"
-    FAILED = "failed"
+    """What a list of endpoints says about those that it does not name."""
+
+    DELTA = "changes"  # nothing: they stay as they are
+    FULL = "whole"  # they are removed
+    CACHED = "remembered"  # as FULL, but from before the start of this process
+    FAILED = "failed"  # no list came
 
 
 class EndpointStatus(Enum):
+    """The state of an endpoint by discovery; the values are part of the messages of a hot restart."""
+
     SERVING = "serving"
     DRAINING = "draining"
     REMOVED = "gone"
@@ -21,10 +25,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
+    """One upstream server."""
+
     endpoint_id: str
     zone: str
     machine_type: str
     cell: int
     status: EndpointStatus
-    weight: float
-    started_at: float | None
+    weight: float  # its capacity, relative to that of other endpoints
+    started_at: float | None  # Unix time in seconds; None where it is not known
--- a/quota_gateway/model/events.py
+++ b/quota_gateway/model/events.py
@@ -1,4 +1,4 @@
-"""Events: what the decisions are told. All times are seconds."""
+"""Events: what has happened, for the decisions to act on. All times are in seconds."""
 
 from __future__ import annotations
 
@@ -10,82 +10,112 @@
 from quota_gateway.model.outcomes import Outcome
 from quota_gateway.model.timers import Timer
 
+# Requests and their clients
+
 
 @dataclass(frozen=True, slots=True)
 class RequestReceived:
-    """A client's try that has arrived; the gateway owes it one final answer."""
+    """A request has come from a client; the gateway owes it one final response."""
 
     request_id: int
     request_class: str
     plan: str
     customer: str
-    deadline: float
+    deadline: float  # Unix time
     units: float
-    quota_spread: int
-    first_gateway: int
-    is_retry: bool
-    client_timeout: float = 0.0  # seconds that the client waits from its send on; 0: until the deadline
-    body_incomplete: bool = (
-        False  # its long body is still coming: its time counts from the last byte, told later
-    )
+    quota_spread: int  # gateways over which the customer's requests are spread
+    first_gateway: int  # index of the first of them
+    is_retry: bool  # by the client
+    client_timeout: float = 0.0  # that the client waits after sending; 0: until the deadline
+    # the rest of a long body is still to come: the deadline is set by RequestBodyReceived
+    body_incomplete: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class EndpointListUpdate:
-    kind: EndpointListKind
-    endpoints: tuple[Endpoint, ...]
-
+class RequestBodyConsumed:
+    """Part of a request's long body has been forwarded and is not buffered, so there can be no retry."""
 
-@dataclass(frozen=True, slots=True)
-class ClientDisconnected:
     request_id: int
 
 
 @dataclass(frozen=True, slots=True)
-class ClientHalfClosed:
-    """The client sends no more and has most likely gone: what is out may end, nothing more is sent on."""
+class RequestBodyReceived:
+    """The last byte of a long body has come."""
 
     request_id: int
+    deadline: float  # Unix time
 
 
 @dataclass(frozen=True, slots=True)
-class ResponseStreamStarted:
-    """An attempt's answer is being passed on: no other can serve the request, and it has no deadline more."""
+class ClientHalfClosed:
+    """The client sends no more and has probably disconnected.
+
+    Attempts in flight may still end; no other is started.
+    """
 
     request_id: int
-    attempt_index: int
-    elapsed: float = 0.0  # seconds to its first byte; 0: until now
 
 
 @dataclass(frozen=True, slots=True)
-class RequestBodyConsumed:
-    """Part of a request's long body has gone to a backend and is not kept: it can't be sent again."""
+class ClientDisconnected:
+    """The client has disconnected, and its request needs no response."""
 
     request_id: int
 
 
+# Attempts and health checks
+
+
 @dataclass(frozen=True, slots=True)
-class RequestBodyReceived:
-    """The last byte of a long body has come."""
+class ResponseStreamStarted:
+    """An attempt's response is being forwarded.
+
+    No other attempt can serve the request from now on, and its deadline no longer holds.
+    """
 
     request_id: int
-    deadline: float
+    attempt_index: int
+    elapsed: float = 0.0  # from the attempt's start to the first byte; 0: until now
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
+    """An attempt has ended."""
+
     request_id: int
     attempt_index: int
+    endpoint_id: str
+    outcome: Outcome
+    elapsed: float  # since the attempt's start
+    request_answered: bool  # the request has its final response
+    actual_units: float  # by the response; 0 where it does not say
+    load_report: tuple[float, ...]  # in the order of the settings' load_report_fields
+
+
+@dataclass(frozen=True, slots=True)
+class HealthCheckResult:
+    """A health check of an endpoint has ended."""
+
     endpoint_id: str
     outcome: Outcome
     elapsed: float
-    request_answered: bool
-    actual_units: float
     load_report: tuple[float, ...]
 
 
+# Timers and services
+
+
+@dataclass(frozen=True, slots=True)
+class TimerFired:
+    """A timer that SetTimer has started is due."""
+
+    timer: Timer
+
+
 @dataclass(frozen=True, slots=True)
 class CounterReply:
+    """A call to the counter service has ended; `total` counts only with a successful outcome."""
+
     name: str
     outcome: Outcome
     elapsed: float
@@ -93,21 +123,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HealthCheckResult:
-    endpoint_id: str
-    outcome: Outcome
-    elapsed: float
-    load_report: tuple[float, ...]
+class EndpointListUpdate:
+    """A list of endpoints, or of changes to it, has come from discovery or out of a cache."""
+
+    kind: EndpointListKind
+    endpoints: tuple[Endpoint, ...]
 
 
-@dataclass(frozen=True, slots=True)
-class TimerFired:
-    timer: Timer
+# Commands of operators
 
 
 @dataclass(frozen=True, slots=True)
 class SetMaintenance:
-    """An operator's word: nothing more to this backend, or use it again. It stands until the other comes."""
+    """Stop using an endpoint, or use it again; it holds until the next command for this endpoint."""
 
     endpoint_id: str
     enabled: bool
@@ -115,40 +143,43 @@
 
 @dataclass(frozen=True, slots=True)
 class SetDraining:
-    """An operator's word: no more clients here, or take them again."""
+    """Accept no more clients, or accept them again."""
 
     enabled: bool
 
 
+# Hot restart
+
+
 @dataclass(frozen=True, slots=True)
 class StateSnapshot:
-    """What an older process of this gateway knows, in plain values, as it gives it to the newer one."""
+    """The state of the older process, for the newer one to restore."""
 
-    state: dict[str, Any]
+    state: dict[str, Any]  # as JSON has it
 
 
 @dataclass(frozen=True, slots=True)
 class PeerProcessChanged:
-    """Another process of this gateway runs beside this one, or no longer does."""
+    """The other process of a hot restart is connected, or no longer is."""
 
     present: bool
 
 
 Event = (
     RequestReceived
-    | EndpointListUpdate
-    | ClientDisconnected
+    | RequestBodyConsumed
+    | RequestBodyReceived
     | ClientHalfClosed
+    | ClientDisconnected
     | ResponseStreamStarted
     | AttemptEnded
-    | CounterReply
     | HealthCheckResult
     | TimerFired
+    | CounterReply
+    | EndpointListUpdate
     | SetMaintenance
     | SetDraining
     | StateSnapshot
     | PeerProcessChanged
     | UnitsCharged
-    | RequestBodyConsumed
-    | RequestBodyReceived
 )
--- a/quota_gateway/model/outcomes.py
+++ b/quota_gateway/model/outcomes.py
@@ -6,7 +6,7 @@
 
 
 class Outcome(Enum):
-    """How an attempt, a probe or a counter call ended."""
+    """How an attempt, a health check or a counter call ended."""
 
     SUCCESS = "success"
     ERROR = "error"
@@ -19,5 +19,5 @@
 
     @property
     def proves_not_executed(self) -> bool:
-        """True where this outcome proves that the backend did not run the attempt."""
+        """Whether an attempt with this outcome was certainly not executed, so that a retry is always safe."""
         return self in (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
--- a/quota_gateway/model/timers.py
+++ b/quota_gateway/model/timers.py
@@ -1,6 +1,6 @@
-"""Timers of the decisions: one type a purpose, and their codec for the simulator's wire.
+"""Timers of the decisions, one type for each purpose, and their codec for the simulator's wire.
 
-On the wire a timer is a short text that the simulator gives back unchanged when the timer is due.
+On the wire a timer is a short text, which the simulator returns unchanged when the timer is due.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LateAttemptTimer:
-    """An attempt counts as late from now on, if it has not ended."""
+    """An attempt that is still in flight counts as late from now on."""
 
     request_id: int
     attempt_index: int
@@ -25,28 +25,28 @@
 
 @dataclass(frozen=True, slots=True)
 class QueueTimeoutTimer:
-    """A queued request has waited for as long as it may."""
+    """A request has been in its customer's queue for as long as it may."""
 
     request_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class ReleaseQueueTimer:
-    """A customer's limiter covers the head of its queue by now."""
+    """A customer's rate limiter can admit the request at the head of its queue."""
 
     customer: str
 
 
 @dataclass(frozen=True, slots=True)
 class ReportDemandTimer:
-    """A customer's demand, or its units that are not reported yet, go to the counter."""
+    """Report a customer's demand, or units that are not reported yet, to the counter."""
 
     customer: str
 
 
 @dataclass(frozen=True, slots=True)
 class ReadDemandTimer:
-    """The fleet's demand of a customer in a period can be read from the counter."""
+    """Read the whole fleet's demand for a customer in a period from the counter."""
 
     customer: str
     period: int
@@ -80,20 +80,21 @@
 
 
 def decode_timer(text: str) -> Timer:
-    """Return the timer of a text that `encode_timer` wrote; ValueError names any other text."""
+    """Return the timer that `encode_timer` has encoded; ValueError for any other text."""
     if text == POLL_ENDPOINTS_TEXT:
         return PollEndpointsTimer()
-    kind, rest = text[:1], text[1:]
-    number, _, owner = rest.partition(" ")
+    kind = text[:1]
+    value = text[1:]
+    number, _, owner = value.partition(" ")
     match kind:
         case "o":
             return LateAttemptTimer(int(owner), int(number))
         case "h":
-            return QueueTimeoutTimer(int(rest))
+            return QueueTimeoutTimer(int(value))
         case "r":
-            return ReleaseQueueTimer(rest)
+            return ReleaseQueueTimer(value)
         case "c":
-            return ReportDemandTimer(rest)
+            return ReportDemandTimer(value)
         case "d":
             return ReadDemandTimer(owner, int(number))
     raise ValueError(f"unknown timer {text!r}")
--- a/quota_gateway/simulator/__init__.py
+++ b/quota_gateway/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions on the simulator's wire."""
+"""Runs the decisions under the simulator, over lines of text."""
