--- a/tests/test_gateway_process.py
+++ b/tests/test_gateway_process.py
@@ -1,8 +1,9 @@
-"""The program itself: its configuration, its stop on SIGTERM, and its life with few descriptors."""
+"""The program itself: its configuration, SIGTERM, SIGHUP, and few file descriptors."""
 
 from __future__ import annotations
 
 import asyncio
+import contextlib
 import json
 import os
 import pathlib
@@ -28,16 +29,23 @@
 RUN = os.environ.get("GATEWAY_RUN") or f"exec {shlex.quote(sys.executable)} -m quota_gateway"
 
 
-def start(path: str | None) -> subprocess.CompletedProcess[str]:
-    env = {k: v for k, v in os.environ.items() if not k.startswith("RELAY_")}
+def run_gateway(path: str | None) -> subprocess.CompletedProcess[str]:
+    """Run the program with this configuration file until it ends."""
+    environment = {name: value for name, value in os.environ.items() if not name.startswith("RELAY_")}
     if path is not None:
-        env["RELAY_CONFIG"] = path
+        environment["RELAY_CONFIG"] = path
     return subprocess.run(
-        ["/bin/sh", "-c", RUN], cwd=ROOT, env=env, text=True, capture_output=True, timeout=60, check=False
+        ["/bin/sh", "-c", RUN],
+        cwd=ROOT,
+        env=environment,
+        text=True,
+        capture_output=True,
+        timeout=60,
+        check=False,
     )
 
 
-def told() -> dict[str, Any]:
+def valid_configuration() -> dict[str, Any]:
     return {
         "name": "n0",
         "listen": f"{HOST}:1",
@@ -51,7 +59,7 @@
 
 
 @pytest.mark.parametrize(
-    ("key", "wrong"),
+    ("key", "invalid"),
     [
         ("listen", None),
         ("listen", "nowhere"),
@@ -64,46 +72,54 @@
         ("limits", {"sockets": 3}),
     ],
 )
-def test_a_wrong_configuration_is_told_in_one_line(key: str, wrong: Any, tmp_path: pathlib.Path) -> None:
-    text = told()
-    if wrong is None:
-        del text[key]
+def test_an_invalid_configuration_is_reported_in_one_line(
+    key: str, invalid: Any, tmp_path: pathlib.Path
+) -> None:
+    content = valid_configuration()
+    if invalid is None:
+        del content[key]
     else:
-        text[key] = wrong
+        content[key] = invalid
     path = tmp_path / "config.json"
-    path.write_text(json.dumps(text))
-    done = start(str(path))
-    assert done.returncode == 2 and len(done.stderr.splitlines()) == 1 and not done.stdout
+    path.write_text(json.dumps(content))
+    completed = run_gateway(str(path))
+    assert completed.returncode == 2
+    assert len(completed.stderr.splitlines()) == 1
+    assert not completed.stdout
 
 
-def test_no_configuration_is_told_in_one_line(tmp_path: pathlib.Path) -> None:
+def test_a_missing_or_unreadable_configuration_is_reported_in_one_line(tmp_path: pathlib.Path) -> None:
     broken = tmp_path / "broken.json"
     broken.write_text("{")
     for path in (None, "", str(tmp_path / "none.json"), str(broken), str(tmp_path)):
-        done = start(path)
-        assert done.returncode == 2 and len(done.stderr.splitlines()) == 1
+        completed = run_gateway(path)
+        assert completed.returncode == 2
+        assert len(completed.stderr.splitlines()) == 1
 
 
 @asynccontextmanager
 async def process(
-    tmp_path: pathlib.Path, descriptors: int = 0, pinned: bool = False, console: bool = False
+    tmp_path: pathlib.Path, descriptors: int = 0, override_discovery: bool = False, console: bool = False
 ) -> AsyncIterator[tuple[GatewayHarness, Any]]:
-    """The program as a process of its own, with the peers in this one; it knows the first backend."""
-    bed = GatewayHarness(2 if console else 1)
-    for peer in (*bed.backends, bed.discovery, bed.counter):
+    """Run the program in a process of its own, with its peers in this one; it knows the first backend.
+
+    `descriptors` limits the process, `override_discovery` gives it discovery's address by the environment as
+    well, `console` gives it an admin server.
+    """
+    harness = GatewayHarness(2 if console else 1)
+    peers = (*harness.backends, harness.discovery, harness.counter)
+    for peer in peers:
         await peer.start()
-    environ = {"RELAY_DISCOVERY": bed.discovery.address} if pinned else {}
-    bed.discovery.entries = {"b0": bed.discovery.entry("b0", bed.backends[0].address)}
-    with socket.socket() as probe, socket.socket() as other:
-        probe.bind((HOST, 0))
-        other.bind((HOST, 0))
-        bed.port, bed.admin_port = probe.getsockname()[1], other.getsockname()[1]
+    environment = {"RELAY_DISCOVERY": harness.discovery.address} if override_discovery else {}
+    harness.discovery.entries = {"b0": harness.discovery.entry("b0", harness.backends[0].address)}
+    harness.port, harness.admin_port = free_ports()
     if console:
-        environ["RELAY_CONSOLE"] = f"{HOST}:{bed.admin_port}"
+        environment["RELAY_CONSOLE"] = f"{HOST}:{harness.admin_port}"
     path = tmp_path / "config.json"
-    path.write_text(json.dumps({**bed.configuration(roomy_settings(), 1024), "listen": f"{HOST}:{bed.port}"}))
+    content = {**harness.configuration(roomy_settings(), 1024), "listen": f"{HOST}:{harness.port}"}
+    path.write_text(json.dumps(content))
 
-    def limit() -> None:
+    def limit_descriptors() -> None:
         if descriptors:
             resource.setrlimit(resource.RLIMIT_NOFILE, (descriptors, descriptors))
 
@@ -112,54 +128,74 @@
         "-c",
         RUN,
         cwd=ROOT,
-        env={**os.environ, "RELAY_CONFIG": str(path), **environ},
-        preexec_fn=limit,
+        env={**os.environ, "RELAY_CONFIG": str(path), **environment},
+        preexec_fn=limit_descriptors,
         stderr=asyncio.subprocess.PIPE,
     )
     try:
-        await until_ready(bed)
-        yield bed, child
+        await until_ready(harness)
+        yield harness, child
     finally:
         if child.returncode is None:
             child.kill()
         await child.communicate()
-        for peer in (*bed.backends, bed.discovery, bed.counter):
+        for peer in peers:
             await peer.stop()
 
 
-async def until_ready(bed: GatewayHarness) -> None:
+def free_ports() -> tuple[int, int]:
+    """Return two ports that nothing listens on."""
+    with socket.socket() as first, socket.socket() as second:
+        first.bind((HOST, 0))
+        second.bind((HOST, 0))
+        return first.getsockname()[1], second.getsockname()[1]
+
+
+async def until_ready(harness: GatewayHarness) -> None:
+    """Wait until the gateway says that it is ready."""
     async with asyncio.timeout(SOON):
         while True:
-            try:
-                client = await bed.client()
+            with contextlib.suppress(OSError, asyncio.IncompleteReadError):
+                client = await harness.client()
                 if (await client.ask(READY))[0] == 200:
-                    return client.writer.close()
-            except (OSError, asyncio.IncompleteReadError):
-                pass
+                    client.writer.close()
+                    return
             await asyncio.sleep(0.01)
 
 
-def test_sigterm_answers_all_that_was_taken_and_ends_well(tmp_path: pathlib.Path) -> None:
+async def until_draining(harness: GatewayHarness) -> None:
+    """Wait until SIGTERM has reached the gateway, which then says that it is not ready."""
+    while True:
+        client = await harness.client()
+        status, headers, _ = await client.ask(READY)
+        if status != 200:
+            assert status == 503
+            assert headers["connection"] == "close"
+            return
+
+
+def test_sigterm_lets_every_request_have_its_response_and_exits_cleanly(tmp_path: pathlib.Path) -> None:
     async def test() -> None:
-        async with process(tmp_path) as (bed, child):
-            free = asyncio.Event()
-            bed.backends[0].script = [serve_after(free)]
-            held, kept = await bed.client(), await bed.client()
-            assert (await kept.ask(READY))[0] == 200
-            held.send(request(1))
-            await bed.backends[0].until(lambda: len(bed.backends[0].seen) == 1)
+        async with process(tmp_path) as (harness, child):
+            backend_released = asyncio.Event()
+            harness.backends[0].script = [serve_after(backend_released)]
+            waiting_client = await harness.client()
+            idle_client = await harness.client()
+            assert (await idle_client.ask(READY))[0] == 200
+            waiting_client.send(request(1))
+            await harness.backends[0].until(lambda: len(harness.backends[0].seen) == 1)
             child.send_signal(signal.SIGTERM)
-            status = 200
-            while status == 200:  # until the signal has come through
-                new = await bed.client()
-                status, headers, _ = await new.ask(READY)
-            assert status == 503 and headers["connection"] == "close"
-            new = await bed.client()  # still taken in, and a kept connection is still good
-            status, headers, _ = await new.ask(request(2))
-            assert status == 200 and headers["connection"] == "close" and await new.closed()
-            assert (await kept.ask(request(3)))[0] == 200 and await kept.closed()
-            free.set()
-            assert (await held.answer())[0] == 200 and await held.closed()
+            await until_draining(harness)
+            new_client = await harness.client()  # new and idle connections are still served
+            status, headers, _ = await new_client.ask(request(2))
+            assert status == 200
+            assert headers["connection"] == "close"
+            assert await new_client.closed()
+            assert (await idle_client.ask(request(3)))[0] == 200
+            assert await idle_client.closed()
+            backend_released.set()
+            assert (await waiting_client.answer())[0] == 200
+            assert await waiting_client.closed()
             async with asyncio.timeout(SOON):
                 assert await child.wait() == 0
             assert await child.stderr.read() == b""
@@ -167,53 +203,51 @@
     run(test)
 
 
-def test_more_clients_than_descriptors_are_all_answered(tmp_path: pathlib.Path) -> None:
-    # the loop's own server closes a connection that it has no descriptor for, with the request on it
+def test_more_clients_than_descriptors_all_have_a_response(tmp_path: pathlib.Path) -> None:
+    # asyncio's own server closes a connection that it has no descriptor for, with the request on it
     async def test() -> None:
-        async with process(tmp_path, descriptors=40) as (bed, child):
-            clients = [await bed.client() for _ in range(60)]
+        async with process(tmp_path, descriptors=40) as (harness, child):
+            clients = [await harness.client() for _ in range(60)]
             for client in clients:
                 client.send(READY)
 
-            async def answered(client: Client) -> int:
+            async def status_of(client: Client) -> int:
                 status, _, _ = await client.answer()
                 client.writer.close()
                 return status
 
-            assert await asyncio.gather(*(answered(c) for c in clients)) == [200] * 60
-            assert (await (await bed.client()).ask(request(1)))[0] == 200
+            assert await asyncio.gather(*(status_of(client) for client in clients)) == [200] * 60
+            assert (await (await harness.client()).ask(request(1)))[0] == 200
             assert child.returncode is None
 
     run(test)
 
 
-@pytest.mark.parametrize("pinned", [False, True])
-def test_sighup_moves_discovery_and_counter_to_where_the_file_says_now(
-    tmp_path: pathlib.Path, pinned: bool
+@pytest.mark.parametrize("override_discovery", [False, True])
+def test_sighup_moves_discovery_and_counter_to_the_addresses_in_the_file(
+    tmp_path: pathlib.Path, override_discovery: bool
 ) -> None:
-    # without a handler the signal ends the process, with all that it has taken
+    # without a handler the signal ends the process, with all requests in flight
     async def test() -> None:
-        async with process(tmp_path, pinned=pinned) as (bed, child):
+        async with process(tmp_path, override_discovery=override_discovery) as (harness, child):
             path = tmp_path / "config.json"
-            text = json.loads(path.read_text())
-            client = await bed.client()
+            content = json.loads(path.read_text())
+            client = await harness.client()
             path.write_text("{")
             child.send_signal(signal.SIGHUP)
             async with asyncio.timeout(SOON):
                 assert b"keeping the current configuration" in await child.stderr.readline()
             assert (await client.ask(request(1)))[0] == 200
-            discovery, counter = FakeDiscovery(), FakeCounter()
+            discovery = FakeDiscovery()
+            counter = FakeCounter()
             await discovery.start()
             await counter.start()
-            discovery.entries = bed.discovery.entries
-            path.write_text(json.dumps({**text, "discovery": discovery.address, "counter": counter.address}))
+            discovery.entries = harness.discovery.entries
+            content |= {"discovery": discovery.address, "counter": counter.address}
+            path.write_text(json.dumps(content))
             child.send_signal(signal.SIGHUP)
-            await discovery.until_asked(2)  # its whole list was taken in
-            number = 1
-            async with asyncio.timeout(SOON):
-                while not counter.calls:
-                    number += 1
-                    await client.ask(request(number, plan="pro", units="8"))  # near its quota: worth counting
+            await discovery.until_asked(2)  # its full list was applied
+            await until_counted(client, counter)
             assert child.returncode is None
             child.terminate()
             async with asyncio.timeout(SOON):
@@ -225,11 +259,22 @@
     run(test)
 
 
-def test_the_build_leaves_bytecode_that_a_run_could_not_write(tmp_path: pathlib.Path) -> None:
+async def until_counted(client: Client, counter: FakeCounter) -> None:
+    """Send requests until the counter is called, which is once the customer is near its quota."""
+    number = 1
+    async with asyncio.timeout(SOON):
+        while not counter.calls:
+            number += 1
+            await client.ask(request(number, plan="pro", units="8"))
+
+
+def test_the_build_compiles_every_module(tmp_path: pathlib.Path) -> None:
     (tmp_path / ".venv").symlink_to(ROOT / ".venv")
-    copied = tmp_path / "quota_gateway"
-    shutil.copytree(ROOT / "quota_gateway", copied, ignore=shutil.ignore_patterns("__pycache__"))
+    copy = tmp_path / "quota_gateway"
+    shutil.copytree(ROOT / "quota_gateway", copy, ignore=shutil.ignore_patterns("__pycache__"))
     build = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["build"]
     subprocess.run(["sh", "-c", build], cwd=tmp_path, check=True)
-    sources = sorted((tmp_path / "quota_gateway").rglob("*.py"))
-    assert sources and all(list((s.parent / "__pycache__").glob(f"{s.stem}.*.pyc")) for s in sources)
+    sources = sorted(copy.rglob("*.py"))
+    assert sources
+    for source in sources:
+        assert list((source.parent / "__pycache__").glob(f"{source.stem}.*.pyc"))
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -1,8 +1,9 @@
-"""The end after SIGTERM: what is taken on any connection that stayed open has its answer in time."""
+"""Graceful shutdown: requests on any connection that is still open have their responses in time."""
 
 from __future__ import annotations
 
 import asyncio
+from collections.abc import Callable
 
 import pytest
 
@@ -14,121 +15,132 @@
 
 
 @pytest.fixture(autouse=True)
-def at_once(monkeypatch: pytest.MonkeyPatch) -> None:
+def no_waits_for_late_bytes(monkeypatch: pytest.MonkeyPatch) -> None:
     for name in ("FINAL_READ_WINDOW", "READ_INTERVAL"):
         monkeypatch.setattr(f"quota_gateway.shutdown.{name}", 0.0)
 
 
-@pytest.mark.parametrize("deadline", [0.8, 1.5, 2.5, 3.0, 8.0])
-def test_all_is_answered_before_the_earliest_kill(deadline: float) -> None:
-    # it comes 0.7 s past the longest deadline, which counts as 3 s at most
-    async def test() -> None:
-        env = roomy_settings()
-        for klass in env["services"]:
-            klass.update(deadline=1000.0 * deadline, aim=300.0)
-        program = GatewayProcess(
-            build_configuration(
-                GatewayHarness(0).configuration(env, 1024)
-                | {"discovery": "127.0.0.1:1", "counter": "127.0.0.1:1"},
-                {},
-            )
-        )
-        assert min(deadline, 3.0) < program.answer_timeout < min(deadline, 3.0) + 0.7 - FLUSH_TIMEOUT
-        program.listener.close()
-        program.pool.close()
+async def until(condition: Callable[[], bool]) -> None:
+    """Let the event loop run until the condition holds."""
+    while True:
+        if condition():
+            return
+        await asyncio.sleep(0)
 
-    run(test)
 
+async def begin_shutdown(harness: GatewayHarness) -> asyncio.Task[None]:
+    """Begin the shutdown of the gateway, and return its task once idle connections were closed first."""
+    listener = harness.process.listener
+    close_idle = listener.close_idle
+    idle_closed = asyncio.Event()
 
-async def stopping(bed: GatewayHarness) -> tuple[asyncio.Task[None], asyncio.Event]:
-    """Begins the end; the event is set once the first idle connections have been closed."""
-    front, closed = bed.process.listener, asyncio.Event()
-    close_idle = front.close_idle
-
-    def listen() -> None:
+    def close_idle_and_notify() -> None:
         close_idle()
-        closed.set()
+        idle_closed.set()
+
+    listener.close_idle = close_idle_and_notify  # type: ignore[method-assign]
+    task = asyncio.get_running_loop().create_task(harness.process.stop(0.0, 8.0))
+    await idle_closed.wait()
+    return task
 
-    front.close_idle = listen  # type: ignore[method-assign]
-    return asyncio.get_running_loop().create_task(bed.process.stop(0.0, 8.0)), closed
+
+@pytest.mark.parametrize("deadline", [0.8, 1.5, 2.5, 3.0, 8.0])
+def test_every_request_has_its_response_before_the_earliest_sigkill(deadline: float) -> None:
+    # SIGKILL comes 0.7 s past the longest deadline, which counts as 3 s at most
+    async def test() -> None:
+        settings = roomy_settings()
+        for request_class in settings["services"]:
+            request_class.update(deadline=1000.0 * deadline, aim=300.0)
+        content = GatewayHarness(0).configuration(settings, 1024)
+        content |= {"discovery": "127.0.0.1:1", "counter": "127.0.0.1:1"}
+        process = GatewayProcess(build_configuration(content, {}))
+        earliest_deadline = min(deadline, 3.0)
+        assert earliest_deadline < process.answer_timeout < earliest_deadline + 0.7 - FLUSH_TIMEOUT
+        process.listener.close()
+        process.pool.close()
+
+    run(test)
 
 
-@pytest.mark.parametrize("cut", [20, len(request(1)) - 1])
-def test_a_request_half_read_when_idle_connections_close_is_answered(cut: int) -> None:
-    # with nothing else unanswered the process ended at once, and the request's rest came to a reset
+@pytest.mark.parametrize("received", [20, len(request(1)) - 1])
+def test_a_request_partly_read_when_idle_connections_close_is_served(received: int) -> None:
+    # with no other request in flight the process used to end at once, and reset the connection
     async def test() -> None:
-        async with running() as bed:
-            client = await bed.client()
-            client.send(request(1)[:cut])
-            front = bed.process.listener
-            while not any(c.in_request for c in front.connections):
-                await asyncio.sleep(0)
-            task, closed = await stopping(bed)
-            await closed.wait()
-            client.send(request(1)[cut:])
+        async with running() as harness:
+            client = await harness.client()
+            client.send(request(1)[:received])
+            connections = harness.process.listener.connections
+            await until(lambda: any(connection.in_request for connection in connections))
+            shutdown = await begin_shutdown(harness)
+            client.send(request(1)[received:])
             status, headers, _ = await client.answer()
-            assert (status, headers["connection"]) == (200, "close") and await client.closed()
+            assert status == 200
+            assert headers["connection"] == "close"
+            assert await client.closed()
             client.writer.close()
-            await task
+            await shutdown
 
     run(test)
 
 
-def test_pipelined_requests_that_come_while_a_backend_hangs_are_all_answered() -> None:
+def test_pipelined_requests_that_arrive_while_a_backend_hangs_are_all_served() -> None:
     async def test() -> None:
-        free = asyncio.Event()
-        async with running() as bed:
-            bed.backends[0].script = [serve_after(free)]
-            client = await bed.client()
+        backend_released = asyncio.Event()
+        async with running() as harness:
+            harness.backends[0].script = [serve_after(backend_released)]
+            client = await harness.client()
             client.send(request(1))
-            await bed.backends[0].until(lambda: len(bed.seen()) == 1)
-            task, closed = await stopping(bed)
-            await closed.wait()
+            await harness.backends[0].until(lambda: len(harness.seen()) == 1)
+            shutdown = await begin_shutdown(harness)
             client.send(request(2) + request(3)[:30])
-            while len(bed.process.dispatcher.active_requests) < 2:
-                await asyncio.sleep(0)
-            free.set()
+            await until(lambda: len(harness.process.dispatcher.active_requests) >= 2)
+            backend_released.set()
             assert [(await client.answer())[0] for _ in range(2)] == [200, 200]
             client.send(request(3)[30:])
             status, headers, _ = await client.answer()
-            assert (status, headers["connection"]) == (200, "close") and await client.closed()
+            assert status == 200
+            assert headers["connection"] == "close"
+            assert await client.closed()
             client.writer.close()
-            await task
+            await shutdown
 
     run(test)
 
 
-def test_a_backend_that_hangs_to_the_end_costs_its_request_an_error_and_no_silence() -> None:
+def test_a_request_whose_backend_hangs_to_the_end_is_failed_with_a_response() -> None:
     async def test() -> None:
-        async with running() as bed:
+        async with running() as harness:
 
-            def never(writer: asyncio.StreamWriter, asked: Asked) -> None:
+            def never_respond(writer: asyncio.StreamWriter, asked: Asked) -> None:
                 pass
 
-            bed.backends[0].script = [never]
-            client = await bed.client()
+            harness.backends[0].script = [never_respond]
+            client = await harness.client()
             client.send(request(1, "extract"))
-            await bed.backends[0].until(lambda: len(bed.seen()) == 1)
-            await bed.process.stop(0.0, 0.0)
-            assert (await client.answer())[0] == 504 and await client.closed()
-            assert len(bed.seen()) == 1
+            await harness.backends[0].until(lambda: len(harness.seen()) == 1)
+            await harness.process.stop(0.0, 0.0)
+            assert (await client.answer())[0] == 504
+            assert await client.closed()
+            assert len(harness.seen()) == 1
 
     run(test)
 
 
-def test_all_that_wait_in_the_listener_s_queue_are_taken_in_however_many() -> None:
+def test_every_connection_in_the_listen_queue_is_accepted_however_many() -> None:
     async def test() -> None:
-        async with running(sockets=1024) as bed:
-            front, clients = bed.process.listener, list[Client]()
-            assert front.listener is not None
-            front.loop.remove_reader(front.listener)
-            front.listener.listen(256)
-            for number in range(100):  # more than are taken in at one go
-                client = await bed.client()
+        async with running(sockets=1024) as harness:
+            listener = harness.process.listener
+            assert listener.listener is not None
+            listener.loop.remove_reader(listener.listener)
+            listener.listener.listen(256)
+            clients: list[Client] = []
+            for number in range(100):  # more than are accepted in one iteration of the event loop
+                client = await harness.client()
                 client.send(request(number))
                 clients.append(client)
-            await bed.process.stop(0.0, 8.0)
+            await harness.process.stop(0.0, 8.0)
             statuses = [(await client.answer())[0] for client in clients]
-            assert set(statuses) <= {200, 429} and statuses.count(200) >= 4
+            assert set(statuses) <= {200, 429}
+            assert statuses.count(200) >= 4
 
     run(test)
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The README's example runs as printed."""
+"""The example in the README prints what the README says."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 README = (pathlib.Path(__file__).parent.parent / "README.md").read_text()
 
 
-def test_example_prints_what_the_readme_says() -> None:
+def test_the_example_prints_what_the_readme_says() -> None:
     code = README.split("```python\n")[1].split("```")[0]
-    said = README.split("It prints\n\n")[1].split("\n\n")[0]
-    out = io.StringIO()
-    with contextlib.redirect_stdout(out):
+    expected = README.split("It prints\n\n")[1].split("\n\n")[0]
+    printed = io.StringIO()
+    with contextlib.redirect_stdout(printed):
         exec(compile(code, "README", "exec"), {"__name__": "readme"})
-    assert out.getvalue().splitlines() == [line.strip() for line in said.splitlines()]
+    assert printed.getvalue().splitlines() == [line.strip() for line in expected.splitlines()]
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter over real text frames."""
+"""The simulator's adapter, over batches as the simulator writes them."""
 
 from __future__ import annotations
 
@@ -13,31 +13,35 @@
 
 from quota_gateway.configuration.settings_reader import read_settings
 from quota_gateway.errors import SettingsError, SimulatorProtocolError
+from quota_gateway.policy.engine import PolicyEngine
 from quota_gateway.simulator.adapter import serve
 from quota_gateway.simulator.host import SimulatorHost
 
-HERE = pathlib.Path(__file__).parent
-FRAMES = (HERE / "batch.txt").read_text()
+TESTS = pathlib.Path(__file__).parent
+BATCHES = (TESTS / "batch.txt").read_text()
+START_LINE = next(line for line in BATCHES.splitlines() if line.startswith("up\t"))
 
 
-def env() -> dict[str, Any]:
-    line = next(x for x in FRAMES.splitlines() if x.startswith("up\t"))
-    loaded: dict[str, Any] = json.loads(line.split("\t", 2)[2])
+def settings_object() -> dict[str, Any]:
+    """Return the settings that the first instance is started with."""
+    _, _, text = START_LINE.split("\t", 2)
+    loaded: dict[str, Any] = json.loads(text)
     return loaded
 
 
-def play(text: str) -> str:
+def reply_to(text: str) -> str:
+    """Return what the adapter writes for this input."""
     sink = io.StringIO()
     serve(io.StringIO(text), sink)
     return sink.getvalue()
 
 
-def test_frames_are_answered_as_written() -> None:
-    assert play(FRAMES) == (HERE / "batch.reply.txt").read_text()
+def test_the_reply_to_recorded_batches_is_unchanged() -> None:
+    assert reply_to(BATCHES) == (TESTS / "batch.reply.txt").read_text()
 
 
-def test_same_events_same_actions() -> None:
-    assert play(FRAMES) == play(FRAMES)
+def test_the_same_events_lead_to_the_same_actions() -> None:
+    assert reply_to(BATCHES) == reply_to(BATCHES)
 
 
 @pytest.mark.parametrize(
@@ -54,32 +58,32 @@
         "frame\t1\nabout\t0\nup\t1\t{bad\ngo\n",
     ],
 )
-def test_malformed_input_is_told(text: str) -> None:
+def test_malformed_input_is_an_error(text: str) -> None:
     with pytest.raises(SimulatorProtocolError):
-        play(text)
+        reply_to(text)
 
 
-def test_malformed_input_ends_with_one_plain_line() -> None:
+def test_malformed_input_is_reported_in_one_line() -> None:
     command = [sys.executable, "-m", "quota_gateway.simulator.adapter"]
-    done = subprocess.run(
-        command, input="rubbish\n", text=True, capture_output=True, cwd=HERE.parent, check=False
+    completed = subprocess.run(
+        command, input="rubbish\n", text=True, capture_output=True, cwd=TESTS.parent, check=False
     )
-    assert done.returncode != 0 and done.stdout == ""
-    assert len(done.stderr.strip().splitlines()) == 1 and "malformed" in done.stderr
+    assert completed.returncode == 2
+    assert completed.stdout == ""
+    assert len(completed.stderr.strip().splitlines()) == 1
+    assert "malformed" in completed.stderr
 
 
-def test_an_exception_goes_out_as_crash(monkeypatch: pytest.MonkeyPatch) -> None:
-    from quota_gateway.policy.engine import PolicyEngine
-
+def test_an_exception_of_the_decisions_is_written_as_a_crash(monkeypatch: pytest.MonkeyPatch) -> None:
     def fail(*_: object) -> None:
         raise RuntimeError("it broke")
 
     monkeypatch.setattr(PolicyEngine, "handle", fail)
-    assert "crash\tRuntimeError: it broke" in play(FRAMES)
+    assert "crash\tRuntimeError: it broke" in reply_to(BATCHES)
 
 
 @pytest.mark.parametrize(
-    ("part", "key"),
+    ("section", "key"),
     [
         (None, "limits"),
         (None, "services"),
@@ -88,23 +92,23 @@
         ("domain", "counter"),
     ],
 )
-def test_missing_keys_are_named(part: str | None, key: str) -> None:
-    bad = env()
-    del (bad[part] if part else bad)[key]
+def test_a_missing_setting_is_named(section: str | None, key: str) -> None:
+    incomplete = settings_object()
+    del (incomplete[section] if section else incomplete)[key]
     with pytest.raises(SettingsError, match=key) as raised:
-        read_settings(bad)
+        read_settings(incomplete)
     assert raised.value.setting == key
 
 
-def test_unknown_keys_are_passed_over() -> None:
-    more = env()
-    more["new"] = more["limits"]["new"] = 1
-    assert read_settings(more) == read_settings(env())
+def test_unknown_settings_are_ignored() -> None:
+    extended = settings_object()
+    extended["new"] = 1
+    extended["limits"]["new"] = 1
+    assert read_settings(extended) == read_settings(settings_object())
 
 
-def test_instances_share_nothing() -> None:
+def test_instances_are_independent() -> None:
     host = SimulatorHost()
-    up = next(x for x in FRAMES.splitlines() if x.startswith("up\t"))
-    host.handle_batch(1.0, ["about\t0", up, "about\t1", up])
+    host.handle_batch(1.0, ["about\t0", START_LINE, "about\t1", START_LINE])
     host.handle_batch(1.1, ["about\t1", "retire"])
     assert list(host.engines) == [0]
