--- a/quota_gateway/__main__.py
+++ b/quota_gateway/__main__.py
@@ -16,7 +16,7 @@
 
 
 async def serve(configuration: Configuration) -> None:
-    """Run one gateway in the current event loop until it is told to stop by a signal."""
+    """Run one gateway in the current event loop until a signal stops it."""
     await GatewayProcess(configuration).run()
 
 
--- a/quota_gateway/configuration/file.py
+++ b/quota_gateway/configuration/file.py
@@ -33,9 +33,9 @@
 
     name: str
     listen_address: tuple[str, int]  # for clients
-    discovery: tuple[str, int]
-    file_discovery: tuple[str, int] | None  # the address in the file, also where the environment overrides it
-    counter: tuple[str, int] | None  # None: the settings do without the counter service
+    discovery_address: tuple[str, int]
+    file_discovery_address: tuple[str, int] | None  # in the file, also where the environment overrides it
+    counter_address: tuple[str, int] | None  # None: the settings do without the counter service
     admin_address: tuple[str, int] | None  # None: no admin server
     listen_descriptor: int | None  # of a listening socket for clients that the platform passes on
     shared_folder: str | None  # common to the processes of a hot restart
@@ -76,9 +76,9 @@
     return Configuration(
         name=str(environment.get(NAME_VARIABLE) or content["name"]),
         listen_address=read_address(environment.get(LISTEN_VARIABLE) or content["listen"]),
-        discovery=read_address(environment.get(DISCOVERY_VARIABLE) or content["discovery"]),
-        file_discovery=read_address(content["discovery"]) if "discovery" in content else None,
-        counter=read_address(content["counter"]) if settings.counter_enabled else None,
+        discovery_address=read_address(environment.get(DISCOVERY_VARIABLE) or content["discovery"]),
+        file_discovery_address=read_address(content["discovery"]) if "discovery" in content else None,
+        counter_address=read_address(content["counter"]) if settings.counter_enabled else None,
         admin_address=read_address(admin_address) if admin_address else None,
         listen_descriptor=int(listen_descriptor) if listen_descriptor else None,
         shared_folder=environment.get(SHARED_FOLDER_VARIABLE) or None,
--- a/quota_gateway/configuration/reload.py
+++ b/quota_gateway/configuration/reload.py
@@ -63,4 +63,4 @@
 
 def reloadable_addresses(configuration: Configuration) -> ReloadableAddresses:
     """Return the addresses that a reload compares."""
-    return ReloadableAddresses(configuration.file_discovery, configuration.counter)
+    return ReloadableAddresses(configuration.file_discovery_address, configuration.counter_address)
--- a/quota_gateway/gateway_process.py
+++ b/quota_gateway/gateway_process.py
@@ -21,7 +21,7 @@
 from quota_gateway.hot_restart.coordinator import HotRestartCoordinator
 from quota_gateway.model.charges import UnitsCharged
 from quota_gateway.policy.engine import PolicyEngine
-from quota_gateway.shutdown import ACCEPT_WINDOW, GracefulShutdown, answer_timeout_for
+from quota_gateway.shutdown import ACCEPT_WINDOW, GracefulShutdown, shutdown_timeout_for
 from quota_gateway.sockets.listening import bind, inherit
 from quota_gateway.upstream.connection_pool import ConnectionPool
 
@@ -56,7 +56,7 @@
         self.endpoint_list_settled = False  # it is from discovery, or as good as can be had at the start
         # discovery's agent is local: one that takes longer than a connect is overloaded, and clients wait
         self.first_list_timeout = min(MAX_FIRST_LIST_TIMEOUT, limits.connect_timeout)
-        self.answer_timeout = answer_timeout_for(settings)
+        self.shutdown_timeout = shutdown_timeout_for(settings)
         self.pool = ConnectionPool(
             clock, limits.connect_timeout, limits.keepalive_timeout, descriptors.upstream
         )
@@ -81,11 +81,11 @@
     def _create_counter(
         self, configuration: Configuration, clock: Callable[[], float]
     ) -> CounterClient | None:
-        if configuration.counter is None:
+        if configuration.counter_address is None:
             return None
         return CounterClient(
             clock,
-            configuration.counter,
+            configuration.counter_address,
             configuration.settings.counter_timeout,
             configuration.connection_limits.connect_timeout,
             self.dispatcher.handle_counter_reply,
@@ -96,7 +96,7 @@
         limits = configuration.connection_limits
         known = configuration.known_endpoints
         return DiscoveryClient(
-            configuration.discovery,
+            configuration.discovery_address,
             limits.connect_timeout,
             self.dispatcher.apply_endpoint_update,
             known.generation if known.entries else None,
@@ -196,19 +196,19 @@
             log.warning("the admin server can't listen on %s:%d: %s", *self.admin_address, error.strerror)
 
     async def _wait_for_first_list(self) -> None:
-        """Wait for discovery's first answer; without one in time the cached endpoint list has to do."""
+        """Wait for discovery's first answer; without one in time the cached endpoint list is used."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(self.first_list_timeout):
                 await self.discovery.answered.wait()
 
-    async def stop(self, accept_window: float = ACCEPT_WINDOW, answer_timeout: float | None = None) -> None:
+    async def stop(self, accept_window: float = ACCEPT_WINDOW, shutdown_timeout: float | None = None) -> None:
         """Shut down gracefully: every request that was received has its response, then all parts close.
 
-        `answer_timeout` is in seconds and by default what the settings allow for before SIGKILL.
+        Both times are in seconds; `shutdown_timeout` is by default what the settings leave before SIGKILL.
         """
-        if answer_timeout is None:
-            answer_timeout = self.answer_timeout
-        await GracefulShutdown(self.listener, self.dispatcher, answer_timeout).run(accept_window)
+        if shutdown_timeout is None:
+            shutdown_timeout = self.shutdown_timeout
+        await GracefulShutdown(self.listener, self.dispatcher, shutdown_timeout).run(accept_window)
         self._close()
 
     def _close(self) -> None:
--- a/quota_gateway/model/events.py
+++ b/quota_gateway/model/events.py
@@ -27,7 +27,7 @@
     first_gateway: int  # index of the first of them
     is_retry: bool  # by the client
     client_timeout: float = 0.0  # that the client waits after sending; 0: until the deadline
-    # the rest of a long body is still to come: the deadline is set by RequestBodyReceived
+    # a long body is not complete yet: RequestBodyReceived sets the deadline
     body_incomplete: bool = False
 
 
--- a/quota_gateway/model/timers.py
+++ b/quota_gateway/model/timers.py
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadDemandTimer:
-    """Read the whole fleet's demand for a customer in a period from the counter."""
+    """Read the fleet's demand for a customer in a period from the counter."""
 
     customer: str
     period: int
--- a/quota_gateway/shutdown.py
+++ b/quota_gateway/shutdown.py
@@ -17,7 +17,7 @@
 FLUSH_TIMEOUT = 0.25  # seconds for clients to receive the last responses
 
 
-def answer_timeout_for(settings: Settings) -> float:
+def shutdown_timeout_for(settings: Settings) -> float:
     """Return the seconds from SIGTERM by which every request must have its response."""
     longest_deadline = max(request_class.deadline for request_class in settings.request_classes)
     return min(longest_deadline, MAX_DEADLINE) + KILL_DELAY - KILL_MARGIN
@@ -26,13 +26,11 @@
 class GracefulShutdown:
     """Stops accepting clients, and lets every request that was received have its response."""
 
-    def __init__(
-        self, listener: ClientListener, dispatcher: RequestDispatcher, answer_timeout: float
-    ) -> None:
+    def __init__(self, listener: ClientListener, dispatcher: RequestDispatcher, timeout: float) -> None:
         """Take the parts to drain, and the seconds from the start of `run` that requests have."""
         self.listener = listener
         self.dispatcher = dispatcher
-        self.answer_timeout = answer_timeout
+        self.timeout = timeout
         self.loop = asyncio.get_running_loop()
 
     async def run(self, accept_window: float = ACCEPT_WINDOW) -> None:
@@ -40,7 +38,7 @@
 
         After it the listening socket and all client connections are closed.
         """
-        deadline = self.loop.time() + self.answer_timeout
+        deadline = self.loop.time() + self.timeout
         self.listener.stopping = True
         await asyncio.sleep(accept_window)
         await self._stop_listening(deadline)
@@ -69,4 +67,4 @@
             self.listener.close_idle()
             if not self.listener.has_open_connections() or self.loop.time() >= deadline:
                 break
-            await asyncio.sleep(READ_INTERVAL)  # the rest of a request that is partly read may arrive
+            await asyncio.sleep(READ_INTERVAL)  # for the remainder of a request that is partly read
--- a/quota_gateway/simulator/adapter.py
+++ b/quota_gateway/simulator/adapter.py
@@ -6,10 +6,10 @@
 from collections.abc import Iterable
 from typing import TextIO
 
+from quota_gateway.configuration.settings_object import MILLISECONDS_PER_SECOND
 from quota_gateway.errors import SimulatorProtocolError
 from quota_gateway.exit_status import EXIT_INVALID_INPUT, report_fatal_error
 from quota_gateway.simulator.host import MAX_QUOTED_LENGTH, SimulatorHost
-from quota_gateway.simulator.wire import MILLISECONDS_PER_SECOND
 
 BATCH_END = "go"
 REPLY_END = "next"
--- a/quota_gateway/simulator/wire.py
+++ b/quota_gateway/simulator/wire.py
@@ -8,6 +8,7 @@
 from collections.abc import Mapping
 from typing import TypeVar
 
+from quota_gateway.configuration.settings_object import MILLISECONDS_PER_SECOND
 from quota_gateway.configuration.settings_reader import STATUSES
 from quota_gateway.errors import SimulatorProtocolError
 from quota_gateway.model.actions import (
@@ -56,7 +57,6 @@
 TRUE = "1"
 RETRY_FLAG = 2  # bit of a request's flags: the client sends it again
 ENDPOINT_COLUMNS = 8
-MILLISECONDS_PER_SECOND = 1000.0
 MIN_ATTEMPT_TIMEOUT = 0.001  # milliseconds, the finest that the wire has: 0 would be no timeout
 
 EndpointLists = Mapping[int, tuple[Endpoint, ...]]
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -55,7 +55,7 @@
         content |= {"discovery": "127.0.0.1:1", "counter": "127.0.0.1:1"}
         process = GatewayProcess(build_configuration(content, {}))
         earliest_deadline = min(deadline, 3.0)
-        assert earliest_deadline < process.answer_timeout < earliest_deadline + 0.7 - FLUSH_TIMEOUT
+        assert earliest_deadline < process.shutdown_timeout < earliest_deadline + 0.7 - FLUSH_TIMEOUT
         process.listener.close()
         process.pool.close()
 
