--- a/quota_gateway/downstream/client_connection.py
+++ b/quota_gateway/downstream/client_connection.py
@@ -4,7 +4,6 @@
 
 import asyncio
 import logging
-import select
 import socket
 from collections import deque
 from collections.abc import Callable
@@ -15,7 +14,11 @@
 
 from quota_gateway.body_streaming import HELD, MOST_BODY, READ_AT_ONCE, RequestBodyStream
 from quota_gateway.dispatch.dispatcher import ClientRequest, RequestDispatcher
-from quota_gateway.downstream.disconnect_monitor import DisconnectMonitor
+from quota_gateway.downstream.disconnect_monitor import (
+    DisconnectMonitor,
+    has_peer_closed,
+    has_unread_input,
+)
 from quota_gateway.downstream.request_parser import RequestParser
 from quota_gateway.downstream.response_writer import ResponseWriter
 from quota_gateway.errors import InvalidRequestError
@@ -436,9 +439,7 @@
 
     def has_closed(self) -> bool:
         """True if the client has ended its sending, also where the loop has not told of it yet."""
-        poll = select.poll()
-        poll.register(self.descriptor, select.POLLRDHUP)
-        return bool(poll.poll(0))
+        return has_peer_closed(self.descriptor)
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.listener.connections.discard(self)
@@ -476,9 +477,7 @@
 
     def is_quiet(self) -> bool:
         """True if nothing that the client sent waits to be read."""
-        poll = select.poll()
-        poll.register(self.descriptor, select.POLLIN)
-        return not poll.poll(0)
+        return not has_unread_input(self.descriptor)
 
     def part(self, now: float) -> None:
         """While the gateway drains: ends a connection on which nothing was sent, or that has its answers."""
--- a/quota_gateway/downstream/disconnect_monitor.py
+++ b/quota_gateway/downstream/disconnect_monitor.py
@@ -1,53 +1,73 @@
-"""Tells of peers that end while nothing is read from them: the loop tells of an end only where it reads."""
+"""Detection of clients that disconnect while their connection is not read.
+
+An event loop reports the end of a connection only where it reads it.
+"""
 
 from __future__ import annotations
 
 import asyncio
+import contextlib
 import select
 from collections.abc import Callable
 
-ENDS = select.EPOLLRDHUP  # a reset is told of without being asked for
-BROKEN = select.EPOLLHUP | select.EPOLLERR
+PEER_CLOSED_EVENTS = select.EPOLLRDHUP  # a reset is reported without being asked for
+BROKEN_EVENTS = select.EPOLLHUP | select.EPOLLERR
+
+
+def has_peer_closed(descriptor: int) -> bool:
+    """Return True if the peer has ended its sending, also where the loop has not reported it yet."""
+    poll = select.poll()
+    poll.register(descriptor, select.POLLRDHUP)
+    return bool(poll.poll(0))
+
+
+def has_unread_input(descriptor: int) -> bool:
+    """Return True if the kernel holds bytes of the peer, or its end, that have not been read."""
+    poll = select.poll()
+    poll.register(descriptor, select.POLLIN)
+    return bool(poll.poll(0))
 
 
 class DisconnectMonitor:
-    """An epoll set of its own, itself watched by the loop; each descriptor is told of once.
+    """An epoll set that the loop watches; each descriptor is reported once.
 
-    `told` is called with True for a connection that is broken, False for one whose peer only ended its
-    sending, which is also what a close looks like.
+    A callback's argument is True for a broken connection, and False for one whose peer has only ended its
+    sending, which a close looks like too.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
+        """Open the epoll set and add it to the loop's readers."""
         self.loop = loop
         self.epoll = select.epoll()
-        self.watched: dict[int, Callable[[bool], None]] = {}
-        loop.add_reader(self.epoll.fileno(), self.look)
-
-    def watch(self, descriptor: int, told: Callable[[bool], None]) -> None:
-        if descriptor in self.watched:  # of a connection that has ended, and whose number came back
-            self.leave(descriptor)
-        self.watched[descriptor] = told
-        self.epoll.register(descriptor, ENDS)
-
-    def unwatch(self, descriptor: int, told: Callable[[bool], None]) -> None:
-        """The descriptor may be another connection's by now: its watch stays."""
-        if self.watched.get(descriptor) == told:
-            self.leave(descriptor)
-
-    def leave(self, descriptor: int) -> None:
-        del self.watched[descriptor]
-        try:
+        self.callbacks: dict[int, Callable[[bool], None]] = {}
+        loop.add_reader(self.epoll.fileno(), self.handle_events)
+
+    def watch(self, descriptor: int, callback: Callable[[bool], None]) -> None:
+        """Report the end of this connection, once."""
+        if descriptor in self.callbacks:  # of a closed connection whose number was reused
+            self.unregister(descriptor)
+        self.callbacks[descriptor] = callback
+        self.epoll.register(descriptor, PEER_CLOSED_EVENTS)
+
+    def unwatch(self, descriptor: int, callback: Callable[[bool], None]) -> None:
+        """Stop watching, unless the descriptor has become another connection's."""
+        if self.callbacks.get(descriptor) == callback:
+            self.unregister(descriptor)
+
+    def unregister(self, descriptor: int) -> None:
+        """Remove a watched descriptor, also one that is closed and therefore out of the epoll set."""
+        del self.callbacks[descriptor]
+        with contextlib.suppress(OSError):
             self.epoll.unregister(descriptor)
-        except OSError:  # closed, and with that out of the set
-            pass
 
-    def look(self) -> None:
-        for descriptor, what in self.epoll.poll(0):
-            told = self.watched.get(descriptor)
-            self.leave(descriptor) if told is not None else self.epoll.unregister(descriptor)
-            if told is not None:
-                told(bool(what & BROKEN))
+    def handle_events(self) -> None:
+        """Report the connections that have ended."""
+        for descriptor, events in self.epoll.poll(0):
+            callback = self.callbacks[descriptor]
+            self.unregister(descriptor)
+            callback(bool(events & BROKEN_EVENTS))
 
     def close(self) -> None:
+        """Close the epoll set."""
         self.loop.remove_reader(self.epoll.fileno())
         self.epoll.close()
