--- a/quota_gateway/downstream/client_connection.py
+++ b/quota_gateway/downstream/client_connection.py
@@ -14,6 +14,18 @@
 
 from quota_gateway.body_streaming import HELD, MOST_BODY, READ_AT_ONCE, RequestBodyStream
 from quota_gateway.dispatch.dispatcher import ClientRequest, RequestDispatcher
+from quota_gateway.downstream.connection_limits import (
+    BODY_STALL_TIMEOUT,
+    CROWDED_FRACTION,
+    CROWDED_IDLE_TIMEOUT,
+    IDLE_TIMEOUT,
+    LARGE_BODY_STALL_TIMEOUT,
+    LINGER_TIMEOUT,
+    MIN_BODY_RATE,
+    READ_TIMEOUT,
+    SENDING_LINGER_TIMEOUT,
+    UNREAD_RESPONSE_TIMEOUT,
+)
 from quota_gateway.downstream.disconnect_monitor import (
     DisconnectMonitor,
     has_peer_closed,
@@ -29,25 +41,20 @@
 MOST_PIPELINED = 16  # requests under way on one connection: further ones stay unread
 PIECE = 8192  # bytes given to the parser at a time: so many small requests at most go past that bound
 SETTLED = 0.1  # seconds unused from which a connection may make way: a new one brings its request at once
-READ_WITHIN = 2.5  # seconds for a head to come whole, and for a new connection to send anything at all
-BODY_STALLED = 2.0  # seconds that a body may stand still which has not come far
-LONG_STALLED = 6.0  # the same for one of which much has come
-LEAST_RATE = 16 * 1024  # bytes a second that a body comes with at least, until much of it has come
-IDLE_LIMIT = 10.0  # seconds unused after which a connection is closed
-IDLE_LIMIT_FULL, FULL_FROM = 2.1, 0.5  # the same from this part of the connections there may be
-UNREAD_LIMIT = 10.0  # seconds in which a client that has answers to read must read some
 SWEEP_EVERY = 0.1  # seconds between looks for those whose time is up
 GONE_AFTER = 0.03  # seconds after a client's end of sending in which an attempt may begin: one that only
 # ended its sending is served if that takes no longer than a dial; 0.1 s are allowed, on a busy core too
 STILL_SENT = 0.5  # seconds of a drain in which the front still sends connections, and a little
 MOST_ERRORS = 4  # requests out of form on one connection, after which it is closed
 ERROR_PAUSE = 0.1  # seconds after one in which no more is read: each costs as much work as a request
-LINGER = 1.0  # seconds for a peer to read an error answer before its connection goes
-LINGER_SENDING = 4.0  # the same for one that is still sending a long body, and may not look until then
 MAKE_WAY = 16  # connections at most that make way at one look: the look costs more than they do
 LEAST_CLIENTS = 8  # connections that clients may have at least, however short descriptors are
 ACCEPTS = 64  # connections taken in at one go, so that those at hand get their turn
 
+# the names that tests import until their import lines follow
+BODY_STALLED = BODY_STALL_TIMEOUT
+LONG_STALLED = LARGE_BODY_STALL_TIMEOUT
+
 SINGLE = frozenset(
     (
         b"x-call-id",
@@ -487,15 +494,15 @@
     def look_after(self, now: float, idle_limit: float) -> None:
         """Ends what has had its time: a client is owed an error or a close soon, whatever it sent."""
         if self.closing:
-            if now - self.ended_at > (LINGER_SENDING if self.in_request else LINGER):
+            if now - self.ended_at > (SENDING_LINGER_TIMEOUT if self.in_request else LINGER_TIMEOUT):
                 self.drop()
         elif self.stuck:
             self.look_after_stuck(now)
         elif self.in_request and not (self.unread or self.paused) and not self.waits_behind():
-            if self.in_head and now - self.begun > READ_WITHIN or not self.in_head and self.body_stands(now):
+            if self.in_head and now - self.begun > READ_TIMEOUT or not self.in_head and self.body_stands(now):
                 self.break_off(408, "the request did not come whole in time")
         elif self.is_idle():
-            limit = idle_limit if self.used else READ_WITHIN
+            limit = idle_limit if self.used else READ_TIMEOUT
             if now - self.idle_since > limit and self.is_quiet():
                 self.drop()
 
@@ -504,7 +511,7 @@
         unread = self.transport.get_write_buffer_size() if self.transport is not None else 0
         if unread < self.sent:
             self.sent, self.stuck_since = unread, now
-        elif now - self.stuck_since > UNREAD_LIMIT:
+        elif now - self.stuck_since > UNREAD_RESPONSE_TIMEOUT:
             self.drop()
 
     def waits_behind(self) -> bool:
@@ -514,10 +521,10 @@
     def body_stands(self, now: float) -> bool:
         """True for a body that comes no more, or by so little that it never ends."""
         if self.body_size >= HELD:
-            return now - self.heard_at > LONG_STALLED
+            return now - self.heard_at > LARGE_BODY_STALL_TIMEOUT
         since = now - self.body_since
-        slow = since > READ_WITHIN and self.body_size < LEAST_RATE * since
-        return slow or now - self.heard_at > BODY_STALLED
+        slow = since > READ_TIMEOUT and self.body_size < MIN_BODY_RATE * since
+        return slow or now - self.heard_at > BODY_STALL_TIMEOUT
 
     def make_way(self, now: float) -> bool:
         """Gives up its place to another client, if that loses nothing that was taken."""
@@ -649,10 +656,10 @@
         self.sweeper.cancel()
         now = self.clock()
         self.withheld = max(self.withheld - 1, 0)
-        full = len(self.connections) >= FULL_FROM * (self.max_connections - self.withheld)
+        full = len(self.connections) >= CROWDED_FRACTION * (self.max_connections - self.withheld)
         parting = self.draining and now - self.drained_since >= STILL_SENT
         for connection in list(self.connections):
-            connection.look_after(now, IDLE_LIMIT_FULL if full else IDLE_LIMIT)
+            connection.look_after(now, CROWDED_IDLE_TIMEOUT if full else IDLE_TIMEOUT)
             if parting:
                 connection.part(now)
         self.sweeper = self.loop.call_later(SWEEP_EVERY, self.sweep)
