--- a/quota_gateway/gateway_process.py
+++ b/quota_gateway/gateway_process.py
@@ -15,7 +15,7 @@
 from quota_gateway.counter.client import CounterClient
 from quota_gateway.discovery.client import DiscoveryClient, poll_schedule_for
 from quota_gateway.dispatch.dispatcher import RequestDispatcher
-from quota_gateway.downstream.client_connection import ClientListener
+from quota_gateway.downstream.client_listener import ClientListener
 from quota_gateway.errors import ConfigurationError
 from quota_gateway.hot_restart.coordinator import HotRestartCoordinator
 from quota_gateway.model.charges import UnitsCharged
--- a/tests/test_body_streaming.py
+++ b/tests/test_body_streaming.py
@@ -10,7 +10,8 @@
 import pytest
 
 from quota_gateway.body_streaming import HELD, READ_AT_ONCE
-from quota_gateway.downstream.client_connection import BODY_STALLED, LONG_STALLED
+from quota_gateway.downstream.connection_limits import BODY_STALL_TIMEOUT as BODY_STALLED
+from quota_gateway.downstream.connection_limits import LARGE_BODY_STALL_TIMEOUT as LONG_STALLED
 from quota_gateway.model.actions import Reject, SetTimer, StartAttempt
 from quota_gateway.model.events import (
     RequestBodyConsumed,
