--- a/quota_gateway/downstream/__init__.py
+++ b/quota_gateway/downstream/__init__.py
@@ -1,1 +1,1 @@
-"""The clients' side: connections, requests and their responses."""
+"""The downstream side: client connections, their requests and the responses."""
--- a/quota_gateway/downstream/client_listener.py
+++ b/quota_gateway/downstream/client_listener.py
@@ -2,6 +2,206 @@
 
 from __future__ import annotations
 
-from quota_gateway.downstream.client_connection import ClientListener
+import asyncio
+import socket
+from collections.abc import Callable
 
-__all__ = ["ClientListener"]
+from quota_gateway.body_streaming import READ_AT_ONCE
+from quota_gateway.dispatch.dispatcher import RequestDispatcher
+from quota_gateway.downstream.client_connection import ClientConnection
+from quota_gateway.downstream.connection_eviction import MAX_EVICTIONS, end_if_unused, evict_unused
+from quota_gateway.downstream.connection_limits import CROWDED_FRACTION, CROWDED_IDLE_TIMEOUT, IDLE_TIMEOUT
+from quota_gateway.downstream.disconnect_monitor import DisconnectMonitor
+from quota_gateway.downstream.request_router import RequestRouter
+from quota_gateway.model.settings import Settings
+from quota_gateway.sockets.dialing import AGAIN, LACKING
+
+SWEEP_INTERVAL = 0.1  # seconds between checks of the connections' timeouts
+DRAIN_DELAY = 0.5  # seconds of a drain in which the load balancer may still send connections, and a margin
+MIN_CONNECTIONS = 8  # connections that clients may have, however short descriptors are
+MAX_ACCEPTS = 64  # connections accepted at a time, so that open ones are served in between
+FLUSH_POLL_INTERVAL = 0.01  # seconds
+
+
+class ClientListener:
+    """Accepts connections, limits their number, and closes them in a drain or shutdown.
+
+    The loop's own server is not used: where no descriptor is left it would close the connection, and a
+    request that was already sent on it would be lost.
+    """
+
+    def __init__(
+        self,
+        dispatcher: RequestDispatcher,
+        settings: Settings,
+        clock: Callable[[], float],
+        max_connections: int,
+        is_serving: Callable[[], bool],
+    ) -> None:
+        """Take the parts that requests need; `is_serving` tells whether the gateway accepts requests."""
+        self.dispatcher = dispatcher
+        self.clock = clock
+        self.max_connections = max_connections
+        self.withheld = 0  # connections fewer than that, while descriptors are short
+        self.read_buffer = bytearray(READ_AT_ONCE)
+        self.is_serving = is_serving
+        self.router = RequestRouter(dispatcher, settings, self.is_ready)
+        self.connections: set[ClientConnection] = set()
+        self.accepting: set[asyncio.Task[None]] = set()
+        self.loop: asyncio.AbstractEventLoop = asyncio.get_running_loop()
+        self.disconnect_monitor = DisconnectMonitor(self.loop)
+        self.listener: socket.socket | None = None
+        self.accept_timer: asyncio.TimerHandle | None = None  # while accepting is paused
+        self.stopping = False
+        self.draining = False
+        self.superseded = False  # a newer process accepts; its readiness holds for both
+        self.drained_since = 0.0  # seconds
+        self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL, self.sweep)
+
+    def is_ready(self) -> bool:
+        """Return True if new requests should be sent to this gateway."""
+        return self.is_serving() and (self.superseded or not self.stopping)
+
+    def is_shutting_down(self) -> bool:
+        """Return True while connections are to close after their responses."""
+        return self.stopping or self.draining or self.superseded
+
+    def drain(self, enabled: bool) -> None:
+        """Close connections after their responses, or stop doing so; new ones are accepted and served."""
+        if enabled and not self.draining:
+            self.drained_since = self.clock()
+        self.draining = enabled
+
+    def listen(self, listener: socket.socket) -> None:
+        """Accept the connections of a listening socket, which this object closes."""
+        self.listener = listener
+        self.loop.add_reader(listener, self.accept)
+
+    def set_superseded(self, enabled: bool) -> None:
+        """Leave new connections to a newer process, or accept them again if that one has ended."""
+        self.superseded = enabled
+        if self.listener is None:
+            return
+        if enabled:
+            self.loop.remove_reader(self.listener)
+            if self.accept_timer is not None:
+                self.accept_timer.cancel()
+                self.accept_timer = None
+        else:
+            self.loop.add_reader(self.listener, self.accept)
+
+    def accept(self) -> bool:
+        """Accept what waits, up to a limit; True if more may wait and there is capacity for it."""
+        self.accept_timer = None
+        for _ in range(MAX_ACCEPTS):
+            if self.listener is None or self.superseded:
+                return False
+            if not self.has_capacity():
+                self.pause_accepting()
+                return False
+            try:
+                sock, _ = self.listener.accept()
+            except BlockingIOError:
+                return False
+            except OSError as error:
+                if error.errno in LACKING:
+                    self.handle_descriptor_exhaustion()
+                    self.pause_accepting()
+                    return False
+                continue  # the client has disconnected
+            sock.setblocking(False)
+            task = self.loop.create_task(self.connect(sock))
+            self.accepting.add(task)
+            task.add_done_callback(self.accepting.discard)
+        return True
+
+    async def connect(self, sock: socket.socket) -> None:
+        """Make a connection of an accepted socket."""
+        try:
+            await self.loop.connect_accepted_socket(lambda: ClientConnection(self), sock)
+        except OSError:
+            sock.close()
+
+    def has_capacity(self) -> bool:
+        """Return True if one more connection may be accepted, after an eviction if need be."""
+        open_connections = len(self.connections) + len(self.accepting)
+        return open_connections < self.max_connections - self.withheld or self.evict_unused()
+
+    def handle_descriptor_exhaustion(self) -> None:
+        """Allow clients fewer connections than are open: the other sockets need descriptors too."""
+        limit = min(self.max_connections - self.withheld, len(self.connections)) - MAX_EVICTIONS
+        self.withheld = self.max_connections - max(limit, min(MIN_CONNECTIONS, self.max_connections))
+        self.evict_unused()
+
+    def evict_unused(self) -> bool:
+        """Close some unused connections; False if there is none."""
+        evicted = evict_unused(self.connections, self.clock())
+        self.connections.difference_update(evicted)  # their descriptors are free before the loop's next round
+        return bool(evicted)
+
+    def sweep(self) -> None:
+        """Enforce the timeouts of all connections, and a drain."""
+        self.sweep_timer.cancel()
+        now = self.clock()
+        self.withheld = max(self.withheld - 1, 0)
+        is_crowded = len(self.connections) >= CROWDED_FRACTION * (self.max_connections - self.withheld)
+        idle_timeout = CROWDED_IDLE_TIMEOUT if is_crowded else IDLE_TIMEOUT
+        ends_unused = self.draining and now - self.drained_since >= DRAIN_DELAY
+        for connection in list(self.connections):
+            connection.look_after(now, idle_timeout)
+            if ends_unused:
+                end_if_unused(connection, now)
+        self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL, self.sweep)
+
+    def pause_accepting(self) -> None:
+        """Leave connections in the kernel's queue, where nothing is lost, until there is capacity again."""
+        if self.listener is not None and self.accept_timer is None:
+            self.loop.remove_reader(self.listener)
+            self.accept_timer = self.loop.call_later(AGAIN, self.resume_accepting)
+
+    def resume_accepting(self) -> None:
+        """Accept again after a pause."""
+        self.accept_timer = None
+        if self.listener is not None:
+            self.loop.add_reader(self.listener, self.accept)
+            self.accept()
+
+    def stop_listening(self) -> bool:
+        """Accept what waits, then close the socket; False while there is no capacity for what waits."""
+        while self.accept():
+            pass
+        if self.accept_timer is not None:
+            return False
+        self.close_listener()
+        return True
+
+    def close_listener(self) -> None:
+        """Close the listening socket."""
+        if self.listener is not None:
+            self.loop.remove_reader(self.listener)
+            self.listener.close()
+            self.listener = None
+
+    def has_open_connections(self) -> bool:
+        """Return True while there is a connection on which a request may still come."""
+        return bool(self.accepting) or any(not c.closing for c in self.connections)
+
+    async def wait_until_flushed(self, timeout: float) -> None:
+        """Wait until the kernel has taken all responses, for `timeout` seconds at most."""
+        end = self.clock() + timeout
+        while any(c.unsent_bytes() for c in self.connections) and self.clock() < end:  # noqa: ASYNC110
+            await asyncio.sleep(FLUSH_POLL_INTERVAL)  # a transport doesn't report that its buffer is empty
+
+    def close_idle(self) -> None:
+        """Close the connections without a request; what already waits there is read and answered first."""
+        for connection in list(self.connections):
+            if connection.is_idle() and not connection.has_unread_input():
+                connection.end()
+
+    def close(self) -> None:
+        """Close the socket and all connections."""
+        self.sweep_timer.cancel()
+        self.close_listener()
+        for connection in list(self.connections):
+            connection.drop()
+        self.disconnect_monitor.close()
--- /dev/null
+++ b/quota_gateway/downstream/request_handler.py
@@ -0,0 +1,178 @@
+"""The requests of one client connection, from the parser to the dispatcher."""
+
+from __future__ import annotations
+
+import asyncio
+from typing import Protocol
+
+import httptools
+
+from quota_gateway.body_streaming import HELD, MOST_BODY
+from quota_gateway.downstream.half_close import HalfClose
+from quota_gateway.downstream.request_reader import BODY_TOO_LARGE, RequestReader
+from quota_gateway.downstream.request_router import RequestRouter
+from quota_gateway.downstream.response_queue import ResponseQueue
+from quota_gateway.downstream.response_writer import ResponseConnection, ResponseWriter
+from quota_gateway.errors import InvalidRequestError
+
+MAX_INVALID_REQUESTS = 4  # invalid requests on one connection, after which it is closed
+INVALID_REQUEST_PAUSE = 0.1  # seconds without reading after one: each costs as much work as a valid request
+
+CONTINUE_RESPONSE = b"HTTP/1.1 100 Continue\r\n\r\n"
+
+
+class RequestConnection(ResponseConnection, Protocol):
+    """What the handler needs of its connection."""
+
+    responses: ResponseQueue
+    ended: bool  # no further request is read
+    half_close: HalfClose
+
+    def process_unread(self) -> None:
+        """Parse what has been received, as far as the limits allow."""
+
+
+class RequestHandler(RequestReader):
+    """Submits the requests of one connection, or rejects them, in their order."""
+
+    def __init__(self, connection: RequestConnection, router: RequestRouter, now: float) -> None:
+        """Take the connection that owns this handler, and the time of its start in seconds."""
+        super().__init__(now)
+        self.connection: RequestConnection | None = connection  # None once it is closed
+        self.router = router
+        self.streaming_writer: ResponseWriter | None = None  # of the request whose body is forwarded
+        self.invalid_requests = 0
+        self.error_pause: asyncio.TimerHandle | None = None  # nothing is read while it runs
+
+    def close(self) -> None:
+        """Release what refers back to the connection, so that it is freed without the garbage collector."""
+        super().close()
+        self.connection = None
+        self.streaming_writer = None
+        if self.error_pause is not None:
+            self.error_pause.cancel()
+
+    def parse(self, data: bytes) -> None:
+        """Parse `data` and handle the requests that become complete."""
+        try:
+            self.feed(data)
+        except InvalidRequestError as error:
+            self.abort_request(error)
+        except httptools.HttpParserUpgrade:
+            if self.connection is not None:  # the request itself gets its response
+                self.connection.ended = True
+
+    def headers_complete(self) -> None:
+        """Reject a body that is too large, stream a large one, and buffer a small one."""
+        connection = self.connection
+        if self.parser is None or connection is None or connection.ended:
+            return
+        self.http_version = self.parser.get_http_version()
+        self.expects_continue = b"expect" in self.headers and self.http_version != "1.0"
+        length = self.content_length()
+        if length > MOST_BODY:
+            self.error = InvalidRequestError(413, BODY_TOO_LARGE)
+        elif length > HELD:
+            self.start_body_stream(length)
+        self.send_continue()
+
+    def send_continue(self) -> None:
+        """Send 100 Continue to a client that waits for it, once all earlier responses are written."""
+        connection = self.connection
+        if not self.expects_continue or self.error is not None or connection is None or connection.ended:
+            return
+        if connection.transport is not None and connection.responses.is_first(self.streaming_writer):
+            self.expects_continue = False
+            connection.transport.write(CONTINUE_RESPONSE)
+
+    def start_body_stream(self, length: int | None) -> None:
+        """Submit a request whose body is too large to buffer; it is forwarded as it comes."""
+        connection = self.connection
+        if self.error is not None or connection is None:
+            return
+        if connection.half_close.begun:
+            self.error = InvalidRequestError(429, "its client has ended its sending")
+            return
+        try:
+            request = self.router.parse_streamed(self, length)
+        except InvalidRequestError as error:
+            self.error = error
+            return
+        writer = ResponseWriter(connection, False)
+        self.streaming_writer = writer
+        connection.responses.append(writer)
+        self.body_stream = request.body_stream
+        if self.body_stream is not None:
+            self.body_stream.on_capacity = self.handle_body_capacity
+            for piece in self.body:
+                self.body_stream.feed(piece)
+        self.body = []
+        writer.request_id = self.router.dispatcher.submit(request, writer)
+
+    def handle_body_capacity(self) -> None:
+        """Read on: the upstream has taken some of a streamed body."""
+        if self.connection is not None and not self.parsing:
+            self.connection.process_unread()
+
+    def request_complete(self) -> None:
+        """Submit or reject a request; of a streamed one, only the end of its body."""
+        connection = self.connection
+        if connection is None:
+            return
+        if self.streaming_writer is not None:
+            self.finish_body_stream(connection, self.streaming_writer)
+            return
+        if connection.ended:
+            return
+        keep_alive = self.should_keep_alive()
+        writer = ResponseWriter(connection, keep_alive)
+        connection.responses.append(writer)
+        connection.ended = not keep_alive
+        try:
+            if self.error is not None:
+                raise self.error
+            self.router.route(self, writer, connection.half_close.begun)
+        except InvalidRequestError as error:
+            self.reject(connection, writer, error)
+
+    def finish_body_stream(self, connection: RequestConnection, writer: ResponseWriter) -> None:
+        """Report the end of a streamed body to the dispatcher."""
+        self.body_stream = None
+        self.streaming_writer = None
+        if writer.unsent is None:  # with an early response the connection closes
+            writer.keep_alive = not connection.ended and self.should_keep_alive()
+            connection.ended = connection.ended or not writer.keep_alive
+        self.router.dispatcher.request_body_received(writer.request_id, self.received_at)
+
+    def reject(
+        self, connection: RequestConnection, writer: ResponseWriter, error: InvalidRequestError
+    ) -> None:
+        """Answer an invalid request and pause reading: the client may repeat it at once."""
+        self.invalid_requests += 1
+        if self.invalid_requests >= MAX_INVALID_REQUESTS:
+            writer.keep_alive = False
+            connection.ended = True
+        elif self.error_pause is None:
+            loop = asyncio.get_running_loop()
+            self.error_pause = loop.call_later(INVALID_REQUEST_PAUSE, self.end_error_pause)
+        body = b"" if self.method() == b"HEAD" else f"{error}\n".encode()
+        writer.send(error.status, body, error.headers)
+
+    def end_error_pause(self) -> None:
+        """Read on after an invalid request."""
+        self.error_pause = None
+        if self.connection is not None:
+            self.connection.process_unread()
+
+    def abort_request(self, error: InvalidRequestError) -> None:
+        """Answer a request that can't be read to its end; nothing after it can be read either."""
+        connection = self.connection
+        if connection is None or connection.ended:
+            return
+        connection.ended = True
+        if self.streaming_writer is not None:
+            self.router.dispatcher.abandon(self.streaming_writer.request_id, error.status)
+            return
+        writer = ResponseWriter(connection, False)
+        connection.responses.append(writer)
+        writer.send(error.status, f"{error}\n".encode())
--- a/quota_gateway/downstream/request_parser.py
+++ b/quota_gateway/downstream/request_parser.py
@@ -1,142 +1,193 @@
-"""Reads a client's request by the protocol and the settings, and words what is wrong with one that is not.
+"""Validation of client requests: the protocol's headers and the bounds of the settings.
 
-All that a client says is held against the settings' bounds here, before the module sees any of it: units
-without a bound, in a customer's name, would eat that customer's quota.
+Everything that a client states is checked here before the policy engine sees it: units without a bound,
+stated in a customer's name, would use up that customer's quota.
 """
 
 from __future__ import annotations
 
 import re
 from functools import lru_cache
+from typing import NamedTuple
 
 from quota_gateway.body_streaming import RequestBodyStream
 from quota_gateway.dispatch.dispatcher import ClientRequest
+from quota_gateway.downstream.request_reader import RequestReader
 from quota_gateway.errors import InvalidRequestError
-from quota_gateway.model.settings import Idempotency, Settings
-
-CALL_ID = re.compile(rb"[0-9A-Za-z_.-]{1,64}")
-CLIENT = re.compile(rb"[?&]client=([^&]*)")
-CUSTOMER = re.compile(rb"[0-9A-Fa-f]{16}")
-BUDGET = re.compile(rb"\d{1,6}(\.\d{1,9})?")
-KEY = re.compile(rb"[!-~]{1,256}")
-QUOTA = re.compile(rb"\s*([a-z_]+)\s*=\s*(\d{1,9}(?:\.\d{1,9})?)\s*")
-CUSTOMERS = 1 << 33  # numbers that the protocol has for customers
-OVER_DEADLINE = 1.01  # times its class's deadline that a budget may be: what rounding makes of it
-
-
-@lru_cache(maxsize=4096)
-def read_quota(text: bytes) -> tuple[float, int, int]:
-    """Units, spread and first of a Quota-Info; kept, since few different ones come again and again."""
-    found: dict[bytes, float] = {}
-    for part in text.split(b","):
-        match = QUOTA.fullmatch(part)
-        if match is None or match[1] in found:
+from quota_gateway.model.settings import Idempotency, RequestClass, Settings
+
+CALL_ID_PATTERN = re.compile(rb"[0-9A-Za-z_.-]{1,64}")
+CLIENT_PARAMETER_PATTERN = re.compile(rb"[?&]client=([^&]*)")
+CUSTOMER_PATTERN = re.compile(rb"[0-9A-Fa-f]{16}")
+BUDGET_PATTERN = re.compile(rb"\d{1,6}(\.\d{1,9})?")
+IDEMPOTENCY_KEY_PATTERN = re.compile(rb"[!-~]{1,256}")
+QUOTA_FIELD_PATTERN = re.compile(rb"\s*([a-z_]+)\s*=\s*(\d{1,9}(?:\.\d{1,9})?)\s*")
+CUSTOMER_COUNT = 1 << 33  # customer numbers of the protocol: 0 up to this, exclusive
+BUDGET_TOLERANCE = 1.01  # times the class's deadline: a client's rounding may put its budget above it
+QUOTA_CACHE_SIZE = 4096  # distinct Quota-Info values: few repeat in most requests
+
+
+class QuotaInfo(NamedTuple):
+    """The fields of a Quota-Info header."""
+
+    units: float
+    spread: int  # gateways that share the customer's quota
+    first_gateway: int
+
+
+@lru_cache(maxsize=QUOTA_CACHE_SIZE)
+def parse_quota_info(value: bytes) -> QuotaInfo:
+    """Parse a Quota-Info header; raises InvalidRequestError."""
+    fields: dict[bytes, float] = {}
+    for part in value.split(b","):
+        match = QUOTA_FIELD_PATTERN.fullmatch(part)
+        if match is None or match[1] in fields:
             raise InvalidRequestError(400, "Quota-Info is not in its form")
-        found[match[1]] = float(match[2])
+        fields[match[1]] = float(match[2])
     try:
-        units, width, first = found[b"units"], found[b"spread"], found[b"first"]
+        units = fields[b"units"]
+        spread = fields[b"spread"]
+        first_gateway = fields[b"first"]
     except KeyError as error:
         raise InvalidRequestError(400, "Quota-Info lacks units, spread or first") from error
-    if width != int(width) or first != int(first):
+    if spread != int(spread) or first_gateway != int(first_gateway):
         raise InvalidRequestError(400, "Quota-Info has a part of a gateway")
-    return units, int(width), int(first)
+    return QuotaInfo(units, int(spread), int(first_gateway))
+
+
+def parse_customer(target: bytes) -> str:
+    """Return the customer's id, 16 hex digits in lower case; raises InvalidRequestError."""
+    values: list[bytes] = CLIENT_PARAMETER_PATTERN.findall(target)
+    if len(values) != 1 or not CUSTOMER_PATTERN.fullmatch(values[0]):
+        raise InvalidRequestError(400, "client is not 16 hex digits")
+    if int(values[0], 16) >= CUSTOMER_COUNT:
+        raise InvalidRequestError(400, "client is out of bounds")
+    return values[0].decode().lower()
+
+
+def required_header(headers: dict[bytes, bytes], name: bytes) -> bytes:
+    """Return a header's value; raises InvalidRequestError if it is missing or empty."""
+    value = headers.get(name)
+    if not value:
+        raise InvalidRequestError(400, f"no {name.decode().title()}")
+    return value
+
+
+def matching_header(headers: dict[bytes, bytes], name: bytes, pattern: re.Pattern[bytes]) -> bytes:
+    """Return a header's value; raises InvalidRequestError if it is missing or doesn't match."""
+    value = required_header(headers, name)
+    if not pattern.fullmatch(value):
+        raise InvalidRequestError(400, f"{name.decode().title()} is not in its form")
+    return value
 
 
 class RequestParser:
-    """Turns requests into calls by the settings' classes and plans, and words what is wrong with the rest."""
+    """Turns the fields of an HTTP request into a ClientRequest; every method raises InvalidRequestError."""
 
     def __init__(self, settings: Settings) -> None:
-        self.classes = {c.name: c for c in settings.request_classes}
-        self.plans = {p.name for p in settings.plans}
-        self.gateways, self.most_units = settings.gateway_count, settings.max_request_units
-
-    def read(
-        self,
-        received: float,
-        method: bytes,
-        target: bytes,
-        headers: dict[bytes, bytes],
-        body: bytes,
-        long: bool = False,
-        length: int | None = None,
+        """Take the request classes, plans and bounds from the settings."""
+        self.request_classes = {c.name: c for c in settings.request_classes}
+        self.plan_names = {p.name for p in settings.plans}
+        self.gateway_count = settings.gateway_count
+        self.max_units = settings.max_request_units
+
+    def parse(self, reader: RequestReader, body: bytes) -> ClientRequest:
+        """Return the request with its complete body."""
+        return self.build_request(reader, body, None, False)
+
+    def parse_streamed(self, reader: RequestReader, length: int | None) -> ClientRequest:
+        """Return the request with a stream for its body, of `length` bytes or, with None, in chunks."""
+        return self.build_request(reader, b"", length, True)
+
+    def build_request(
+        self, reader: RequestReader, body: bytes, length: int | None, streamed: bool
     ) -> ClientRequest:
-        """The call; one with a long body gets an `Upload` for it, of this length or in chunks."""
-        customer = self.customer(target)
-        klass = self.classes.get(self.needed(headers, b"x-call-class").decode("latin-1"))
-        if klass is None:
-            raise InvalidRequestError(400, "X-Call-Class names no class")
-        wanted = b"GET" if klass.idempotency is Idempotency.IDEMPOTENT else b"POST"
-        if method != wanted:
-            raise InvalidRequestError(405, "the class goes by another method", b"Allow: %b\r\n" % wanted)
-        plan = self.needed(headers, b"plan").decode("latin-1")
-        if plan not in self.plans:
-            raise InvalidRequestError(400, "Plan names no plan")
-        if (body or long) and method == b"GET":
+        """Check all fields, in the order in which errors take precedence."""
+        headers = reader.headers
+        method = reader.method()
+        customer = parse_customer(reader.target)
+        request_class = self.parse_class(headers, method)
+        plan = self.parse_plan(headers)
+        if (body or streamed) and method == b"GET":
             raise InvalidRequestError(400, "a GET with a body")
-        units, width, first = read_quota(self.needed(headers, b"quota-info"))
-        if not (0 < units <= self.most_units and 1 <= width <= self.gateways and first < self.gateways):
-            raise InvalidRequestError(400, "Quota-Info is out of bounds")
-        budget = float(self.matched(headers, b"x-budget", BUDGET))
-        if not 0 < budget <= OVER_DEADLINE * klass.deadline:
-            raise InvalidRequestError(400, "X-Budget is nought, or longer than the class's deadline")
+        quota = self.parse_quota(headers)
+        budget = self.parse_budget(headers, request_class)
+        call_id = matching_header(headers, b"x-call-id", CALL_ID_PATTERN)
+        head = [
+            b"%b %b HTTP/1.1" % (method, reader.target),
+            b"Host: %b" % headers.get(b"host", b"backend.local"),
+            b"X-Call-Id: %b" % call_id,
+            *self.idempotency_key_lines(headers, request_class),
+        ]
+        if method != b"GET":
+            head += self.body_lines(headers, None if streamed else len(body))
+        head.append(b"")
         return ClientRequest(
-            call_id=self.matched(headers, b"x-call-id", CALL_ID),
-            received_at=received,
+            call_id=call_id,
+            received_at=reader.received_at,
             budget=budget,
-            request_class=klass.name,
+            request_class=request_class.name,
             plan=plan,
             customer=customer,
-            units=units,
-            quota_spread=width,
-            first_gateway=first,
+            units=quota.units,
+            quota_spread=quota.spread,
+            first_gateway=quota.first_gateway,
             is_retry=headers.get(b"x-again") == b"1",
-            head=self.head(method, target, headers, klass.idempotency, body, long),
+            head=b"\r\n".join(head),
             body=body,
-            body_stream=RequestBodyStream(length, budget) if long else None,
+            body_stream=RequestBodyStream(length, budget) if streamed else None,
         )
 
-    def head(
-        self,
-        method: bytes,
-        target: bytes,
-        headers: dict[bytes, bytes],
-        repeats: Idempotency,
-        body: bytes,
-        long: bool,
-    ) -> bytes:
-        """What goes on to a backend, unchanged; the budget is the gateway's own and comes last."""
-        lines = [
-            b"%b %b HTTP/1.1" % (method, target),
-            b"Host: %b" % headers.get(b"host", b"backend.local"),
-            b"X-Call-Id: %b" % self.matched(headers, b"x-call-id", CALL_ID),
-        ]
-        if repeats is Idempotency.IDEMPOTENCY_KEY:
-            lines.append(b"Idempotency-Key: %b" % self.matched(headers, b"idempotency-key", KEY))
-        elif b"idempotency-key" in headers:
+    def parse_class(self, headers: dict[bytes, bytes], method: bytes) -> RequestClass:
+        """Return the class that X-Call-Class names, which determines the method."""
+        name = required_header(headers, b"x-call-class").decode("latin-1")
+        request_class = self.request_classes.get(name)
+        if request_class is None:
+            raise InvalidRequestError(400, "X-Call-Class names no class")
+        expected = b"GET" if request_class.idempotency is Idempotency.IDEMPOTENT else b"POST"
+        if method != expected:
+            raise InvalidRequestError(405, "the class goes by another method", b"Allow: %b\r\n" % expected)
+        return request_class
+
+    def parse_plan(self, headers: dict[bytes, bytes]) -> str:
+        """Return the name of the customer's plan."""
+        plan = required_header(headers, b"plan").decode("latin-1")
+        if plan not in self.plan_names:
+            raise InvalidRequestError(400, "Plan names no plan")
+        return plan
+
+    def parse_quota(self, headers: dict[bytes, bytes]) -> QuotaInfo:
+        """Return the Quota-Info, whose values are within the bounds of the settings."""
+        quota = parse_quota_info(required_header(headers, b"quota-info"))
+        valid_units = 0 < quota.units <= self.max_units
+        valid_spread = 1 <= quota.spread <= self.gateway_count
+        if not (valid_units and valid_spread and quota.first_gateway < self.gateway_count):
+            raise InvalidRequestError(400, "Quota-Info is out of bounds")
+        return quota
+
+    def parse_budget(self, headers: dict[bytes, bytes], request_class: RequestClass) -> float:
+        """Return the seconds that the client waits for its response."""
+        budget = float(matching_header(headers, b"x-budget", BUDGET_PATTERN))
+        if not 0 < budget <= BUDGET_TOLERANCE * request_class.deadline:
+            raise InvalidRequestError(400, "X-Budget is nought, or longer than the class's deadline")
+        return budget
+
+    def idempotency_key_lines(
+        self, headers: dict[bytes, bytes], request_class: RequestClass
+    ) -> tuple[bytes, ...]:
+        """Return the Idempotency-Key line, which only the classes with a key carry."""
+        if request_class.idempotency is Idempotency.IDEMPOTENCY_KEY:
+            key = matching_header(headers, b"idempotency-key", IDEMPOTENCY_KEY_PATTERN)
+            return (b"Idempotency-Key: %b" % key,)
+        if b"idempotency-key" in headers:
             raise InvalidRequestError(400, "Idempotency-Key on a class that carries none")
-        if method != b"GET":
-            if not long:  # an upload brings its own framing
-                lines.append(b"Content-Length: %d" % len(body))
-            if b"content-type" in headers:
-                lines.append(b"Content-Type: %b" % headers[b"content-type"])
-        return b"\r\n".join((*lines, b""))
-
-    def customer(self, target: bytes) -> str:
-        found: list[bytes] = CLIENT.findall(target)
-        if len(found) != 1 or not CUSTOMER.fullmatch(found[0]):
-            raise InvalidRequestError(400, "client is not 16 hex digits")
-        if int(found[0], 16) >= CUSTOMERS:
-            raise InvalidRequestError(400, "client is out of bounds")
-        return found[0].decode().lower()
-
-    def needed(self, headers: dict[bytes, bytes], name: bytes) -> bytes:
-        value = headers.get(name)
-        if not value:
-            raise InvalidRequestError(400, f"no {name.decode().title()}")
-        return value
-
-    def matched(self, headers: dict[bytes, bytes], name: bytes, form: re.Pattern[bytes]) -> bytes:
-        value = self.needed(headers, name)
-        if not form.fullmatch(value):
-            raise InvalidRequestError(400, f"{name.decode().title()} is not in its form")
-        return value
+        return ()
+
+    def body_lines(self, headers: dict[bytes, bytes], length: int | None) -> list[bytes]:
+        """Return the header lines that describe a body; with no length, its stream brings the framing."""
+        lines = []
+        if length is not None:
+            lines.append(b"Content-Length: %d" % length)
+        if b"content-type" in headers:
+            lines.append(b"Content-Type: %b" % headers[b"content-type"])
+        return lines
--- /dev/null
+++ b/quota_gateway/downstream/request_reader.py
@@ -0,0 +1,170 @@
+"""Incremental parsing of the HTTP/1.1 requests on one client connection."""
+
+from __future__ import annotations
+
+from abc import ABC, abstractmethod
+
+import httptools
+
+from quota_gateway.body_streaming import HELD, MOST_BODY, RequestBodyStream
+from quota_gateway.errors import InvalidRequestError
+
+MAX_HEAD_SIZE = 32 * 1024  # bytes of request line and headers; a browser with many cookies sends 8 KiB
+
+UNIQUE_HEADERS = frozenset(
+    (
+        b"x-call-id",
+        b"x-call-class",
+        b"plan",
+        b"x-budget",
+        b"idempotency-key",
+        b"quota-info",
+        b"x-again",
+        b"content-length",
+        b"host",
+    )
+)
+
+BODY_TOO_LARGE = "the body is over 32 MiB"
+HEAD_TOO_LARGE = "the head is over 32 KiB"
+
+
+class RequestReader(ABC):
+    """The protocol object of an httptools parser; it holds the request that is being read.
+
+    A subclass decides what happens with a request: `headers_complete`, `start_body_stream` and
+    `request_complete` are called from inside the parser.
+    """
+
+    def __init__(self, now: float) -> None:
+        """Start between two requests; `now` is the time of the connection's start in seconds."""
+        self.parser: httptools.HttpRequestParser | None = httptools.HttpRequestParser(self)
+        self.parsing = False  # the parser is on the call stack and must not be entered again
+        self.received_at = 0.0  # seconds: when the latest bytes came; 0 before the first
+        self.request_started_at = now
+        self.body_started_at = now
+        self.any_request_started = False
+        self.in_request = False
+        self.in_head = False
+        self.head_size = 0  # bytes fed while in a head
+        self.http_version = "1.1"
+        self.expects_continue = False  # the client waits for "100 Continue" before it sends its body
+        self.body_stream: RequestBodyStream | None = None  # set while a body is forwarded as it comes
+        self.reset_request()
+
+    def reset_request(self) -> None:
+        """Forget the previous request's fields."""
+        self.target = b""
+        self.headers: dict[bytes, bytes] = {}
+        self.body: list[bytes] = []
+        self.body_size = 0  # bytes, also of a body that is forwarded as it comes
+        self.error: InvalidRequestError | None = None  # the response once the request is complete
+
+    @abstractmethod
+    def headers_complete(self) -> None:
+        """Handle a request whose headers are complete."""
+
+    @abstractmethod
+    def start_body_stream(self, length: int | None) -> None:
+        """Submit a request whose body is too large to buffer; `length` is None for a chunked body."""
+
+    @abstractmethod
+    def request_complete(self) -> None:
+        """Handle a request whose last byte has been parsed."""
+
+    def feed(self, data: bytes) -> None:
+        """Parse `data`; requests that become complete are handled before this returns.
+
+        Raises InvalidRequestError if neither the request nor what follows it can be read, and
+        httptools.HttpParserUpgrade if what follows it is not HTTP/1.1.
+        """
+        if self.parser is None:
+            return
+        self.parsing = True
+        try:
+            self.parser.feed_data(data)
+        except httptools.HttpParserError as error:
+            raise InvalidRequestError(400, "not HTTP") from error
+        finally:
+            self.parsing = False
+        if self.in_head:
+            self.head_size += len(data)
+        if self.error is not None and self.is_in_large_body():
+            raise self.error
+        if self.head_size > MAX_HEAD_SIZE:
+            raise InvalidRequestError(431, HEAD_TOO_LARGE)
+
+    def is_in_large_body(self) -> bool:
+        """Return True inside a body that is too large to be read only to reach the request behind it."""
+        if self.in_head or not self.in_request:
+            return False
+        return self.body_size > HELD or self.content_length() > HELD
+
+    def close(self) -> None:
+        """Drop the parser, which refers back to this object: the cycle would outlive the connection."""
+        self.parser = None
+        self.body_stream = None
+
+    def method(self) -> bytes:
+        """Return the request's method, empty once the connection is closed."""
+        return self.parser.get_method() if self.parser is not None else b""
+
+    def path(self) -> bytes:
+        """Return the request target without its query."""
+        return self.target.partition(b"?")[0]
+
+    def content_length(self) -> int:
+        """Return the Content-Length, 0 if there is none."""
+        value = self.headers.get(b"content-length", b"")
+        return int(value) if value.isdigit() else 0
+
+    def should_keep_alive(self) -> bool:
+        """Return True if the connection persists after this request; valid only inside a parser callback."""
+        return self.parser is not None and self.parser.should_keep_alive() and self.http_version == "1.1"
+
+    def on_message_begin(self) -> None:
+        """Handle the first byte of a request (httptools)."""
+        self.reset_request()
+        if self.any_request_started:  # the first request's time runs from the connection's start
+            self.request_started_at = self.received_at
+        self.any_request_started = True
+        self.in_request = True
+        self.in_head = True
+        self.head_size = 0
+
+    def on_url(self, url: bytes) -> None:
+        """Handle a part of the request target (httptools)."""
+        self.target += url
+
+    def on_header(self, name: bytes, value: bytes) -> None:
+        """Handle a header; trailers are ignored (httptools)."""
+        if not self.in_head:
+            return
+        name = name.lower()
+        if name in UNIQUE_HEADERS and name in self.headers:
+            self.error = InvalidRequestError(400, f"{name.decode()} stands twice")
+        self.headers[name] = value.strip()
+
+    def on_headers_complete(self) -> None:
+        """Handle the end of the headers (httptools)."""
+        self.in_head = False
+        self.body_started_at = self.received_at
+        self.headers_complete()
+
+    def on_body(self, body: bytes) -> None:
+        """Handle a part of the body: buffer it, or pass it on (httptools)."""
+        self.body_size += len(body)
+        self.expects_continue = False  # the client did not wait
+        if self.body_size > MOST_BODY:
+            self.error = InvalidRequestError(413, BODY_TOO_LARGE)
+        elif self.body_stream is not None:
+            self.body_stream.feed(body)
+        elif self.error is None:
+            self.body.append(body)
+            if self.body_size > HELD:
+                self.start_body_stream(None)
+
+    def on_message_complete(self) -> None:
+        """Handle the end of a request (httptools)."""
+        self.in_request = False
+        self.request_complete()
--- /dev/null
+++ b/quota_gateway/downstream/response_queue.py
@@ -0,0 +1,68 @@
+"""The responses of one client connection, in the order of their requests."""
+
+from __future__ import annotations
+
+import asyncio
+from collections import deque
+from collections.abc import Iterator
+from enum import Enum, auto
+
+from quota_gateway.downstream.response_writer import ResponseWriter
+
+
+class FlushResult(Enum):
+    """Why a flush of the responses stopped."""
+
+    WAITING = auto()  # the next response has not begun, or there is none
+    STREAMING = auto()  # the first response has begun and has more to come
+    CLOSE = auto()  # a response was written after which the connection closes
+
+
+class ResponseQueue(deque[ResponseWriter]):
+    """Responses that are not written to their end; only the first one may write to the transport."""
+
+    __slots__ = ()
+
+    def is_first(self, writer: ResponseWriter | None) -> bool:
+        """Return True if no other response goes out before this one; None stands for the next request's."""
+        return not self or self[0] is writer
+
+    def flush(self, transport: asyncio.Transport) -> FlushResult:
+        """Write what is ready, up to the first response that has more to come."""
+        while self and self[0].unsent is not None:
+            writer = self[0]
+            data = writer.start_sending()
+            if data:
+                transport.write(data)
+            if writer.streaming:
+                if writer.source is not None and not writer.connection.stuck:
+                    writer.source.resume()
+                return FlushResult.STREAMING
+            self.popleft()
+            if not writer.keep_alive:
+                return FlushResult.CLOSE
+        return FlushResult.WAITING
+
+    def pause_source(self) -> None:
+        """Stop reading the first response from its upstream while the client doesn't read it."""
+        if self and self[0].source is not None:
+            self[0].source.pause()
+
+    def resume_source(self) -> None:
+        """Read the first response from its upstream again."""
+        if self and self[0].source is not None:
+            self[0].source.resume()
+
+    def unanswered(self) -> Iterator[int]:
+        """Yield the ids of submitted requests whose response has not begun at their turn."""
+        for writer in list(self):
+            if writer.request_id and writer.unsent is None:
+                yield writer.request_id
+
+    def take_incomplete(self) -> Iterator[int]:
+        """Remove all; yield the ids of submitted requests whose response is incomplete at their turn."""
+        writers = list(self)
+        self.clear()
+        for writer in writers:
+            if writer.request_id and (writer.unsent is None or writer.streaming):
+                yield writer.request_id
--- a/quota_gateway/downstream/response_writer.py
+++ b/quota_gateway/downstream/response_writer.py
@@ -1,4 +1,4 @@
-"""One request on a client's connection and its answer: whole at once, or begun, passed on and ended."""
+"""The response to one request: complete at once, or a stream that is forwarded as it comes."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from quota_gateway.body_streaming import LAST_CHUNK, ResponseHead, StreamSource, chunk
 
-REASONS = {
+REASON_PHRASES = {
     200: b"OK",
     400: b"Bad Request",
     404: b"Not Found",
@@ -23,91 +23,124 @@
 }
 
 
-class Connection(Protocol):
-    """What an exchange needs of the connection that it stands on."""
+class ResponseConnection(Protocol):
+    """What a response needs of its connection."""
 
     transport: asyncio.Transport | None
-    version: str
-    stuck: bool
+    stuck: bool  # the transport's buffer is full: the client doesn't read
 
-    def ends_with(self, exchange: ResponseWriter) -> bool: ...
+    @property
+    def http_version(self) -> str:
+        """The version of the latest request."""
 
-    def flush(self) -> None: ...
+    def ends_with(self, writer: ResponseWriter) -> bool:
+        """Return True if the connection closes after this response because the gateway shuts down."""
 
-    def cut_off(self) -> None: ...
+    def flush(self) -> None:
+        """Write the responses that are ready."""
 
-    def client_disconnected(self) -> bool: ...
+    def cut_off(self) -> None:
+        """Reset the connection."""
 
+    def client_disconnected(self) -> bool:
+        """Return True if the client has closed its side of the connection."""
 
-class ResponseWriter:
-    """One request on a connection and its answer, which goes out when those before it have gone."""
-
-    __slots__ = ("chunked", "connection", "keep", "live", "number", "source", "streaming", "text")
 
-    def __init__(self, connection: Connection, keep: bool) -> None:
-        self.connection, self.keep = connection, keep
-        self.number = 0  # the driver's name for it, if it was taken
-        self.text: bytes | None = None  # what is due to be written
-        self.source: StreamSource | None = None  # of a long answer
-        self.streaming = self.chunked = False  # more is to come; in chunks
-        self.live = False  # it is at the front: what comes is written at once
+class ResponseWriter:
+    """One response; it is written once all responses before it are."""
+
+    __slots__ = (
+        "chunked",
+        "connection",
+        "is_sending",
+        "keep_alive",
+        "request_id",
+        "source",
+        "streaming",
+        "unsent",
+    )
+
+    def __init__(self, connection: ResponseConnection, keep_alive: bool) -> None:
+        """Take the connection, and whether it stays open after this response."""
+        self.connection = connection
+        self.keep_alive = keep_alive
+        self.request_id = 0  # the dispatcher's id; 0 for a request that was not submitted
+        self.unsent: bytes | None = None  # bytes to write; None until the response begins
+        self.source: StreamSource | None = None  # the upstream of a streamed response
+        self.streaming = False  # more of a streamed response is to come
+        self.chunked = False
+        self.is_sending = False  # it is the first response: what comes is written at once
+
+    def start_sending(self) -> bytes | None:
+        """Return the bytes to write; later ones are written as they come."""
+        data = self.unsent
+        self.is_sending = True
+        self.unsent = b""
+        return data
 
     def send(self, status: int, body: bytes, headers: bytes = b"") -> None:
-        if self.text is not None:
+        """Send a complete response, unless one has begun; `headers` are complete lines."""
+        if self.unsent is not None:
             return
-        self.keep = self.keep and not self.connection.ends_with(self)
-        self.text = b"HTTP/1.1 %d %b\r\n%b%bContent-Length: %d\r\n\r\n%b" % (
+        self.keep_alive = self.keep_alive and not self.connection.ends_with(self)
+        self.unsent = b"HTTP/1.1 %d %b\r\n%b%bContent-Length: %d\r\n\r\n%b" % (
             status,
-            REASONS[status],
+            REASON_PHRASES[status],
             headers,
-            b"" if self.keep else b"Connection: close\r\n",
+            b"" if self.keep_alive else b"Connection: close\r\n",
             len(body),
             body,
         )
         self.connection.flush()
 
     def client_disconnected(self) -> bool:
+        """Return True if the client has closed its side of the connection."""
         return self.connection.client_disconnected()
 
     def begin_stream(self, head: ResponseHead, source: StreamSource) -> None:
-        """A long answer: its head, then `pass_on` for its pieces, and `end` or `cut`."""
-        self.chunked = head.length is None and self.connection.version != "1.0"
-        self.keep = self.keep and not self.connection.ends_with(self)
+        """Send the head of a streamed response; `source` is paused while the client can't take more."""
+        self.chunked = head.length is None and self.connection.http_version != "1.0"
+        self.keep_alive = self.keep_alive and not self.connection.ends_with(self)
         framing = b"Transfer-Encoding: chunked\r\n" if self.chunked else b""
         if head.length is not None:
             framing = b"Content-Length: %d\r\n" % head.length
-        self.text = b"HTTP/1.1 200 OK\r\n%b%b%b\r\n" % (
+        self.unsent = b"HTTP/1.1 200 OK\r\n%b%b%b\r\n" % (
             head.headers,
-            b"" if self.keep else b"Connection: close\r\n",
+            b"" if self.keep_alive else b"Connection: close\r\n",
             framing,
         )
-        self.source, self.streaming = source, True
+        self.source = source
+        self.streaming = True
         self.connection.flush()
-        if not self.live or self.connection.stuck:
+        if not self.is_sending or self.connection.stuck:
             source.pause()
 
     def write_body(self, piece: bytes) -> None:
+        """Send a part of a streamed body."""
         self.write(chunk(piece) if self.chunked else piece)
 
-    def write(self, text: bytes) -> None:
+    def write(self, data: bytes) -> None:
+        """Write to the transport, or buffer until the responses before this one are written."""
         transport = self.connection.transport
-        if not self.live:
-            self.text = (self.text or b"") + text
+        if not self.is_sending:
+            self.unsent = (self.unsent or b"") + data
         elif transport is not None:
-            transport.write(text)
+            transport.write(data)
 
     def end_stream(self) -> None:
-        """All of a long answer has been passed on."""
+        """End a streamed response that is complete."""
         if self.chunked:
             self.write(LAST_CHUNK)
-        self.streaming, self.source = False, None
+        self.streaming = False
+        self.source = None
         self.connection.flush()
 
     def abort_stream(self) -> None:
-        """The rest of a long answer will not come: its client must be able to tell."""
-        self.streaming, self.source = False, None
-        if self.live:
+        """End a streamed response that is incomplete, so that the client can tell."""
+        self.streaming = False
+        self.source = None
+        if self.is_sending:
             self.connection.cut_off()
-        else:  # none of it has gone out
-            self.text = None
+        else:  # nothing of it has been written
+            self.unsent = None
             self.send(502, b"")
--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -8,7 +8,9 @@
 import pytest
 
 from quota_gateway.body_streaming import HELD, MOST_BODY
-from quota_gateway.downstream.client_connection import MOST_ERRORS, MOST_HEAD, SETTLED
+from quota_gateway.downstream.connection_eviction import UNUSED_AFTER
+from quota_gateway.downstream.request_handler import MAX_INVALID_REQUESTS
+from quota_gateway.downstream.request_reader import MAX_HEAD_SIZE
 from quota_gateway.upstream.connection_pool import RESTED
 from tests.fakes import SOON, Asked, message, serve, serve_after
 from tests.harness import READY, Client, GatewayHarness, request, roomy_settings, run, running
@@ -143,7 +145,7 @@
         (request(1, "extract", Transfer_Encoding="identity"), 400),
         (request(1, "extract", Content_Length=str(MOST_BODY + 1)), 413),
         (request(1, "extract", Content_Length=str(MOST_BODY), Plan="gold"), 400),
-        (b"GET /api HTTP/1.1\r\nX-Long: " + b"x" * (4 * MOST_HEAD), 431),
+        (b"GET /api HTTP/1.1\r\nX-Long: " + b"x" * (4 * MAX_HEAD_SIZE), 431),
     ],
 )
 def test_bad_input_is_told_and_reaches_nobody(text: bytes, status: int) -> None:
@@ -226,9 +228,9 @@
         client.send(request(1)[:40])
         await until(lambda: any(c.in_request for c in front.connections))
         front.max_connections = len(front.connections)
-        assert not front.has_room()
+        assert not front.has_capacity()
         assert not any(c.closing for c in front.connections)
-        front.clock = lambda: now + 2 * SETTLED
+        front.clock = lambda: now + 2 * UNUSED_AFTER
         other = await bed.client()
         assert (await other.ask(READY))[0] == 200
         assert (await client.answer())[0] == 408 and await client.closed()
@@ -273,8 +275,8 @@
             client.send(sent)
             await until(lambda: len(front.connections) == 1)
             (connection,) = front.connections
-            await until(lambda: (connection.received > 0) == bool(sent))
-            assert connection.in_request == connection.used == (status > 0)
+            await until(lambda: (connection.requests.received_at > 0) == bool(sent))
+            assert connection.in_request == connection.requests.any_request_started == (status > 0)
             front.clock = lambda: now + 1.9
             front.sweep()
             assert not connection.closing
@@ -325,9 +327,9 @@
         bad = request(1, Plan="gold")
         assert (await client.ask(bad))[0] == 400
         (connection,) = bed.process.listener.connections
-        assert connection.rest is not None and connection.paused
+        assert connection.requests.error_pause is not None and connection.paused
         client.send(bad * 300)
-        for _ in range(MOST_ERRORS - 1):
+        for _ in range(MAX_INVALID_REQUESTS - 1):
             assert (await client.answer())[0] == 400
         assert await client.closed()
 
--- a/tests/test_client_disconnect.py
+++ b/tests/test_client_disconnect.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from quota_gateway.downstream.client_connection import MOST_PIPELINED
+from quota_gateway.downstream.client_connection import MAX_PIPELINED_REQUESTS
 from tests.fakes import HOST, Asked, message, settings_text
 from tests.harness import Client, GatewayHarness, request, roomy_settings, run, running
 
@@ -19,7 +19,7 @@
 
 @pytest.fixture(autouse=True)
 def at_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("quota_gateway.downstream.client_connection.GONE_AFTER", 0.0)
+    monkeypatch.setattr("quota_gateway.downstream.half_close.GRACE_PERIOD", 0.0)
 
 
 async def until(done: Callable[[], bool]) -> None:
@@ -143,9 +143,9 @@
         async with running(env=patient(settings_text())) as bed:
             bed.counter.free.clear()
             client, front = await bed.client(), bed.process.listener
-            client.send(b"".join(request(number) for number in range(8 * MOST_PIPELINED)))
+            client.send(b"".join(request(number) for number in range(8 * MAX_PIPELINED_REQUESTS)))
             await until(lambda: any(c.paused for c in front.connections))
-            assert len(bed.process.dispatcher.active_requests) >= MOST_PIPELINED
+            assert len(bed.process.dispatcher.active_requests) >= MAX_PIPELINED_REQUESTS
             if leave == "closes":
                 client.writer.close()
             else:
--- a/tests/test_connection_faults.py
+++ b/tests/test_connection_faults.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from quota_gateway.downstream.client_connection import MOST_ERRORS
+from quota_gateway.downstream.request_handler import MAX_INVALID_REQUESTS
 from quota_gateway.model.outcomes import Outcome
 from tests.harness import GatewayHarness, request, roomy_settings, run, running
 from tests.test_upstream_connections import sending
@@ -164,8 +164,8 @@
         async with running() as bed:
             client = await bed.client()
             client.send(request(1, drop="Plan") * 8000)
-            statuses = [(await client.answer())[0] for _ in range(MOST_ERRORS)]
-            assert statuses == [400] * MOST_ERRORS
+            statuses = [(await client.answer())[0] for _ in range(MAX_INVALID_REQUESTS)]
+            assert statuses == [400] * MAX_INVALID_REQUESTS
             assert await client.closed()
 
     run(test)
--- a/tests/test_no_attempt_after_disconnect.py
+++ b/tests/test_no_attempt_after_disconnect.py
@@ -15,7 +15,8 @@
 
 from quota_gateway.body_streaming import HELD
 from quota_gateway.dispatch.dispatcher import RequestDispatcher
-from quota_gateway.downstream.client_connection import MOST_PIPELINED, ClientConnection
+from quota_gateway.downstream.client_connection import MAX_PIPELINED_REQUESTS
+from quota_gateway.downstream.half_close import HalfClose
 from quota_gateway.model.timers import ReleaseQueueTimer
 from tests.fakes import Asked, FakeBackend, message, serve, settings_text
 from tests.harness import Client, GatewayHarness, request, roomy_settings, running
@@ -138,9 +139,9 @@
         if state in ("counter", "pipelined", "paused"):
             bed.counter.free.clear()
             come = bed.counter.free.set
-            number = {"counter": 1, "pipelined": 2, "paused": 8 * MOST_PIPELINED}[state]
+            number = {"counter": 1, "pipelined": 2, "paused": 8 * MAX_PIPELINED_REQUESTS}[state]
             client.send(b"".join(request(n) for n in range(number)))
-            await until(lambda: len(driver.active_requests) >= min(number, MOST_PIPELINED))
+            await until(lambda: len(driver.active_requests) >= min(number, MAX_PIPELINED_REQUESTS))
             if state == "paused":
                 await until(lambda: any(c.paused for c in bed.process.listener.connections))
         elif state == "held":
@@ -236,21 +237,21 @@
     """Each event takes 0.4 ms: the last end is read 0.2 s after it came, what it waited for comes before."""
     cost, busy = 0.0004, False
     reacted: list[float] = []
-    handle, close = RequestDispatcher.handle, ClientConnection.client_closed
+    handle, begin_grace_period = RequestDispatcher.handle, HalfClose.begin
 
     def slow(driver: RequestDispatcher, event: Any, due: float) -> None:
         if busy:
             this_loop().now += cost
         handle(driver, event, due)
 
-    def closed(connection: ClientConnection) -> None:
+    def begin(half_close: HalfClose) -> None:
         if busy:
             this_loop().now += cost
         reacted.append(this_loop().now)
-        close(connection)
+        begin_grace_period(half_close)
 
     monkeypatch.setattr(RequestDispatcher, "handle", slow)
-    monkeypatch.setattr(ClientConnection, "client_closed", closed)
+    monkeypatch.setattr(HalfClose, "begin", begin)
 
     async def test() -> None:
         nonlocal busy
