--- a/quota_gateway/downstream/client_connection.py
+++ b/quota_gateway/downstream/client_connection.py
@@ -22,7 +22,7 @@
 from quota_gateway.errors import InvalidRequestError
 
 MAX_PIPELINED_REQUESTS = 16  # unanswered requests on one connection; further ones stay unread
-PARSE_SIZE = 8192  # bytes parsed at a time: only the small requests in so many can exceed the limit above
+PARSE_SIZE = 8192  # bytes parsed at a time, which bounds the requests accepted past the limit above
 
 
 class RequestListener(Listener, DispatchingListener, Protocol):
@@ -55,7 +55,7 @@
 
     @property
     def in_request(self) -> bool:
-        """True while a request has begun to come and is not complete."""
+        """True while a request is partly read."""
         return self.requests.in_request
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -204,14 +204,14 @@
         return self.responses.is_first(self.requests.streaming_writer)
 
     def is_idle(self) -> bool:
-        """Return True if no request is in flight here, nor has begun to come."""
+        """Return True if no request is in flight here or partly read."""
         return not (self.responses or self.closing or self.unread or self.in_request)
 
     # The request's fields, as the tests of body streaming read them.
 
     @property
     def body_stream(self) -> RequestBodyStream | None:
-        """The body that is being forwarded."""
+        """The body that is being forwarded, if any."""
         return self.requests.body_stream
 
     @property
@@ -221,7 +221,7 @@
 
     @property
     def body_size(self) -> int:
-        """The bytes that have come of the request's body."""
+        """The bytes read of the request's body."""
         return self.requests.body_size
 
     def body_stands(self, now: float) -> bool:
--- a/quota_gateway/downstream/client_listener.py
+++ b/quota_gateway/downstream/client_listener.py
@@ -110,13 +110,13 @@
                     return False
                 continue  # the client has disconnected
             sock.setblocking(False)
-            task = self.loop.create_task(self.connect(sock))
+            task = self.loop.create_task(self.open_connection(sock))
             self.accepting.add(task)
             task.add_done_callback(self.accepting.discard)
         return True
 
-    async def connect(self, sock: socket.socket) -> None:
-        """Make a connection of an accepted socket."""
+    async def open_connection(self, sock: socket.socket) -> None:
+        """Create the connection of an accepted socket."""
         try:
             await self.loop.connect_accepted_socket(lambda: ClientConnection(self), sock)
         except OSError:
@@ -183,7 +183,7 @@
             self.listener = None
 
     def has_open_connections(self) -> bool:
-        """Return True while there is a connection on which a request may still come."""
+        """Return True while there is a connection on which a request may still arrive."""
         return bool(self.accepting) or any(not c.closing for c in self.connections)
 
     async def wait_until_flushed(self, timeout: float) -> None:
--- a/quota_gateway/downstream/connection_limits.py
+++ b/quota_gateway/downstream/connection_limits.py
@@ -5,10 +5,11 @@
 from quota_gateway.body_streaming import HELD
 from quota_gateway.downstream.request_reader import RequestReader
 
-READ_TIMEOUT = 2.5  # seconds for a complete head, and for the first byte of a new connection
-BODY_STALL_TIMEOUT = 2.0  # seconds without a byte of a body of which little has come
-LARGE_BODY_STALL_TIMEOUT = 6.0  # seconds, of a body of which more than the buffered size has come
-MIN_BODY_RATE = 16 * 1024  # bytes a second; a body below it never ends. Not for one that is large already
+READ_TIMEOUT = 2.5  # seconds for a complete head, and for a new connection's first byte: an error or a close
+# is due within 3
+BODY_STALL_TIMEOUT = 2.0  # seconds without a byte, for a body of which little has been read
+LARGE_BODY_STALL_TIMEOUT = 6.0  # seconds; the same, for a body that exceeds the buffered size already
+MIN_BODY_RATE = 16 * 1024  # bytes a second, for a body of which little has been read: a slower one never ends
 IDLE_TIMEOUT = 10.0  # seconds without a request, after which a connection is closed
 CROWDED_IDLE_TIMEOUT = 2.1  # seconds; the same while many connections are open
 CROWDED_FRACTION = 0.5  # of the connections that may be open, from which the shorter timeout holds
@@ -41,7 +42,7 @@
 
 
 def is_body_stalled(request: RequestReader, last_read_at: float, now: float) -> bool:
-    """Return True if no more of the body comes, or so little that it never ends."""
+    """Return True if the body has stalled, or is too slow ever to end."""
     stalled_for = now - last_read_at
     if request.body_size >= HELD:
         return stalled_for > LARGE_BODY_STALL_TIMEOUT
--- a/quota_gateway/downstream/flow_control.py
+++ b/quota_gateway/downstream/flow_control.py
@@ -1,4 +1,4 @@
-"""Reading, writing and closing of an accepted connection, whatever it carries."""
+"""Flow control and closing of an accepted connection, whatever protocol it carries."""
 
 from __future__ import annotations
 
@@ -25,9 +25,7 @@
     def __init__(self, listener: Listener) -> None:
         """Start without a transport."""
         self.listener = listener
-        self.transport: asyncio.Transport | None = (
-            None  # None before the connection is made and once it is lost
-        )
+        self.transport: asyncio.Transport | None = None  # set while the connection is open
         self.descriptor = -1
         self.unread = b""  # bytes that have been received and not processed
         self.heard_at = listener.clock()  # seconds: when something was last received, or reading was resumed
--- a/quota_gateway/downstream/half_close.py
+++ b/quota_gateway/downstream/half_close.py
@@ -1,6 +1,7 @@
 """Clients that end their sending while requests are in flight.
 
-By the protocol such a client has gone, though it may only have half-closed its connection and still read.
+The protocol treats such a client as disconnected, though it may only have half-closed its connection and
+still read its responses.
 """
 
 from __future__ import annotations
--- a/quota_gateway/downstream/request_handler.py
+++ b/quota_gateway/downstream/request_handler.py
@@ -86,7 +86,7 @@
             connection.transport.write(CONTINUE_RESPONSE)
 
     def start_body_stream(self, length: int | None) -> None:
-        """Submit a request whose body is too large to buffer; it is forwarded as it comes."""
+        """Submit a request whose body is too large to buffer; it is forwarded as it is received."""
         connection = self.connection
         if self.error is not None or connection is None:
             return
--- a/quota_gateway/downstream/request_reader.py
+++ b/quota_gateway/downstream/request_reader.py
@@ -40,7 +40,7 @@
         """Start between two requests; `now` is the time of the connection's start in seconds."""
         self.parser: httptools.HttpRequestParser | None = httptools.HttpRequestParser(self)
         self.parsing = False  # the parser is on the call stack and must not be entered again
-        self.received_at = 0.0  # seconds: when the latest bytes came; 0 before the first
+        self.received_at = 0.0  # seconds: when the latest bytes were received; 0 before the first
         self.request_started_at = now
         self.body_started_at = now
         self.any_request_started = False
@@ -49,7 +49,7 @@
         self.head_size = 0  # bytes fed while in a head
         self.http_version = "1.1"
         self.expects_continue = False  # the client waits for "100 Continue" before it sends its body
-        self.body_stream: RequestBodyStream | None = None  # set while a body is forwarded as it comes
+        self.body_stream: RequestBodyStream | None = None  # set while a body is forwarded as it is received
         self.reset_request()
 
     def reset_request(self) -> None:
@@ -57,7 +57,7 @@
         self.target = b""
         self.headers: dict[bytes, bytes] = {}
         self.body: list[bytes] = []
-        self.body_size = 0  # bytes, also of a body that is forwarded as it comes
+        self.body_size = 0  # bytes read so far, also of a body that is forwarded
         self.error: InvalidRequestError | None = None  # the response once the request is complete
 
     @abstractmethod
--- a/quota_gateway/downstream/request_router.py
+++ b/quota_gateway/downstream/request_router.py
@@ -31,7 +31,7 @@
         path = reader.path()
         if path == READINESS_PATH:
             self.answer_readiness_check(reader, writer)
-        elif client_closed:  # by the protocol such a client has gone
+        elif client_closed:  # the protocol treats such a client as disconnected
             writer.send(429, b"")
         else:
             self.check_api_request(reader, path)
@@ -40,7 +40,7 @@
             writer.request_id = self.dispatcher.submit(request, writer)
 
     def parse_streamed(self, reader: RequestReader, length: int | None) -> ClientRequest:
-        """Return a request whose body is still to come; raises InvalidRequestError."""
+        """Return a request whose body has yet to be read; raises InvalidRequestError."""
         self.check_api_request(reader, reader.path())
         request = self.parser.parse_streamed(reader, length)
         self.check_call_id(request)
--- a/quota_gateway/downstream/response_queue.py
+++ b/quota_gateway/downstream/response_queue.py
@@ -14,7 +14,7 @@
     """Why a flush of the responses stopped."""
 
     WAITING = auto()  # the next response has not begun, or there is none
-    STREAMING = auto()  # the first response has begun and has more to come
+    STREAMING = auto()  # the first response has begun and is incomplete
     CLOSE = auto()  # a response was written after which the connection closes
 
 
@@ -28,7 +28,7 @@
         return not self or self[0] is writer
 
     def flush(self, transport: asyncio.Transport) -> FlushResult:
-        """Write what is ready, up to the first response that has more to come."""
+        """Write what is ready, up to the first response that is incomplete."""
         while self and self[0].unsent is not None:
             writer = self[0]
             data = writer.start_sending()
@@ -60,7 +60,10 @@
                 yield writer.request_id
 
     def take_incomplete(self) -> Iterator[int]:
-        """Remove all; yield the ids of submitted requests whose response is incomplete at their turn."""
+        """Remove all; yield the ids of submitted requests whose response is incomplete at their turn.
+
+        Nothing is removed before the first step of the iteration.
+        """
         writers = list(self)
         self.clear()
         for writer in writers:
--- a/quota_gateway/downstream/response_writer.py
+++ b/quota_gateway/downstream/response_writer.py
@@ -1,4 +1,4 @@
-"""The response to one request: complete at once, or a stream that is forwarded as it comes."""
+"""The response to one request: complete at once, or a stream that is forwarded as it is received."""
 
 from __future__ import annotations
 
@@ -67,12 +67,12 @@
         self.request_id = 0  # the dispatcher's id; 0 for a request that was not submitted
         self.unsent: bytes | None = None  # bytes to write; None until the response begins
         self.source: StreamSource | None = None  # the upstream of a streamed response
-        self.streaming = False  # more of a streamed response is to come
+        self.streaming = False  # a streamed response is incomplete
         self.chunked = False
-        self.is_sending = False  # it is the first response: what comes is written at once
+        self.is_sending = False  # it is the first response: what is added is written at once
 
     def start_sending(self) -> bytes | None:
-        """Return the bytes to write; later ones are written as they come."""
+        """Return the bytes to write; later ones are written at once."""
         data = self.unsent
         self.is_sending = True
         self.unsent = b""
