--- a/quota_gateway/gateway_process.py
+++ b/quota_gateway/gateway_process.py
@@ -19,7 +19,7 @@
 from quota_gateway.discovery.client import DiscoveryClient
 from quota_gateway.discovery.poll_schedule import poll_schedule_for
 from quota_gateway.dispatch.dispatcher import RequestDispatcher
-from quota_gateway.downstream.client_connection import ClientListener
+from quota_gateway.downstream.client_listener import ClientListener
 from quota_gateway.engine.policy_engine import PolicyEngine
 from quota_gateway.hot_restart.coordinator import HotRestartCoordinator
 from quota_gateway.model.charges import UnitsCharged
--- a/quota_gateway/shutdown.py
+++ b/quota_gateway/shutdown.py
@@ -5,7 +5,7 @@
 import asyncio
 
 from quota_gateway.dispatch.dispatcher import RequestDispatcher
-from quota_gateway.downstream.client_connection import ClientListener
+from quota_gateway.downstream.client_listener import ClientListener
 from quota_gateway.model.settings import Settings
 
 ACCEPT_WINDOW = 0.5  # seconds after SIGTERM in which clients still connect, by the protocol, and a margin
