--- a/quota_gateway/metrics.py
+++ b/quota_gateway/metrics.py
@@ -1,44 +1,52 @@
-"""What operators read: counts of this process since its start, and their wording."""
+"""Counters of this process since its start, and their text format for operators."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable, Mapping
 
-PREFIX = "svc"
-SERVED, REFUSED = (200,), (429, 503)  # the statuses that the protocol takes for these; any other has failed
+METRIC_PREFIX = "svc"
+
+# The protocol's meaning of a response status; any status that is in neither set is an error.
+SUCCESS_STATUSES = frozenset({200})
+OVERLOAD_STATUSES = frozenset({429, 503})
 
 
 class Metrics:
-    """Counts requests where they end. A request is counted once, by the class that it came with."""
+    """Counts each request once, when it ends, under its request class."""
 
-    def __init__(self, classes: Iterable[str]) -> None:
-        self.success = dict.fromkeys(classes, 0)
+    def __init__(self, request_classes: Iterable[str]) -> None:
+        """Start all counters at zero; `request_classes` names every class that requests may have."""
+        self.success = dict.fromkeys(request_classes, 0)
         self.overload = dict.fromkeys(self.success, 0)
         self.error = dict.fromkeys(self.success, 0)
-        self.reload_success = self.reload_failure = 0
-
-    def request_ended(self, klass: str, status: int) -> None:
-        if status in SERVED:
-            self.success[klass] += 1
-        elif status in REFUSED:
-            self.overload[klass] += 1
+        self.reload_success = 0
+        self.reload_failure = 0
+
+    def request_ended(self, request_class: str, status: int) -> None:
+        """Count a request by the status of its final response."""
+        if status in SUCCESS_STATUSES:
+            self.success[request_class] += 1
+        elif status in OVERLOAD_STATUSES:
+            self.overload[request_class] += 1
         else:
-            self.error[klass] += 1
+            self.error[request_class] += 1
 
-    def reloaded(self, done: bool) -> None:
-        if done:
+    def reloaded(self, succeeded: bool) -> None:
+        """Count a reload of the configuration."""
+        if succeeded:
             self.reload_success += 1
         else:
             self.reload_failure += 1
 
-    def text(self, standing: Mapping[str, int]) -> str:
-        """One `name=value` a line; `standing` has the figures that are read, not counted."""
-        counts = {"success": self.success, "overload": self.overload, "error": self.error}
+    def text(self, gauges: Mapping[str, int]) -> str:
+        """Return one `name=value` a line: the counters, with the current `gauges` among them."""
+        counters = {"success": self.success, "overload": self.overload, "error": self.error}
         lines = [
-            f"{name}.{klass}={number}"
-            for name, by_class in counts.items()
-            for klass, number in by_class.items()
+            f"{name}.{request_class}={count}"
+            for name, counts_by_class in counters.items()
+            for request_class, count in counts_by_class.items()
         ]
-        lines += [f"{name}={number}" for name, number in standing.items()]
-        lines += [f"reload_success={self.reload_success}", f"reload_failure={self.reload_failure}"]
-        return "".join(f"{PREFIX}.{line}\n" for line in lines)
+        lines += [f"{name}={value}" for name, value in gauges.items()]
+        lines.append(f"reload_success={self.reload_success}")
+        lines.append(f"reload_failure={self.reload_failure}")
+        return "".join(f"{METRIC_PREFIX}.{line}\n" for line in lines)
