--- a/quota_gateway/dispatch/dispatcher.py
+++ b/quota_gateway/dispatch/dispatcher.py
@@ -10,12 +10,13 @@
 import logging
 from collections import deque
 from collections.abc import Callable
-from dataclasses import dataclass, replace
-from typing import Protocol
+from dataclasses import replace
 
-from quota_gateway.body_streaming import RequestBodyStream, ResponseHead, StreamSink, StreamSource
+from quota_gateway.body_streaming import ResponseHead, StreamSink
 from quota_gateway.counter.client import CounterClient
 from quota_gateway.discovery.client import EndpointUpdate
+from quota_gateway.dispatch.client_request import ClientRequest as ClientRequest
+from quota_gateway.dispatch.client_request import ResponseChannel
 from quota_gateway.metrics import Metrics
 from quota_gateway.model.actions import (
     Action,
@@ -61,41 +62,6 @@
 log = logging.getLogger("quota_gateway")
 
 
-@dataclass(slots=True)
-class ClientRequest:
-    """A client's request in the protocol's terms, as it goes to the module and to backends."""
-
-    call_id: bytes
-    received_at: float
-    budget: float
-    request_class: str
-    plan: str
-    customer: str
-    units: float
-    quota_spread: int
-    first_gateway: int
-    is_retry: bool
-    head: bytes  # request line and headers for a backend, but for the budget and the blank line
-    body: bytes
-    body_stream: RequestBodyStream | None = (
-        None  # in the place of the body, for a long one that is still to come
-    )
-
-
-class ResponseChannel(StreamSink, Protocol):
-    """Where a request's answer goes: whole, or begun, passed on and ended."""
-
-    def send(self, status: int, body: bytes, headers: bytes = b"") -> None: ...
-
-    def begin_stream(self, head: ResponseHead, source: StreamSource) -> None: ...
-
-    def end_stream(self) -> None: ...
-
-    def abort_stream(self) -> None: ...
-
-    def client_disconnected(self) -> bool: ...
-
-
 class ActiveRequest:
     """A request that was taken, until it has its answer and the last of its attempts has ended."""
 
