--- a/quota_gateway/downstream/client_connection.py
+++ b/quota_gateway/downstream/client_connection.py
@@ -14,7 +14,8 @@
 import httptools
 
 from quota_gateway.body_streaming import HELD, MOST_BODY, READ_AT_ONCE, RequestBodyStream
-from quota_gateway.dispatch.dispatcher import ClientRequest, RequestDispatcher
+from quota_gateway.dispatch.client_request import ClientRequest
+from quota_gateway.dispatch.dispatcher import RequestDispatcher
 from quota_gateway.downstream.disconnect_monitor import DisconnectMonitor
 from quota_gateway.downstream.request_parser import RequestParser
 from quota_gateway.downstream.response_writer import ResponseWriter
--- a/quota_gateway/downstream/request_parser.py
+++ b/quota_gateway/downstream/request_parser.py
@@ -10,7 +10,7 @@
 from functools import lru_cache
 
 from quota_gateway.body_streaming import RequestBodyStream
-from quota_gateway.dispatch.dispatcher import ClientRequest
+from quota_gateway.dispatch.client_request import ClientRequest
 from quota_gateway.errors import InvalidRequestError
 from quota_gateway.model.settings import Idempotency, Settings
 
