--- a/quota_gateway/dispatch/dispatcher.py
+++ b/quota_gateway/dispatch/dispatcher.py
@@ -10,13 +10,12 @@
 import logging
 from collections import deque
 from collections.abc import Callable
-from dataclasses import replace
 
 from quota_gateway.body_streaming import ResponseHead, StreamSink
 from quota_gateway.counter.client import CounterClient
 from quota_gateway.discovery.client import EndpointUpdate
-from quota_gateway.dispatch.client_request import ClientRequest as ClientRequest
-from quota_gateway.dispatch.client_request import ResponseChannel
+from quota_gateway.dispatch.client_request import ClientRequest, ResponseChannel
+from quota_gateway.dispatch.endpoint_updates import update_pool
 from quota_gateway.metrics import Metrics
 from quota_gateway.model.actions import (
     Action,
@@ -30,13 +29,11 @@
     StartAttempt,
 )
 from quota_gateway.model.charges import UnitsCharged
-from quota_gateway.model.endpoints import Endpoint, EndpointStatus
 from quota_gateway.model.events import (
     AttemptEnded,
     ClientDisconnected,
     ClientHalfClosed,
     CounterReply,
-    EndpointListUpdate,
     Event,
     RequestBodyConsumed,
     RequestBodyReceived,
@@ -236,24 +233,9 @@
             if not attempt.ended and not sent:
                 attempt.end(AttemptResult(Outcome.NOT_SENT))
 
-    def apply_endpoint_update(self, listing: EndpointUpdate) -> None:
-        backends: list[Endpoint] = []
-        for entry in listing.entries:
-            backend = entry.endpoint
-            if backend.status is EndpointStatus.SERVING:
-                # an address that goes to a new id is no longer the old one's, whose end may be told later
-                for old in self.pool.endpoints_at(entry.address):
-                    if old != backend.endpoint_id:
-                        self.pool.retire(old)
-                        backends.append(replace(backend, endpoint_id=old, status=EndpointStatus.REMOVED))
-                self.pool.set_address(backend.endpoint_id, entry.address, backend.started_at)
-            else:
-                self.pool.retire(backend.endpoint_id)
-            backends.append(backend)
-        if listing.is_full:
-            named = {b.endpoint_id for b in backends}
-            self.pool.retain_only(named)
-        self.post(EndpointListUpdate(listing.kind, tuple(backends)))
+    def apply_endpoint_update(self, update: EndpointUpdate) -> None:
+        """Take a full endpoint list or changes of it."""
+        self.post(update_pool(self.pool, update))
 
     def set_maintenance(self, backend: str, out: bool) -> bool:
         """An operator's word on a backend; False for an id that nobody has."""
--- /dev/null
+++ b/quota_gateway/dispatch/endpoint_updates.py
@@ -0,0 +1,37 @@
+"""Applies updates of the endpoint list to the connection pool."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+
+from quota_gateway.discovery.client import EndpointEntry, EndpointUpdate
+from quota_gateway.model.endpoints import Endpoint, EndpointStatus
+from quota_gateway.model.events import EndpointListUpdate
+from quota_gateway.upstream.connection_pool import ConnectionPool
+
+
+def update_pool(pool: ConnectionPool, update: EndpointUpdate) -> EndpointListUpdate:
+    """Bring the pool's endpoints up to date and return the event that reports the update."""
+    endpoints: list[Endpoint] = []
+    for entry in update.entries:
+        endpoint = entry.endpoint
+        if endpoint.status is EndpointStatus.SERVING:
+            endpoints += _remove_previous_endpoints(pool, entry)
+            pool.set_address(endpoint.endpoint_id, entry.address, endpoint.started_at)
+        else:
+            pool.retire(endpoint.endpoint_id)
+        endpoints.append(endpoint)
+    if update.is_full:
+        pool.retain_only({endpoint.endpoint_id for endpoint in endpoints})
+    return EndpointListUpdate(update.kind, tuple(endpoints))
+
+
+def _remove_previous_endpoints(pool: ConnectionPool, entry: EndpointEntry) -> list[Endpoint]:
+    """Retire other endpoints at the entry's address; discovery may report their removal only later."""
+    endpoint = entry.endpoint
+    removed = []
+    for endpoint_id in pool.endpoints_at(entry.address):
+        if endpoint_id != endpoint.endpoint_id:
+            pool.retire(endpoint_id)
+            removed.append(replace(endpoint, endpoint_id=endpoint_id, status=EndpointStatus.REMOVED))
+    return removed
