--- a/quota_gateway/dispatch/__init__.py
+++ b/quota_gateway/dispatch/__init__.py
@@ -1,1 +1,1 @@
-"""Joins the decisions to the sockets."""
+"""Connects the policy engine to the sockets and keeps track of the requests in progress."""
--- /dev/null
+++ b/quota_gateway/dispatch/action_executor.py
@@ -0,0 +1,132 @@
+"""Carries out the actions of the policy engine."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+from collections.abc import Callable
+from http import HTTPStatus
+from typing import Protocol
+
+from quota_gateway.counter.client import CounterClient
+from quota_gateway.dispatch.request_registry import RequestRegistry
+from quota_gateway.model.actions import (
+    Action,
+    CancelAttempt,
+    CloseIdleConnections,
+    DrainClientConnections,
+    FailRequest,
+    IncrementCounter,
+    PollEndpoints,
+    Reject,
+    SetTimer,
+    StartAttempt,
+)
+from quota_gateway.model.charges import UnitsCharged
+from quota_gateway.model.events import CounterReply, Event
+from quota_gateway.model.outcomes import Outcome
+from quota_gateway.model.timers import Timer
+from quota_gateway.upstream.connection_pool import AttemptResult, ConnectionPool
+
+log = logging.getLogger("quota_gateway")
+
+
+class ActionContext(Protocol):
+    """What actions reach beside the pool and the requests; the optional parts may be set at any time."""
+
+    counter: CounterClient | None
+    drain_clients: Callable[[bool], None] | None
+    report_units: Callable[[UnitsCharged], None] | None
+
+    def post(self, event: Event) -> None:
+        """Take an event for the policy engine."""
+
+    def timer_fired(self, timer: Timer, due: float) -> None:
+        """Handle a timer that was due at `due`."""
+
+
+class ActionExecutor:
+    """Carries out one action at a time, in the order in which the policy engine gave them."""
+
+    def __init__(
+        self,
+        context: ActionContext,
+        registry: RequestRegistry,
+        pool: ConnectionPool,
+        clock: Callable[[], float],
+        loop: asyncio.AbstractEventLoop,
+    ) -> None:
+        """Take the parts that actions work on, and the loop that their timers run on."""
+        self._context = context
+        self._registry = registry
+        self._pool = pool
+        self._clock = clock
+        self._loop = loop
+
+    def execute(self, action: Action) -> None:
+        """Carry out an action of any type."""
+        match action:
+            case StartAttempt():
+                self._start_attempt(action)
+            case SetTimer():
+                self._set_timer(action)
+            case Reject():
+                self._reject(action)
+            case FailRequest():
+                self._answer(action.request_id, HTTPStatus.BAD_GATEWAY)
+            case CancelAttempt():
+                self._cancel_attempt(action)
+            case IncrementCounter():
+                self._increment_counter(action)
+            case CloseIdleConnections():
+                self._pool.close_idle(action.endpoint_id)
+            case DrainClientConnections():
+                if self._context.drain_clients is not None:
+                    self._context.drain_clients(action.enabled)
+            case UnitsCharged():
+                if self._context.report_units is not None:
+                    self._context.report_units(action)
+            case PollEndpoints():
+                pass  # discovery is polled all the time
+
+    def _start_attempt(self, action: StartAttempt) -> None:
+        active_request = self._registry.find(action.request_id)
+        if active_request is None:
+            log.warning("no attempt started for request %d, which is complete", action.request_id)
+            return
+        now = self._clock()
+        attempt = active_request.add_attempt(action, now)
+        is_late = active_request.answered or now >= active_request.deadline
+        if is_late or not active_request.may_begin(now):
+            attempt.end(AttemptResult(Outcome.NOT_SENT))
+        else:
+            self._pool.start(attempt)
+
+    def _cancel_attempt(self, action: CancelAttempt) -> None:
+        active_request = self._registry.find(action.request_id)
+        if active_request is not None and action.attempt_index < len(active_request.attempts):
+            active_request.attempts[action.attempt_index].end(AttemptResult(Outcome.CANCELLED))
+
+    def _reject(self, action: Reject) -> None:
+        headers = b""
+        if action.retry_after > 0:
+            headers = b"Retry-After: %.3f\r\n" % action.retry_after
+        self._answer(action.request_id, HTTPStatus.TOO_MANY_REQUESTS, headers)
+
+    def _answer(self, request_id: int, status: HTTPStatus, headers: bytes = b"") -> None:
+        """Give a request its final response without a body; one that is answered already stays so."""
+        active_request = self._registry.find_unanswered(request_id)
+        if active_request is not None:
+            self._registry.finish(active_request, status, b"", headers)
+            self._registry.remove_if_complete(active_request)
+
+    def _set_timer(self, action: SetTimer) -> None:
+        due = self._clock() + action.delay
+        self._loop.call_later(action.delay, self._context.timer_fired, action.timer, due)
+
+    def _increment_counter(self, action: IncrementCounter) -> None:
+        counter = self._context.counter
+        if counter is None:
+            self._context.post(CounterReply(action.name, Outcome.CONNECT_FAILED, 0.0, 0.0))
+        else:
+            counter.add(action.name, action.amount, action.expire_after)
--- /dev/null
+++ b/quota_gateway/dispatch/active_request.py
@@ -0,0 +1,188 @@
+"""A request that is being served, with the upstream attempts that were made for it."""
+
+from __future__ import annotations
+
+import asyncio
+from http import HTTPStatus
+from typing import Protocol
+
+from quota_gateway.body_streaming import ResponseHead, StreamSink
+from quota_gateway.dispatch.client_request import ClientRequest, ResponseChannel
+from quota_gateway.model.actions import StartAttempt
+from quota_gateway.model.events import RequestReceived
+from quota_gateway.model.outcomes import Outcome
+from quota_gateway.upstream.connection_pool import AttemptResult, UpstreamAttempt
+
+# Seconds before the client's timeout at which the policy engine's deadline ends. The budget runs from the
+# client's send, the response needs its way back, and the core may be busy with another gateway's process.
+RESPONSE_MARGIN = 0.1
+# Seconds before the client's timeout at which the watchdog fails a request that has no response.
+WATCHDOG_MARGIN = 0.05
+MAX_MARGIN_FRACTION = 0.25  # of the budget: the most that the response margin may take of a short one
+BODY_UPLOAD_TIMEOUT = 900.0  # seconds for a streamed body; the downstream side ends one that stalls
+# Seconds after a request's last byte in which an attempt starts without a check whether the client is still
+# connected: the read itself has just shown that.
+DISCONNECT_CHECK_DELAY = 0.01
+
+
+class AttemptObserver(Protocol):
+    """Receives what the attempts of an active request report."""
+
+    def attempt_ended(
+        self, active_request: ActiveRequest, attempt: UpstreamAttempt, result: AttemptResult
+    ) -> None:
+        """Handle the end of an attempt, which is reported once."""
+
+    def start_response_stream(
+        self, active_request: ActiveRequest, attempt: UpstreamAttempt, head: ResponseHead
+    ) -> StreamSink | None:
+        """Return where a long response goes as it arrives, or None if it can't be forwarded."""
+
+
+class ActiveRequest:
+    """A request from its arrival until it is answered and the last of its attempts has ended.
+
+    It owns its attempts and its watchdog timer. Upstream attempts know it as their owner.
+    """
+
+    __slots__ = (
+        "answered",
+        "attempt_start_limit",
+        "attempts",
+        "deadline",
+        "in_flight",
+        "observer",
+        "request",
+        "request_id",
+        "response",
+        "streaming_attempt",
+        "watchdog",
+    )
+
+    def __init__(
+        self, request_id: int, request: ClientRequest, response: ResponseChannel, observer: AttemptObserver
+    ) -> None:
+        """Take the policy engine's id for the request, and where its response and its attempts' ends go."""
+        self.request_id = request_id
+        self.request = request
+        self.response: ResponseChannel | None = response  # None once the request is answered
+        self.observer = observer
+        timeout = self.time_budget if request.body_stream is None else BODY_UPLOAD_TIMEOUT
+        self.deadline = request.received_at + timeout
+        self.attempts: list[UpstreamAttempt] = []
+        self.in_flight = 0  # attempts that have not ended
+        self.answered = False
+        self.streaming_attempt: UpstreamAttempt | None = None  # whose response is being forwarded
+        self.attempt_start_limit: float | None = None  # set when the client half-closes
+        self.watchdog: asyncio.TimerHandle | None = None
+
+    @property
+    def time_budget(self) -> float:
+        """Seconds from the request's last byte to the policy engine's deadline."""
+        budget = self.request.budget
+        return budget - min(RESPONSE_MARGIN, MAX_MARGIN_FRACTION * budget)
+
+    @property
+    def watchdog_due(self) -> float:
+        """The time at which the watchdog fails the request."""
+        request = self.request
+        margin = min(WATCHDOG_MARGIN, MAX_MARGIN_FRACTION * request.budget / 2)
+        return request.received_at + request.budget - margin
+
+    def received_event(self) -> RequestReceived:
+        """Return the event that reports the request to the policy engine."""
+        request = self.request
+        return RequestReceived(
+            self.request_id,
+            request.request_class,
+            request.plan,
+            request.customer,
+            request.received_at + self.time_budget,
+            request.units,
+            request.quota_spread,
+            request.first_gateway,
+            request.is_retry,
+            request.budget,
+            request.body_stream is not None,
+        )
+
+    def may_begin(self, now: float) -> bool:
+        """Return False if an attempt must not start because the client has closed its side."""
+        if self.attempt_start_limit is not None:
+            return now < self.attempt_start_limit
+        if now - self.request.received_at < DISCONNECT_CHECK_DELAY:
+            return True
+        return self.response is None or not self.response.client_disconnected()
+
+    def add_attempt(self, action: StartAttempt, now: float) -> UpstreamAttempt:
+        """Create the attempt that the policy engine asks for; it is in flight but not yet started."""
+        deadline = self.deadline
+        if action.timeout > 0:
+            deadline = min(deadline, now + action.timeout)
+        attempt = UpstreamAttempt(
+            action.endpoint_id,
+            self.request.head,
+            self.request.body,
+            now,
+            deadline,
+            len(self.attempts),
+            self,
+        )
+        attempt.body_stream = self.request.body_stream
+        attempt.start_stream = self.start_stream
+        if action.send_within > 0:
+            attempt.send_deadline = now + action.send_within
+        self.attempts.append(attempt)
+        self.in_flight += 1
+        return attempt
+
+    def attempt_ended(self, attempt: UpstreamAttempt, result: AttemptResult) -> None:
+        """Report the end of an attempt; called once by the attempt itself."""
+        self.observer.attempt_ended(self, attempt, result)
+
+    def start_stream(self, attempt: UpstreamAttempt, head: ResponseHead) -> StreamSink | None:
+        """Return where a long response goes as it arrives, or None if it can't be forwarded."""
+        return self.observer.start_response_stream(self, attempt, head)
+
+    def extend_attempt_deadlines(self, now: float, loop: asyncio.AbstractEventLoop) -> None:
+        """Give the attempts in flight the request's deadline, which has moved."""
+        for attempt in self.attempts:
+            if not attempt.ended:
+                attempt.extend_deadline(self.deadline, now, loop)
+
+    def cancel_unsent_attempts(self) -> None:
+        """End the attempts that have not been sent; a streamed body that was begun is sent to its end."""
+        for attempt in list(self.attempts):
+            is_streaming_body = attempt.written and attempt.body_stream is not None
+            is_sent = attempt.written_at is not None or is_streaming_body
+            if not attempt.ended and not is_sent:
+                attempt.end(AttemptResult(Outcome.NOT_SENT))
+
+    def cancel_obsolete_attempts(self) -> None:
+        """End the attempts that an answered request must not go on with.
+
+        These are the ones that are not completely written, and the one whose response was streamed. Any
+        other runs to its end, since its outcome and units are still of use to the policy engine.
+        """
+        for attempt in self.attempts:
+            is_unwritten = attempt.written_at is None
+            if not attempt.ended and (is_unwritten or attempt is self.streaming_attempt):
+                attempt.end(AttemptResult(Outcome.NOT_SENT if is_unwritten else Outcome.CANCELLED))
+
+    def stop_watchdog(self) -> None:
+        """Cancel the watchdog timer, if it runs."""
+        if self.watchdog is not None:
+            self.watchdog.cancel()
+
+    def respond(self, status: int | None, body: bytes, headers: bytes) -> None:
+        """Send the final response, or end the streamed one; with None the client gets nothing more."""
+        response = self.response
+        self.response = None
+        if status is None or response is None:
+            return
+        if self.streaming_attempt is None:
+            response.send(status, body, headers)
+        elif status == HTTPStatus.OK:
+            response.end_stream()
+        else:
+            response.abort_stream()
--- /dev/null
+++ b/quota_gateway/dispatch/attempt_handler.py
@@ -0,0 +1,84 @@
+"""Turns what upstream attempts report into responses to clients and events for the policy engine."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from http import HTTPStatus
+
+from quota_gateway.body_streaming import ResponseHead, StreamSink
+from quota_gateway.dispatch.active_request import ActiveRequest
+from quota_gateway.dispatch.request_registry import RequestRegistry
+from quota_gateway.model.events import AttemptEnded, Event, ResponseStreamStarted
+from quota_gateway.model.outcomes import Outcome
+from quota_gateway.upstream.connection_pool import AttemptResult, UpstreamAttempt
+
+# Seconds: the policy engine takes 0 for an unknown time to the first byte.
+MIN_TIME_TO_FIRST_BYTE = 1e-6
+
+
+class AttemptHandler:
+    """Observes the attempts of all active requests."""
+
+    def __init__(
+        self,
+        registry: RequestRegistry,
+        post: Callable[[Event], None],
+        clock: Callable[[], float],
+        max_request_units: float,
+    ) -> None:
+        """Take where events go, and the most units that an endpoint can have charged for one request."""
+        self._registry = registry
+        self._post = post
+        self._clock = clock
+        self._max_request_units = max_request_units
+
+    def attempt_ended(
+        self, active_request: ActiveRequest, attempt: UpstreamAttempt, result: AttemptResult
+    ) -> None:
+        """Answer the request if the attempt decides its response, and report the end."""
+        active_request.in_flight -= 1
+        self._answer(active_request, attempt, result)
+        elapsed = self._clock() - attempt.waiting_since
+        # an endpoint that declares more units than any request has is not believed
+        units = result.units if result.units <= self._max_request_units else 0.0
+        self._post(
+            AttemptEnded(
+                active_request.request_id,
+                attempt.index,
+                attempt.endpoint_id,
+                result.outcome,
+                elapsed,
+                active_request.answered,
+                units,
+                (),
+            )
+        )
+        self._registry.remove_if_complete(active_request)
+
+    def _answer(self, active_request: ActiveRequest, attempt: UpstreamAttempt, result: AttemptResult) -> None:
+        """Forward a response, or end the streamed one; what follows a failure the policy engine decides."""
+        if active_request.answered:
+            return
+        succeeded = result.outcome is Outcome.SUCCESS
+        if active_request.streaming_attempt is attempt:
+            self._registry.finish(active_request, HTTPStatus.OK if succeeded else HTTPStatus.BAD_GATEWAY)
+        elif succeeded:
+            self._registry.finish(active_request, HTTPStatus.OK, result.body, result.headers)
+
+    def start_response_stream(
+        self, active_request: ActiveRequest, attempt: UpstreamAttempt, head: ResponseHead
+    ) -> StreamSink | None:
+        """Forward a long response as it arrives; None if the request has a response already."""
+        response = active_request.response
+        if active_request.answered or active_request.streaming_attempt is not None or response is None:
+            return None
+        if attempt.connection is None:
+            return None
+        active_request.streaming_attempt = attempt
+        active_request.stop_watchdog()
+        if attempt.timer is not None:
+            attempt.timer.cancel()
+        response.begin_stream(head, attempt.connection)
+        elapsed = max(self._clock() - attempt.waiting_since, MIN_TIME_TO_FIRST_BYTE)
+        self._post(ResponseStreamStarted(active_request.request_id, attempt.index, elapsed))
+        return active_request.response
--- a/quota_gateway/dispatch/dispatcher.py
+++ b/quota_gateway/dispatch/dispatcher.py
@@ -1,7 +1,7 @@
-"""Joins the decision module to the sockets: events in, actions out, one final answer a request.
+"""Connects the policy engine to the sockets: events go in, and its actions are carried out in their order.
 
-Nothing is chosen here. What happened becomes an event of the module; its actions are carried out in their
-order. The one exception is the guard that answers a request which would otherwise go without, and logs it.
+Every decision is the engine's. The one exception is the watchdog, which fails a request that would otherwise
+get no response before its client's timeout, and logs it.
 """
 
 from __future__ import annotations
@@ -10,370 +10,192 @@
 import logging
 from collections import deque
 from collections.abc import Callable
+from functools import partial
+from http import HTTPStatus
+from typing import NamedTuple
 
-from quota_gateway.body_streaming import ResponseHead, StreamSink
 from quota_gateway.counter.client import CounterClient
 from quota_gateway.discovery.client import EndpointUpdate
+from quota_gateway.dispatch.action_executor import ActionExecutor
+from quota_gateway.dispatch.active_request import ActiveRequest
+from quota_gateway.dispatch.attempt_handler import AttemptHandler
 from quota_gateway.dispatch.client_request import ClientRequest, ResponseChannel
 from quota_gateway.dispatch.endpoint_updates import update_pool
+from quota_gateway.dispatch.request_registry import RequestRegistry
 from quota_gateway.metrics import Metrics
-from quota_gateway.model.actions import (
-    Action,
-    CancelAttempt,
-    CloseIdleConnections,
-    DrainClientConnections,
-    FailRequest,
-    IncrementCounter,
-    Reject,
-    SetTimer,
-    StartAttempt,
-)
 from quota_gateway.model.charges import UnitsCharged
 from quota_gateway.model.events import (
-    AttemptEnded,
     ClientDisconnected,
     ClientHalfClosed,
     CounterReply,
     Event,
     RequestBodyConsumed,
     RequestBodyReceived,
-    RequestReceived,
-    ResponseStreamStarted,
     SetDraining,
     SetMaintenance,
     StateSnapshot,
     TimerFired,
 )
-from quota_gateway.model.outcomes import Outcome
 from quota_gateway.model.timers import Timer
 from quota_gateway.policy.engine import PolicyEngine
-from quota_gateway.upstream.connection_pool import AttemptResult, ConnectionPool, UpstreamAttempt
-
-EARLY = 0.1  # seconds before the client's end at which the module takes a request to be over: the budget
-# runs from the client's send, the answer has its way back, and the core may be busy with another gateway
-GUARD = 0.05  # seconds before the client's end at which an unanswered request is failed by the guard
-UPLOAD_WITHIN = 900.0  # seconds for a long body to come: the client's side ends one that stands still
-FRESH = 0.01  # seconds after its last byte in which a request is sent on without a look for its client
-SCANT = 0.25  # of the budget, at most, that these two may take
+from quota_gateway.upstream.connection_pool import ConnectionPool
 
 log = logging.getLogger("quota_gateway")
 
 
-class ActiveRequest:
-    """A request that was taken, until it has its answer and the last of its attempts has ended."""
-
-    __slots__ = (
-        "attempts",
-        "attempt_start_limit",
-        "request",
-        "dispatcher",
-        "deadline",
-        "response",
-        "guard",
-        "number",
-        "in_flight",
-        "answered",
-        "streaming_attempt",
-    )
-
-    def __init__(
-        self, driver: RequestDispatcher, number: int, call: ClientRequest, exchange: ResponseChannel
-    ) -> None:
-        self.dispatcher, self.number, self.request = driver, number, call
-        self.response: ResponseChannel | None = exchange
-        self.deadline = call.received_at + (
-            UPLOAD_WITHIN if call.body_stream is not None else self.time_budget
-        )
-        self.attempts: list[UpstreamAttempt] = []
-        self.streaming_attempt: UpstreamAttempt | None = None  # whose long answer is being passed on
-        self.in_flight, self.answered = 0, False
-        self.attempt_start_limit: float | None = (
-            None  # until when an attempt may begin, once its client has closed
-        )
-        self.guard: asyncio.TimerHandle | None = None
-
-    @property
-    def time_budget(self) -> float:
-        """Seconds that the module has, from the request's last byte."""
-        return self.request.budget - min(EARLY, SCANT * self.request.budget)
-
-    def attempt_ended(self, attempt: UpstreamAttempt, answer: AttemptResult) -> None:
-        self.dispatcher.attempt_ended(self, attempt, answer)
-
-    def start_stream(self, attempt: UpstreamAttempt, head: ResponseHead) -> StreamSink | None:
-        return self.dispatcher.start_response_stream(self, attempt, head)
-
-    def may_begin(self, now: float) -> bool:
-        """False for an attempt whose client has gone, also where the loop has not told of that yet.
+class QueuedEvent(NamedTuple):
+    """An event for the policy engine, and the earliest time that it may be handled at."""
 
-        What is sent as it is read needs no look.
-        """
-        if self.attempt_start_limit is not None:
-            return now < self.attempt_start_limit
-        fresh = now - self.request.received_at < FRESH
-        return fresh or self.response is None or not self.response.client_disconnected()
-
-    def body_spent(self) -> None:
-        self.dispatcher.post(RequestBodyConsumed(self.number))
+    event: Event
+    due: float
 
 
 class RequestDispatcher:
-    """Owns the one Gateway of this process."""
+    """Owns the one policy engine of this process and gives each request exactly one final response."""
 
-    def __init__(self, gateway: PolicyEngine, clock: Callable[[], float], pool: ConnectionPool) -> None:
-        self.engine, self.clock, self.pool = gateway, clock, pool
-        self.max_request_units = gateway.settings.max_request_units
+    def __init__(self, engine: PolicyEngine, clock: Callable[[], float], pool: ConnectionPool) -> None:
+        """Take the engine and what it works with; must be called in the loop that serves the requests."""
+        self.engine = engine
+        self.clock = clock
+        self.pool = pool
         self.counter: CounterClient | None = None
-        self.loop = asyncio.get_running_loop()
-        self.active_requests: dict[int, ActiveRequest] = {}
-        self.open_call_ids: set[bytes] = set()  # the clients' ids of these
-        self.unanswered_count = 0
+        self.drain_clients: Callable[[bool], None] | None = None  # starts or stops draining connections
+        self.report_units: Callable[[UnitsCharged], None] | None = None  # to the peer process
+        self.metrics = Metrics(request_class.name for request_class in engine.settings.request_classes)
         self.submitted_count = 0
-        self.all_answered = asyncio.Event()
-        self.metrics = Metrics(c.name for c in gateway.settings.request_classes)
-        self.drain_clients: Callable[[bool], None] | None = None  # has clients' connections end
-        self.report_units: Callable[[UnitsCharged], None] | None = (
-            None  # tells another process of this gateway
+        self._loop = asyncio.get_running_loop()
+        self._registry = RequestRegistry(clock, self.metrics)
+        self._attempt_handler = AttemptHandler(
+            self._registry, self.post, clock, engine.settings.max_request_units
         )
-        self.events: deque[tuple[Event, float]] = deque()
-        self.handling = False
-        self.action_handlers: dict[type, Callable[..., None]] = {
-            StartAttempt: self.send,
-            SetTimer: self.set_timer,
-            Reject: self.reject,
-            FailRequest: self.fail,
-            CancelAttempt: self.cancel,
-            IncrementCounter: self.count,
-            CloseIdleConnections: self.close_idle_connections,
-            DrainClientConnections: self.drain_client_connections,
-            UnitsCharged: self.forward_units,
-        }
+        self._executor = ActionExecutor(self, self._registry, pool, clock, self._loop)
+        self._event_queue: deque[QueuedEvent] = deque()
+        self._is_handling_events = False
 
-    # what happened
+    @property
+    def active_requests(self) -> dict[int, ActiveRequest]:
+        """The requests that are unanswered or have attempts in flight, by request id."""
+        return self._registry.active_requests
 
-    def submit(self, call: ClientRequest, exchange: ResponseChannel) -> int:
-        """A client's request; its number is the module's name for it."""
-        self.submitted_count += 1
-        pending = ActiveRequest(self, self.submitted_count, call, exchange)
-        self.active_requests[pending.number] = pending
-        self.open_call_ids.add(call.call_id)
-        self.unanswered_count += 1
-        if call.body_stream is None:
-            self.set_guard(pending)
-        else:
-            call.body_stream.on_first_read = pending.body_spent
-        self.post(
-            RequestReceived(
-                pending.number,
-                call.request_class,
-                call.plan,
-                call.customer,
-                call.received_at + pending.time_budget,
-                call.units,
-                call.quota_spread,
-                call.first_gateway,
-                call.is_retry,
-                call.budget,
-                call.body_stream is not None,
-            )
-        )
-        return pending.number
+    @property
+    def open_call_ids(self) -> set[bytes]:
+        """The call ids of the active requests."""
+        return self._registry.open_call_ids
 
-    def set_guard(self, pending: ActiveRequest) -> None:
-        call = pending.request
-        end = call.received_at + call.budget - min(GUARD, SCANT * call.budget / 2)
-        pending.guard = self.loop.call_later(max(end - self.clock(), 0.0), self.fail_unanswered, pending)
+    @property
+    def unanswered_count(self) -> int:
+        """The number of requests that wait for their final response."""
+        return self._registry.unanswered_count
 
-    def request_body_received(self, number: int, received: float) -> None:
-        """A long body's last byte has come: the request's time runs from now."""
-        pending = self.active_requests.get(number)
-        if pending is None or pending.answered or pending.request.body_stream is None:
+    def submit(self, request: ClientRequest, response: ResponseChannel) -> int:
+        """Take a client's request and return its id."""
+        self.submitted_count += 1
+        active_request = ActiveRequest(self.submitted_count, request, response, self._attempt_handler)
+        self._registry.add(active_request)
+        if request.body_stream is None:
+            self._start_watchdog(active_request)
+        else:
+            event = RequestBodyConsumed(active_request.request_id)
+            request.body_stream.on_first_read = partial(self.post, event)
+        self.post(active_request.received_event())
+        return active_request.request_id
+
+    def request_body_received(self, request_id: int, received_at: float) -> None:
+        """Take the end of a streamed body: the request's time budget runs from now on."""
+        active_request = self._registry.find_unanswered(request_id)
+        if active_request is None or active_request.request.body_stream is None:
             return
-        pending.request.received_at = received
-        pending.request.body_stream.finish()
-        if pending.streaming_attempt is not None:
-            return  # its answer was early, and has no deadline
-        pending.deadline = received + pending.time_budget
-        self.set_guard(pending)
-        now = self.clock()
-        for attempt in pending.attempts:
-            if not attempt.ended:
-                attempt.extend_deadline(pending.deadline, now, self.loop)
-        self.post(RequestBodyReceived(number, pending.deadline))
-
-    def abandon(self, number: int, status: int) -> None:
-        """Ends a request whose body does not come as it should; with no status its client is gone."""
-        pending = self.active_requests.get(number)
-        if pending is not None and not pending.answered:
-            self.finish(pending, status)
-            self.post(ClientDisconnected(number))
-            self.forget(pending)
+        active_request.request.received_at = received_at
+        active_request.request.body_stream.finish()
+        if active_request.streaming_attempt is not None:
+            return  # its response is streamed already, and has no deadline
+        active_request.deadline = received_at + active_request.time_budget
+        self._start_watchdog(active_request)
+        active_request.extend_attempt_deadlines(self.clock(), self._loop)
+        self.post(RequestBodyReceived(request_id, active_request.deadline))
+
+    def abandon(self, request_id: int, status: int | None) -> None:
+        """Answer a request that can't be served to its end; None if its client has disconnected."""
+        active_request = self._registry.find_unanswered(request_id)
+        if active_request is not None:
+            self._registry.finish(active_request, status)
+            self.post(ClientDisconnected(request_id))
+            self._registry.remove_if_complete(active_request)
 
     def is_call_open(self, call_id: bytes) -> bool:
-        return call_id in self.open_call_ids
-
-    def client_disconnected(self, number: int) -> None:
-        self.abandon(number, 0)
-
-    def limit_attempt_start(self, number: int, by: float) -> None:
-        """Its client has closed: an attempt may begin until then, and none later."""
-        pending = self.active_requests.get(number)
-        if pending is not None and pending.attempt_start_limit is None:
-            pending.attempt_start_limit = by
-
-    def client_half_closed(self, number: int) -> None:
-        """Sends nothing more on for a request whose client has closed; what was sent may be answered yet."""
-        pending = self.active_requests.get(number)
-        if pending is None or pending.answered or pending.streaming_attempt is not None:
+        """Return True if a request with this call id is active."""
+        return call_id in self._registry.open_call_ids
+
+    def client_disconnected(self, request_id: int) -> None:
+        """End a request whose client's connection is lost."""
+        self.abandon(request_id, None)
+
+    def limit_attempt_start(self, request_id: int, start_limit: float) -> None:
+        """Allow attempts to start only before `start_limit`, since the client has half-closed."""
+        active_request = self._registry.find(request_id)
+        if active_request is not None and active_request.attempt_start_limit is None:
+            active_request.attempt_start_limit = start_limit
+
+    def client_half_closed(self, request_id: int) -> None:
+        """Start no attempt for a request from now on; what was sent may still be answered."""
+        active_request = self._registry.find_unanswered(request_id)
+        if active_request is None or active_request.streaming_attempt is not None:
             return
-        self.post(ClientHalfClosed(number))
-        for attempt in list(pending.attempts):
-            # a long body goes on if it has begun to
-            sent = attempt.written_at is not None or attempt.written and attempt.body_stream is not None
-            if not attempt.ended and not sent:
-                attempt.end(AttemptResult(Outcome.NOT_SENT))
+        self.post(ClientHalfClosed(request_id))
+        active_request.cancel_unsent_attempts()
 
     def apply_endpoint_update(self, update: EndpointUpdate) -> None:
         """Take a full endpoint list or changes of it."""
         self.post(update_pool(self.pool, update))
 
-    def set_maintenance(self, backend: str, out: bool) -> bool:
-        """An operator's word on a backend; False for an id that nobody has."""
-        if not self.engine.knows_endpoint(backend):
+    def set_maintenance(self, endpoint_id: str, enabled: bool) -> bool:
+        """Take an endpoint out of service or back in; return False for an unknown id."""
+        if not self.engine.knows_endpoint(endpoint_id):
             return False
-        self.post(SetMaintenance(backend, out))
+        self.post(SetMaintenance(endpoint_id, enabled))
         return True
 
-    def set_draining(self, on: bool) -> None:
-        self.post(SetDraining(on))
+    def set_draining(self, enabled: bool) -> None:
+        """Start or stop draining this gateway."""
+        self.post(SetDraining(enabled))
 
-    def handle_counter_reply(self, counted: CounterReply) -> None:
-        self.post(counted)
+    def handle_counter_reply(self, reply: CounterReply) -> None:
+        """Take the result of a counter call."""
+        self.post(reply)
 
     def timer_fired(self, timer: Timer, due: float) -> None:
-        # the loop counts whole milliseconds and may come early: for the module a timer is never early
+        """Take a timer of the policy engine that was due at `due`."""
+        # the loop counts whole milliseconds and may call early; to the engine a timer is never early
         self.post(TimerFired(timer), due)
 
-    def attempt_ended(self, pending: ActiveRequest, attempt: UpstreamAttempt, answer: AttemptResult) -> None:
-        pending.in_flight -= 1
-        if pending.streaming_attempt is attempt:
-            self.finish_response_stream(pending, answer.outcome is Outcome.SUCCESS)
-        elif answer.outcome is Outcome.SUCCESS and not pending.answered:
-            self.finish(pending, 200, answer.body, answer.headers)
-        elapsed = self.clock() - attempt.waiting_since
-        over = pending.answered
-        units = answer.units if answer.units <= self.max_request_units else 0.0  # no request takes as much
-        self.post(
-            AttemptEnded(
-                pending.number, attempt.index, attempt.endpoint_id, answer.outcome, elapsed, over, units, ()
-            )
-        )
-        self.forget(pending)
-
-    def start_response_stream(
-        self, pending: ActiveRequest, attempt: UpstreamAttempt, head: ResponseHead
-    ) -> StreamSink | None:
-        """Passes on a long answer as it comes; None where nobody waits for it, or another is passed on."""
-        if pending.answered or pending.streaming_attempt is not None or pending.response is None:
-            return None
-        if attempt.connection is None:
-            return None
-        pending.streaming_attempt = attempt
-        for timer in (pending.guard, attempt.timer):
-            if timer is not None:
-                timer.cancel()
-        pending.response.begin_stream(head, attempt.connection)
-        elapsed = self.clock() - attempt.waiting_since
-        self.post(ResponseStreamStarted(pending.number, attempt.index, max(elapsed, 1e-6)))
-        return pending.response
-
-    def finish_response_stream(self, pending: ActiveRequest, whole: bool) -> None:
-        if not pending.answered:
-            self.finish(pending, 200 if whole else 502)
-
-    # the module
-
     def post(self, event: Event, due: float = 0.0) -> None:
-        """Hands an event on; one that an action brings about waits until all actions are carried out."""
-        self.events.append((event, due))
-        if self.handling:
+        """Handle an event; one that is posted while another is handled waits for all of its actions."""
+        if self._is_handling_events:
+            self._event_queue.append(QueuedEvent(event, due))
             return
-        self.handling = True
+        self._is_handling_events = True
         try:
-            while self.events:
-                event, due = self.events.popleft()
-                self.handle(event, due)
+            self.handle(event, due)
+            while self._event_queue:
+                queued = self._event_queue.popleft()
+                self.handle(queued.event, queued.due)
         finally:
-            self.handling = False
+            self._is_handling_events = False
 
     def handle(self, event: Event, due: float) -> None:
+        """Give an event to the engine, not dated before `due`, and carry out the actions."""
         try:
             for action in self.engine.handle(event, max(self.clock(), due)):
-                self.execute(action)
-        except Exception:  # one event that goes wrong must not take the other requests with it
-            log.exception("the event %r went wrong", event)
-
-    def execute(self, action: Action) -> None:
-        carry = self.action_handlers.get(type(action))
-        if carry is not None:  # the one other is Subscribe: discovery is followed all the time
-            carry(action)
-
-    # what the module wants
-
-    def send(self, action: StartAttempt) -> None:
-        pending = self.active_requests.get(action.request_id)
-        if pending is None:
-            return log.warning("a send for request %d, which is over and done", action.request_id)
-        now, place = self.clock(), len(pending.attempts)
-        until = pending.deadline if action.timeout <= 0 else min(pending.deadline, now + action.timeout)
-        attempt = UpstreamAttempt(
-            action.endpoint_id, pending.request.head, pending.request.body, now, until, place, pending
-        )
-        attempt.body_stream, attempt.start_stream = pending.request.body_stream, pending.start_stream
-        attempt.send_deadline = now + action.send_within if action.send_within > 0 else None
-        pending.attempts.append(attempt)
-        pending.in_flight += 1
-        if pending.answered or now >= pending.deadline or not pending.may_begin(now):
-            return attempt.end(AttemptResult(Outcome.NOT_SENT))
-        return self.pool.start(attempt)
-
-    def cancel(self, action: CancelAttempt) -> None:
-        pending = self.active_requests.get(action.request_id)
-        if pending is not None and action.attempt_index < len(pending.attempts):
-            pending.attempts[action.attempt_index].end(AttemptResult(Outcome.CANCELLED))
-
-    def reject(self, action: Reject) -> None:
-        advice = b"Retry-After: %.3f\r\n" % action.retry_after if action.retry_after > 0 else b""
-        self.finish_number(action.request_id, 429, b"", advice)
-
-    def fail(self, action: FailRequest) -> None:
-        self.finish_number(action.request_id, 502)
-
-    def set_timer(self, action: SetTimer) -> None:
-        due = self.clock() + action.delay
-        self.loop.call_later(action.delay, self.timer_fired, action.timer, due)
-
-    def count(self, action: IncrementCounter) -> None:
-        if self.counter is None:
-            return self.post(CounterReply(action.name, Outcome.CONNECT_FAILED, 0.0, 0.0))
-        return self.counter.add(action.name, action.amount, action.expire_after)
-
-    def close_idle_connections(self, action: CloseIdleConnections) -> None:
-        self.pool.close_idle(action.endpoint_id)
-
-    def drain_client_connections(self, action: DrainClientConnections) -> None:
-        if self.drain_clients is not None:
-            self.drain_clients(action.enabled)
-
-    def forward_units(self, action: UnitsCharged) -> None:
-        if self.report_units is not None:
-            self.report_units(action)
+                self._executor.execute(action)
+        except Exception:  # a failure on one event must not end the other requests
+            log.exception("failed to handle the event %r", event)
 
     def state_snapshot(self) -> StateSnapshot:
+        """Return the engine's state for the process that takes over."""
         return self.engine.snapshot()
 
     def gauges(self) -> dict[str, int]:
-        """The figures that are read from their owners."""
+        """Return the current values that operators read beside the counters, by metric name."""
         return {
             "dispatches": self.pool.attempts_written,
             "concurrent": self.unanswered_count,
@@ -381,66 +203,20 @@
             "targets_disabled": self.engine.unavailable_endpoints(),
         }
 
-    # final answers
-
-    def finish_number(self, number: int, status: int, body: bytes = b"", headers: bytes = b"") -> None:
-        pending = self.active_requests.get(number)
-        if pending is not None and not pending.answered:
-            self.finish(pending, status, body, headers)
-            self.forget(pending)
-
-    def finish(
-        self, pending: ActiveRequest, status: int = 0, body: bytes = b"", headers: bytes = b""
-    ) -> None:
-        """The one place where a request ends; with no status its client is gone and hears nothing."""
-        pending.answered = True
-        self.unanswered_count -= 1
-        if status:
-            self.metrics.request_ended(pending.request.request_class, status)
-        if not self.unanswered_count:
-            self.all_answered.set()
-        if pending.guard is not None:
-            pending.guard.cancel()
-        exchange, pending.response = pending.response, None
-        streamed = pending.streaming_attempt is not None
-        if status and exchange is not None:
-            if not streamed:
-                exchange.send(status, body, headers)
-            elif status == 200:
-                exchange.end_stream()
-            else:
-                exchange.abort_stream()
-        for attempt in pending.attempts:
-            # what is not written whole must not be, for a request that is over; nor is an answer of use now
-            unwritten = attempt.written_at is None
-            if not attempt.ended and (unwritten or attempt is pending.streaming_attempt):
-                attempt.end(AttemptResult(Outcome.NOT_SENT if unwritten else Outcome.CANCELLED))
-
-    def forget(self, pending: ActiveRequest) -> None:
-        if (
-            pending.answered
-            and not pending.in_flight
-            and self.active_requests.pop(pending.number, None) is not None
-        ):
-            self.open_call_ids.discard(pending.request.call_id)
-
-    def fail_unanswered(self, pending: ActiveRequest) -> None:
-        """The guard: the module should have ended this request by now, and its client's time is up."""
-        if not pending.answered:
-            log.warning("request %d had no answer from the module at its end", pending.number)
-            self.abandon(pending.number, 504)
-
     def fail_all_unanswered(self) -> None:
-        for pending in list(self.active_requests.values()):
-            self.fail_unanswered(pending)
-
-    async def wait_until_answered(self, at_most: float) -> bool:
-        """Waits until nothing that was taken is unanswered; False if that took too long."""
-        end = self.clock() + at_most
-        while self.unanswered_count:
-            self.all_answered.clear()
-            try:
-                await asyncio.wait_for(self.all_answered.wait(), max(end - self.clock(), 0.0))
-            except TimeoutError:
-                return False
-        return True
+        """Fail the requests that are still unanswered when the process stops."""
+        for active_request in list(self.active_requests.values()):
+            self._fail_unanswered(active_request)
+
+    async def wait_until_answered(self, timeout: float) -> bool:
+        """Wait until every request is answered; return False if `timeout` seconds do not suffice."""
+        return await self._registry.wait_until_answered(timeout)
+
+    def _start_watchdog(self, active_request: ActiveRequest) -> None:
+        delay = max(active_request.watchdog_due - self.clock(), 0.0)
+        active_request.watchdog = self._loop.call_later(delay, self._fail_unanswered, active_request)
+
+    def _fail_unanswered(self, active_request: ActiveRequest) -> None:
+        if not active_request.answered:
+            log.warning("request %d has no response in time and fails", active_request.request_id)
+            self.abandon(active_request.request_id, HTTPStatus.GATEWAY_TIMEOUT)
--- /dev/null
+++ b/quota_gateway/dispatch/request_registry.py
@@ -0,0 +1,71 @@
+"""The requests in progress, and the one place where a request gets its final response."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+
+from quota_gateway.dispatch.active_request import ActiveRequest
+from quota_gateway.metrics import Metrics
+
+
+class RequestRegistry:
+    """All requests that wait for their response or still have attempts in flight."""
+
+    def __init__(self, clock: Callable[[], float], metrics: Metrics) -> None:
+        """Take the clock for `wait_until_answered`, and where finished requests are counted."""
+        self.active_requests: dict[int, ActiveRequest] = {}
+        self.open_call_ids: set[bytes] = set()  # the call ids that clients gave these requests
+        self.unanswered_count = 0
+        self._clock = clock
+        self._metrics = metrics
+        self._all_answered = asyncio.Event()
+
+    def add(self, active_request: ActiveRequest) -> None:
+        """Add a request, which is unanswered from now on."""
+        self.active_requests[active_request.request_id] = active_request
+        self.open_call_ids.add(active_request.request.call_id)
+        self.unanswered_count += 1
+
+    def find(self, request_id: int) -> ActiveRequest | None:
+        """Return a request in progress, or None if there is none with this id."""
+        return self.active_requests.get(request_id)
+
+    def find_unanswered(self, request_id: int) -> ActiveRequest | None:
+        """Return a request that waits for its response, or None if there is none with this id."""
+        active_request = self.active_requests.get(request_id)
+        if active_request is None or active_request.answered:
+            return None
+        return active_request
+
+    def finish(
+        self, active_request: ActiveRequest, status: int | None, body: bytes = b"", headers: bytes = b""
+    ) -> None:
+        """Answer a request that is unanswered; with None for the status its client has disconnected."""
+        active_request.answered = True
+        self.unanswered_count -= 1
+        if status is not None:
+            self._metrics.request_ended(active_request.request.request_class, status)
+        if not self.unanswered_count:
+            self._all_answered.set()
+        active_request.stop_watchdog()
+        active_request.respond(status, body, headers)
+        active_request.cancel_obsolete_attempts()
+
+    def remove_if_complete(self, active_request: ActiveRequest) -> None:
+        """Remove a request that is answered and has no attempt in flight."""
+        if not active_request.answered or active_request.in_flight:
+            return
+        if self.active_requests.pop(active_request.request_id, None) is not None:
+            self.open_call_ids.discard(active_request.request.call_id)
+
+    async def wait_until_answered(self, timeout: float) -> bool:
+        """Wait until every request is answered; return False if `timeout` seconds do not suffice."""
+        deadline = self._clock() + timeout
+        while self.unanswered_count:
+            self._all_answered.clear()
+            try:
+                await asyncio.wait_for(self._all_answered.wait(), max(deadline - self._clock(), 0.0))
+            except TimeoutError:
+                return False
+        return True
