--- a/tests/test_request_dispatcher.py
+++ b/tests/test_request_dispatcher.py
@@ -1,4 +1,4 @@
-"""The driver: one final answer a request, the module's decisions carried out, and the guard behind them."""
+"""The dispatcher: one final response a request, the engine's actions carried out, and the watchdog."""
 
 from __future__ import annotations
 
@@ -13,113 +13,118 @@
 from tests.harness import GatewayHarness, request, roomy_settings, run, running
 
 
-def says(text: bytes) -> Step:
-    return lambda writer, asked: writer.write(text)
+def respond_with(data: bytes) -> Step:
+    return lambda writer, received: writer.write(data)
 
 
-def cuts(writer: asyncio.StreamWriter, asked: Asked) -> None:
+def abort_connection(writer: asyncio.StreamWriter, received: Asked) -> None:
     writer.transport.abort()
 
 
-def scripted(bed: GatewayHarness, step: Step) -> None:
-    """The first attempt meets `step`, whichever backend the module draws for it."""
-    done: list[bool] = []
+def script_first_attempt(harness: GatewayHarness, step: Step) -> None:
+    """Answer the first attempt by `step`, whichever backend the engine picks, and serve the later ones."""
+    is_first = True
 
-    def once(writer: asyncio.StreamWriter, asked: Asked) -> None:
-        if done:
-            serve(writer, asked)
+    def answer(writer: asyncio.StreamWriter, received: Asked) -> None:
+        nonlocal is_first
+        if is_first:
+            is_first = False
+            step(writer, received)
         else:
-            done.append(True)
-            step(writer, asked)
+            serve(writer, received)
 
-    for backend in bed.backends:
-        backend.script = [once, once, once]
+    for backend in harness.backends:
+        backend.script = [answer, answer, answer]
 
 
 @pytest.mark.parametrize(
-    ("step", "klass", "status", "attempts"),
+    ("step", "request_class", "status", "attempts"),
     [
-        (says(message(503, b"", "X-Rejected: 1")), "extract", 200, 2),
-        (says(message(503)), "extract", 502, 1),
-        (says(message(500)), "extract", 502, 1),
-        (says(b"rubbish\r\n\r\n"), "extract", 502, 1),
-        (cuts, "extract", 502, 1),
-        (cuts, "lookup", 200, 2),
-        (cuts, "report", 200, 2),
+        (respond_with(message(503, b"", "X-Rejected: 1")), "extract", 200, 2),
+        (respond_with(message(503)), "extract", 502, 1),
+        (respond_with(message(500)), "extract", 502, 1),
+        (respond_with(b"rubbish\r\n\r\n"), "extract", 502, 1),
+        (abort_connection, "extract", 502, 1),
+        (abort_connection, "lookup", 200, 2),
+        (abort_connection, "report", 200, 2),
     ],
 )
-def test_only_what_never_ran_is_sent_again_where_repeats_do_harm(
-    step: Step, klass: str, status: int, attempts: int
+def test_non_idempotent_request_is_retried_only_if_it_was_not_executed(
+    step: Step, request_class: str, status: int, attempts: int
 ) -> None:
     async def test() -> None:
-        async with running(backends=2) as bed:
-            scripted(bed, step)
-            client = await bed.client()
-            assert (await client.ask(request(1, klass)))[0] == status
-            assert len(bed.seen()) == attempts
+        async with running(backends=2) as harness:
+            script_first_attempt(harness, step)
+            client = await harness.client()
+            assert (await client.ask(request(1, request_class)))[0] == status
+            assert len(harness.seen()) == attempts
 
     run(test)
 
 
-def test_a_backend_that_refuses_connections_costs_an_unsafe_request_nothing() -> None:
+def test_non_idempotent_requests_succeed_beside_a_backend_that_refuses_connections() -> None:
     async def test() -> None:
-        async with running(backends=2) as bed:
-            await bed.backends[0].stop()
-            client = await bed.client()
+        async with running(backends=2) as harness:
+            await harness.backends[0].stop()
+            client = await harness.client()
             for number in range(6):
                 assert (await client.ask(request(number, "extract")))[0] == 200
 
     run(test)
 
 
-def test_a_backend_moves_to_another_address() -> None:
+def test_endpoint_moves_to_another_address() -> None:
     async def test() -> None:
-        async with running(backends=2) as bed:
-            client = await bed.client()
-            await bed.discovery.change(bed.discovery.entry("b1", bed.backends[1].address, "DELETED"))
-            await bed.discovery.until_asked(3)
+        async with running(backends=2) as harness:
+            client = await harness.client()
+            discovery = harness.discovery
+            await discovery.change(discovery.entry("b1", harness.backends[1].address, "DELETED"))
+            await discovery.until_asked(3)
             assert (await client.ask(request(1)))[0] == 200
-            await bed.discovery.change(bed.discovery.entry("b0", bed.backends[1].address))
-            await bed.discovery.until_asked(4)
+            await discovery.change(discovery.entry("b0", harness.backends[1].address))
+            await discovery.until_asked(4)
             assert (await client.ask(request(2)))[0] == 200
-            assert [len(b.seen) for b in bed.backends] == [1, 1]
+            assert [len(backend.seen) for backend in harness.backends] == [1, 1]
 
     run(test)
 
 
-def test_a_silent_backend_gives_a_final_answer_before_the_client_leaves() -> None:
+def test_unresponsive_backend_fails_the_request_before_the_client_times_out() -> None:
     async def test() -> None:
-        async with running() as bed:
-            bed.backends[0].script = [says(b"")]
-            client = await bed.client()
+        async with running() as harness:
+            backend = harness.backends[0]
+            backend.script = [respond_with(b"")]
+            client = await harness.client()
             client.send(request(1, "extract", budget=0.4))
-            left = asyncio.get_running_loop().create_future()
-            asyncio.get_running_loop().call_later(0.4, left.set_result, None)
+            client_timeout = asyncio.get_running_loop().create_future()
+            asyncio.get_running_loop().call_later(0.4, client_timeout.set_result, None)
             status, _, _ = await client.answer()
-            assert status == 502 and not left.done()
-            await bed.backends[0].until(lambda: bed.backends[0].ended == 1)
+            assert status == 502 and not client_timeout.done()
+            await backend.until(lambda: backend.ended == 1)
 
     run(test)
 
 
-@pytest.mark.parametrize("answer", ["nothing", "an error"])
-def test_the_guard_answers_what_the_module_leaves(answer: str, monkeypatch: pytest.MonkeyPatch) -> None:
+@pytest.mark.parametrize("engine_raises", [False, True], ids=["no action", "an error"])
+def test_watchdog_fails_a_request_that_the_engine_leaves_unanswered(
+    engine_raises: bool, monkeypatch: pytest.MonkeyPatch
+) -> None:
     def handle(self: PolicyEngine, event: Event, now: float) -> list[Action]:
-        if answer == "an error" and isinstance(event, RequestReceived):
+        if engine_raises and isinstance(event, RequestReceived):
             raise RuntimeError("it broke")
         return []
 
     async def test() -> None:
-        async with running() as bed:
-            client = await bed.client()
+        async with running() as harness:
+            client = await harness.client()
             monkeypatch.setattr(PolicyEngine, "handle", handle)
             status, _, _ = await client.ask(request(1, budget=0.3))
-            assert status == 504 and not bed.process.dispatcher.active_requests
+            assert status == 504 and not harness.process.dispatcher.active_requests
 
     run(test)
 
 
-def test_a_second_final_answer_and_a_send_after_it_go_nowhere(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_second_final_response_and_an_attempt_after_it_are_ignored(monkeypatch: pytest.MonkeyPatch) -> None:
     def handle(self: PolicyEngine, event: Event, now: float) -> list[Action]:
         if isinstance(event, RequestReceived):
             return [
@@ -130,38 +135,39 @@
         return []
 
     async def test() -> None:
-        async with running() as bed:
-            client = await bed.client()
+        async with running() as harness:
+            client = await harness.client()
             monkeypatch.setattr(PolicyEngine, "handle", handle)
             assert (await client.ask(request(1)))[0] == 502
-            assert (await client.ask(request(2)))[0] == 502  # the next answer is its own, not a leftover
-            assert not bed.seen()
+            assert (await client.ask(request(2)))[0] == 502  # its own response, not the first one's second
+            assert not harness.seen()
 
     run(test)
 
 
-def test_what_the_module_refuses_is_answered_at_once_with_advice_where_allowed() -> None:
+@pytest.mark.parametrize("allowed", [True, False])
+def test_rejected_requests_get_a_retry_after_only_where_it_is_allowed(allowed: bool) -> None:
     async def test() -> None:
-        for allowed in (True, False):
-            env = roomy_settings(retry_after=allowed)
-            env["packages"][0].update(peak_units=16.0, units_per_s=0.001)
-            async with running(env=env) as bed:
-                client = await bed.client()
-                answers = [await client.ask(request(n, units="8")) for n in range(3)]
-                assert [a[0] for a in answers] == [200, 429, 429]
-                assert ("retry-after" in answers[1][1]) == allowed
+        settings = roomy_settings(retry_after=allowed)
+        settings["packages"][0].update(peak_units=16.0, units_per_s=0.001)
+        async with running(env=settings) as harness:
+            client = await harness.client()
+            answers = [await client.ask(request(number, units="8")) for number in range(3)]
+            assert [status for status, _, _ in answers] == [200, 429, 429]
+            _, headers, _ = answers[1]
+            assert ("retry-after" in headers) == allowed
 
     run(test)
 
 
-def test_thin_customers_are_read_from_the_counter() -> None:
+def test_units_of_a_customer_with_a_small_quota_are_added_at_the_counter() -> None:
     async def test() -> None:
-        env = roomy_settings()
-        env["packages"][0].update(peak_units=8.0, units_per_s=2.0)
-        env["domain"]["count_limit"] = 5000.0
-        async with running(env=env) as bed:
-            client = await bed.client()
+        settings = roomy_settings()
+        settings["packages"][0].update(peak_units=8.0, units_per_s=2.0)
+        settings["domain"]["count_limit"] = 5000.0
+        async with running(env=settings) as harness:
+            client = await harness.client()
             assert (await client.ask(request(1, units="3")))[0] == 200
-            assert bed.counter.calls[0][1] == 3.0
+            assert harness.counter.calls[0][1] == 3.0
 
     run(test)
