--- a/tests/test_body_streaming.py
+++ b/tests/test_body_streaming.py
@@ -1,4 +1,4 @@
-"""Long bodies and answers, over loopback: passed on in pieces, unchanged, at their readers' pace."""
+"""Streaming of long request and response bodies over loopback: unchanged, and with backpressure."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 import pytest
 
-from quota_gateway.body_streaming import HELD, READ_AT_ONCE
+from quota_gateway.body_streaming import MAX_BUFFERED_BYTES, READ_BUFFER_BYTES
 from quota_gateway.downstream.client_connection import BODY_STALLED, LONG_STALLED
-from quota_gateway.model.actions import Reject, SetTimer, StartAttempt
+from quota_gateway.model.actions import Action, Reject, SetTimer, StartAttempt
 from quota_gateway.model.events import (
     RequestBodyConsumed,
     RequestBodyReceived,
@@ -19,100 +19,109 @@
     TimerFired,
 )
 from quota_gateway.model.outcomes import Outcome
-from quota_gateway.model.timers import LateAttemptTimer
-from tests.fakes import SOON, Asked, message, read_message, serve, serve_after
-from tests.harness import READY, Client, GatewayHarness, request, run, running
+from quota_gateway.model.timers import LateAttemptTimer, Timer
+from tests.fakes import SOON, Asked, Step, message, read_message, serve, serve_after
+from tests.harness import READY, request, run, running
 from tests.policy_harness import ended, gateway
-from tests.policy_harness import request as asked_for
+from tests.policy_harness import request as request_received
 
-LONG = random.Random(5).randbytes(5 * HELD + 17)
-HEAD = b"HTTP/1.1 200 OK\r\n"
+LONG_BODY = random.Random(5).randbytes(5 * MAX_BUFFERED_BYTES + 17)
+STATUS_LINE = b"HTTP/1.1 200 OK\r\n"
+CHUNKED_HEAD = STATUS_LINE + b"Transfer-Encoding: chunked\r\n\r\n"
 
 
 def chunked(body: bytes, size: int = 30_011, extension: bytes = b';name="a value"') -> bytes:
-    pieces = (body[at : at + size] for at in range(0, len(body), size))
-    text = b"".join(b"%x%b\r\n%b\r\n" % (len(p), extension, p) for p in pieces)
-    return text + b"0\r\nX-Checksum: 5\r\n\r\n"
+    """Return a body in the chunked transfer coding, with a chunk extension and a trailer field."""
+    parts = (body[start : start + size] for start in range(0, len(body), size))
+    chunks = b"".join(b"%x%b\r\n%b\r\n" % (len(part), extension, part) for part in parts)
+    return chunks + b"0\r\nX-Checksum: 5\r\n\r\n"
 
 
-async def until(done: Callable[[], bool]) -> None:
+async def until(condition: Callable[[], bool]) -> None:
     async with asyncio.timeout(SOON):
-        while not done():
+        while not condition():  # noqa: ASYNC110 - the gateway's state has no event to wait for
             await asyncio.sleep(0)
 
 
-def ended_by_close(writer: asyncio.StreamWriter, asked: Asked) -> None:
-    writer.write(HEAD + b"Connection: close\r\n\r\n" + LONG)
+def respond_with(data: bytes) -> Step:
+    return lambda writer, received: writer.write(data)
+
+
+def respond_until_close(writer: asyncio.StreamWriter, received: Asked) -> None:
+    writer.write(STATUS_LINE + b"Connection: close\r\n\r\n" + LONG_BODY)
     writer.close()
 
 
 @pytest.mark.parametrize(
     "step",
     [
-        lambda writer, asked: writer.write(message(200, LONG, "Content-Type: text/x")),
-        lambda writer, asked: writer.write(HEAD + b"Transfer-Encoding: chunked\r\n\r\n" + chunked(LONG)),
-        lambda writer, asked: writer.write(
-            HEAD + b"Transfer-Encoding: chunked\r\n\r\n" + chunked(LONG, 1, b"")
-        ),
-        ended_by_close,
+        respond_with(message(200, LONG_BODY, "Content-Type: text/x")),
+        respond_with(CHUNKED_HEAD + chunked(LONG_BODY)),
+        respond_with(CHUNKED_HEAD + chunked(LONG_BODY, 1, b"")),
+        respond_until_close,
     ],
+    ids=["content length", "chunked", "one-byte chunks", "until close"],
 )
-def test_a_long_answer_goes_through_unchanged(step: Callable[[asyncio.StreamWriter, Asked], None]) -> None:
+def test_long_response_is_forwarded_unchanged(step: Step) -> None:
     async def test() -> None:
-        async with running() as bed:
-            bed.backends[0].script = [step]
-            client = await bed.client()
+        async with running() as harness:
+            harness.backends[0].script = [step]
+            client = await harness.client()
             status, _, body = await client.ask(request(1))
-            assert status == 200 and body == LONG
-            assert (await client.ask(request(2)))[0] == 200  # and its connection is good for more
-            figures = await bed.metrics()
-            assert figures["success.lookup"] == 2 == figures["dispatches"] and not figures["concurrent"]
-            assert bed.process.dispatcher.active_requests == {} and bed.process.dispatcher.engine.jobs == {}
+            assert status == 200 and body == LONG_BODY
+            assert (await client.ask(request(2)))[0] == 200  # on the same connection
+            metrics = await harness.metrics()
+            assert metrics["success.lookup"] == 2 == metrics["dispatches"] and not metrics["concurrent"]
+            dispatcher = harness.process.dispatcher
+            assert dispatcher.active_requests == {} and dispatcher.engine.jobs == {}
 
     run(test)
 
 
-def test_long_answers_keep_their_order_in_a_pipeline_and_reach_an_old_client() -> None:
+def test_long_responses_keep_pipeline_order_and_reach_an_http_1_0_client() -> None:
     async def test() -> None:
-        async with running() as bed:
-            free = asyncio.Event()
-
-            async def answer(writer: asyncio.StreamWriter, asked: Asked) -> None:
-                if asked[1]["x-call-id"].endswith("1"):
-                    await free.wait()
-                    return serve(writer, asked)
-                writer.write(HEAD + b"Transfer-Encoding: chunked\r\n\r\n" + chunked(LONG))
-
-            bed.backends[0].script = [answer] * 3
-            client = await bed.client()
+        async with running() as harness:
+            first_may_answer = asyncio.Event()
+
+            async def answer(writer: asyncio.StreamWriter, received: Asked) -> None:
+                _, headers, _ = received
+                if headers["x-call-id"].endswith("1"):
+                    await first_may_answer.wait()
+                    serve(writer, received)
+                    return
+                writer.write(CHUNKED_HEAD + chunked(LONG_BODY))
+
+            harness.backends[0].script = [answer] * 3
+            client = await harness.client()
             client.send(request(1) + request(2))
-            await until(
-                lambda: any(p.streaming_attempt for p in bed.process.dispatcher.active_requests.values())
-            )
-            free.set()
-            assert (await client.answer())[2].startswith(b"served") and (await client.answer())[2] == LONG
-            old = await bed.client()
-            old.send(request(3).replace(b"HTTP/1.1", b"HTTP/1.0"))
-            text = await old.reader.read()
-            assert text.partition(b"\r\n\r\n")[2] == LONG and b"chunked" not in text[:200]
+            active_requests = harness.process.dispatcher.active_requests
+            await until(lambda: any(active.streaming_attempt for active in active_requests.values()))
+            first_may_answer.set()
+            assert (await client.answer())[2].startswith(b"served")
+            assert (await client.answer())[2] == LONG_BODY
+            http_1_0_client = await harness.client()
+            http_1_0_client.send(request(3).replace(b"HTTP/1.1", b"HTTP/1.0"))
+            response = await http_1_0_client.reader.read()
+            assert response.partition(b"\r\n\r\n")[2] == LONG_BODY and b"chunked" not in response[:200]
 
     run(test)
 
 
-def test_a_client_that_reads_nothing_holds_its_backend_back() -> None:
+def test_client_that_does_not_read_puts_backpressure_on_its_backend() -> None:
     async def test() -> None:
-        async with running() as bed:
-            body = LONG * 40  # 13 MB: more than the sockets on the way can hold
-            bed.backends[0].script = [lambda writer, asked: writer.write(message(200, body))]
-            client = await bed.client(receive_buffer=8192)
+        async with running() as harness:
+            body = LONG_BODY * 40  # 13 MB: more than the sockets on the way can buffer
+            harness.backends[0].script = [respond_with(message(200, body))]
+            client = await harness.client(receive_buffer=8192)
             client.writer.transport.pause_reading()  # type: ignore[attr-defined]
             client.send(request(1))
-            await until(lambda: any(c.stuck for c in bed.process.listener.connections))
-            (backend,) = bed.process.pool.connections
-            assert backend.paused and backend.stall is None
-            (connection,) = bed.process.listener.connections
+            await until(lambda: any(c.stuck for c in harness.process.listener.connections))
+            (upstream,) = harness.process.pool.connections
+            assert upstream.paused and upstream.stall is None
+            (connection,) = harness.process.listener.connections
             assert connection.transport is not None
-            assert connection.transport.get_write_buffer_size() <= 2 * HELD + 2 * READ_AT_ONCE
+            unread_bytes = connection.transport.get_write_buffer_size()
+            assert unread_bytes <= 2 * MAX_BUFFERED_BYTES + 2 * READ_BUFFER_BYTES
             client.writer.transport.resume_reading()  # type: ignore[attr-defined]
             assert (await client.answer())[2] == body
 
@@ -121,236 +130,250 @@
 
 @pytest.mark.parametrize(
     "framing",
-    [b"Content-Length: 999999\r\n\r\n" + LONG, b"Transfer-Encoding: chunked\r\n\r\n" + chunked(LONG)[:-20]],
+    [
+        b"Content-Length: 999999\r\n\r\n" + LONG_BODY,
+        b"Transfer-Encoding: chunked\r\n\r\n" + chunked(LONG_BODY)[:-20],
+    ],
+    ids=["content length", "chunked"],
 )
-def test_an_answer_that_breaks_off_is_cut_off_for_its_client_too(framing: bytes) -> None:
+def test_truncated_response_is_aborted_for_its_client_and_not_retried(framing: bytes) -> None:
     async def test() -> None:
-        async with running() as bed:
+        async with running() as harness:
 
-            def cut(writer: asyncio.StreamWriter, asked: Asked) -> None:
-                writer.write(HEAD + framing)
+            def truncate(writer: asyncio.StreamWriter, received: Asked) -> None:
+                writer.write(STATUS_LINE + framing)
                 writer.close()
 
-            bed.backends[0].script = [cut]
-            client = await bed.client()
+            harness.backends[0].script = [truncate]
+            client = await harness.client()
             client.send(request(1))
             with pytest.raises((asyncio.IncompleteReadError, ConnectionResetError)):
                 await client.answer()
-            figures = await bed.metrics()
-            assert figures["error.lookup"] == 1 and figures["success.lookup"] == 0
-            assert figures["concurrent"] == 0 and len(bed.seen()) == 1  # nor is it tried again
+            metrics = await harness.metrics()
+            assert metrics["error.lookup"] == 1 and metrics["success.lookup"] == 0
+            assert metrics["concurrent"] == 0 and len(harness.seen()) == 1
 
     run(test)
 
 
-def test_a_client_that_leaves_a_long_answer_frees_its_backend() -> None:
+def test_client_disconnect_during_a_long_response_ends_the_attempt() -> None:
     async def test() -> None:
-        async with running() as bed:
-            bed.backends[0].script = [lambda writer, asked: writer.write(message(200, LONG * 40)[:-9])]
-            client = await bed.client(receive_buffer=8192)
+        async with running() as harness:
+            backend = harness.backends[0]
+            backend.script = [respond_with(message(200, LONG_BODY * 40)[:-9])]
+            client = await harness.client(receive_buffer=8192)
             client.send(request(1))
             await client.reader.readexactly(100)
             client.reset()
-            await bed.backends[0].until(lambda: bed.backends[0].ended == 1)
-            assert not bed.process.dispatcher.active_requests and not bed.process.dispatcher.engine.jobs
+            await backend.until(lambda: backend.ended == 1)
+            dispatcher = harness.process.dispatcher
+            assert not dispatcher.active_requests and not dispatcher.engine.jobs
 
     run(test)
 
 
-def long_request(number: int, body: bytes = LONG, **more: str) -> bytes:
-    return request(number, "extract", 5.0, body=body, **more)
+def long_request(number: int, body: bytes = LONG_BODY, **headers: str) -> bytes:
+    return request(number, "extract", 5.0, body=body, **headers)
 
 
 @pytest.mark.parametrize("size", [1 << 20, 700, 1])
-def test_a_long_body_goes_through_whatever_its_pieces(size: int) -> None:
+def test_long_request_body_is_forwarded_whatever_its_segments(size: int) -> None:
     async def test() -> None:
-        async with running() as bed:
-            client, text = await bed.client(), long_request(1)
-            for at in range(0, 3000 * size, size):
-                client.send(text[at : at + size])
+        async with running() as harness:
+            client = await harness.client()
+            data = long_request(1)
+            for start in range(0, 3000 * size, size):
+                client.send(data[start : start + size])
                 await asyncio.sleep(0)
-            client.send(text[3000 * size :])
-            assert (await client.answer())[0] == 200 and bed.seen()[0][2] == LONG
-            assert (await client.ask(request(2)))[0] == 200  # the connection is kept
-            figures = await bed.metrics()
-            assert figures["success.extract"] == 1 and figures["dispatches"] == 2
+            client.send(data[3000 * size :])
+            assert (await client.answer())[0] == 200 and harness.seen()[0][2] == LONG_BODY
+            assert (await client.ask(request(2)))[0] == 200  # on the same connection
+            metrics = await harness.metrics()
+            assert metrics["success.extract"] == 1 and metrics["dispatches"] == 2
 
     run(test)
 
 
-def test_a_long_body_in_chunks_goes_on_in_chunks() -> None:
+def test_chunked_request_body_is_forwarded_chunked() -> None:
     async def test() -> None:
-        async with running() as bed:
-            client = await bed.client()
+        async with running() as harness:
+            client = await harness.client()
             head = request(1, "extract", drop="Content-Length", body=b"", Transfer_Encoding="chunked")
-            assert (await client.ask(head + chunked(LONG)))[0] == 200
-            assert bed.seen()[0][2] == LONG and float(bed.seen()[0][1]["x-budget"]) <= 5.0
+            assert (await client.ask(head + chunked(LONG_BODY)))[0] == 200
+            assert harness.seen()[0][2] == LONG_BODY and float(harness.seen()[0][1]["x-budget"]) <= 5.0
             assert (await client.ask(head.replace(b"01\r\n", b"02\r\n") + chunked(b"short")))[0] == 200
-            assert bed.seen()[1][2] == b"short"
+            assert harness.seen()[1][2] == b"short"
 
     run(test)
 
 
-def test_a_client_that_expects_a_word_gets_it_before_its_body() -> None:
+def test_expect_100_continue_is_answered_before_the_body_unless_rejected() -> None:
     async def test() -> None:
-        async with running() as bed:
-            client = await bed.client()
+        async with running() as harness:
+            client = await harness.client()
             head, _, body = long_request(1, Expect="100-continue").partition(b"\r\n\r\n")
             client.send(head + b"\r\n\r\n")
             assert (await client.reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 100 ")
-            assert (await client.ask(body))[0] == 200 and bed.seen()[0][2] == LONG
-            refused = long_request(2, Expect="100-continue", Plan="gold").partition(b"\r\n\r\n")[0]
-            assert (await client.ask(refused + b"\r\n\r\n"))[0] == 400  # and no word to go on
+            assert (await client.ask(body))[0] == 200 and harness.seen()[0][2] == LONG_BODY
+            invalid = long_request(2, Expect="100-continue", Plan="gold").partition(b"\r\n\r\n")[0]
+            assert (await client.ask(invalid + b"\r\n\r\n"))[0] == 400  # and no 100 before it
 
     run(test)
 
 
-def test_a_backend_that_reads_nothing_holds_its_client_back() -> None:
+def test_backend_that_does_not_read_puts_backpressure_on_its_client() -> None:
     async def test() -> None:
-        async with running() as bed:
-            body, free = LONG * 40, asyncio.Event()
+        async with running() as harness:
+            may_read = asyncio.Event()
 
-            async def late(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            async def serve_later(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
                 reader._transport.pause_reading()  # type: ignore[attr-defined]
-                await free.wait()
+                await may_read.wait()
                 reader._transport.resume_reading()  # type: ignore[attr-defined]
                 serve(writer, await read_message(reader))
 
-            bed.backends[0].serve = late  # type: ignore[method-assign]
-            client = await bed.client()
-            client.send(long_request(1, body))
-            await until(lambda: any(c.paused for c in bed.process.listener.connections))
-            (connection,) = bed.process.listener.connections
+            harness.backends[0].serve = serve_later  # type: ignore[method-assign]
+            client = await harness.client()
+            client.send(long_request(1, LONG_BODY * 40))
+            await until(lambda: any(c.paused for c in harness.process.listener.connections))
+            (connection,) = harness.process.listener.connections
             assert connection.body_stream is not None
-            assert (
-                connection.body_stream.buffered_bytes <= HELD + READ_AT_ONCE
-                and len(connection.unread) <= READ_AT_ONCE
-            )
+            assert connection.body_stream.buffered_bytes <= MAX_BUFFERED_BYTES + READ_BUFFER_BYTES
+            assert len(connection.unread) <= READ_BUFFER_BYTES
             assert not connection.body_stands(connection.heard_at + 0.1)
-            free.set()
+            may_read.set()
             assert (await client.answer())[0] == 200
 
     run(test)
 
 
-def test_a_long_body_that_breaks_off_never_ran_and_is_not_sent_again() -> None:
+def test_partly_sent_body_counts_as_not_executed_and_is_not_retried() -> None:
     async def test() -> None:
-        async with running(backends=2) as bed:
+        async with running(backends=2) as harness:
 
-            async def breaks(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            async def abort_early(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
                 await reader.readexactly(1000)
                 writer.transport.abort()
 
-            for backend in bed.backends:
-                backend.serve = breaks  # type: ignore[method-assign]
-            client = await bed.client()
+            for backend in harness.backends:
+                backend.serve = abort_early  # type: ignore[method-assign]
+            client = await harness.client()
             head, _, body = long_request(1).partition(b"\r\n\r\n")
-            client.send(head + b"\r\n\r\n" + body[: 2 * HELD])
-            status, headers, _ = await client.answer()  # early: its client is still sending
+            client.send(head + b"\r\n\r\n" + body[: 2 * MAX_BUFFERED_BYTES])
+            status, headers, _ = await client.answer()  # while it is still sending
             assert status == 429 and headers["connection"] == "close"
-            assert sum(b.connections for b in bed.backends) == 1
-            figures = await bed.metrics()
-            assert figures["overload.extract"] == 1 and figures["dispatches"] == figures["concurrent"] == 0
+            assert sum(backend.connections for backend in harness.backends) == 1
+            metrics = await harness.metrics()
+            assert metrics["overload.extract"] == 1 and metrics["dispatches"] == metrics["concurrent"] == 0
 
     run(test)
 
 
-def test_an_early_answer_reaches_a_client_that_is_still_sending() -> None:
+def test_early_response_reaches_a_client_that_is_still_sending() -> None:
     async def test() -> None:
-        async with running() as bed:
+        async with running() as harness:
 
-            async def early(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            async def answer_early(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
                 await reader.readexactly(1000)
                 writer.write(message(200, b"enough"))
                 await reader.read()
 
-            bed.backends[0].serve = early  # type: ignore[method-assign]
-            client = await bed.client()
-            client.send(long_request(1)[: 2 * HELD])
+            harness.backends[0].serve = answer_early  # type: ignore[method-assign]
+            client = await harness.client()
+            client.send(long_request(1)[: 2 * MAX_BUFFERED_BYTES])
             assert (await client.answer())[2] == b"enough" and await client.closed()
 
     run(test)
 
 
-@pytest.mark.parametrize("leaves", [True, False])
-def test_a_long_body_whose_client_leaves_runs_nowhere(leaves: bool) -> None:
+@pytest.mark.parametrize("resets", [True, False])
+def test_long_body_is_not_executed_after_its_client_disconnects(resets: bool) -> None:
     async def test() -> None:
-        async with running() as bed:
-            client = await bed.client()
-            client.send(long_request(1)[: 2 * HELD])
-            await until(lambda: any(c.attempt for c in bed.process.pool.connections))
-            if leaves:
+        async with running() as harness:
+            client = await harness.client()
+            client.send(long_request(1)[: 2 * MAX_BUFFERED_BYTES])
+            await until(lambda: any(c.attempt for c in harness.process.pool.connections))
+            if resets:
                 client.reset()
             else:
                 client.writer.write_eof()
                 assert (await client.answer())[0] == 400
-            await bed.backends[0].until(lambda: bed.backends[0].ended == 1)
-            assert not bed.seen() and not bed.process.dispatcher.active_requests
+            backend = harness.backends[0]
+            await backend.until(lambda: backend.ended == 1)
+            assert not harness.seen() and not harness.process.dispatcher.active_requests
 
     run(test)
 
 
-@pytest.mark.parametrize(("sent", "stalled"), [(HELD // 2, BODY_STALLED), (2 * HELD, LONG_STALLED)])
-def test_a_body_that_comes_no_more_is_ended(sent: int, stalled: float) -> None:
+@pytest.mark.parametrize(
+    ("sent", "stall_timeout"),
+    [(MAX_BUFFERED_BYTES // 2, BODY_STALLED), (2 * MAX_BUFFERED_BYTES, LONG_STALLED)],
+)
+def test_stalled_request_body_times_out(sent: int, stall_timeout: float) -> None:
     async def test() -> None:
-        async with running() as bed:
-            front = bed.process.listener
-            client = await bed.client()
+        async with running() as harness:
+            connections = harness.process.listener.connections
+            client = await harness.client()
             client.send(long_request(1)[:sent])
-            await until(lambda: any(not c.in_head and c.body_size > sent - 2000 for c in front.connections))
-            (connection,) = front.connections
-            for later, status in ((stalled - 0.1, 0), (stalled + 0.1, 408)):
-                connection.look_after(connection.heard_at + later, 100.0)
-                assert connection.ended == bool(status)
+            await until(lambda: any(not c.in_head and c.body_size > sent - 2000 for c in connections))
+            (connection,) = connections
+            for idle_time, times_out in ((stall_timeout - 0.1, False), (stall_timeout + 0.1, True)):
+                connection.look_after(connection.heard_at + idle_time, 100.0)
+                assert connection.ended == times_out
             assert (await client.answer())[0] == 408
 
     run(test)
 
 
-def test_the_time_of_a_request_runs_from_its_last_byte() -> None:
-    made = gateway()
-    actions = made.handle(replace(asked_for(1, "pay", deadline=106.0), body_incomplete=True), 100.0)
-    (send,) = (a for a in actions if isinstance(a, StartAttempt))
-    assert send.timeout == 0.0 and not [
-        a for a in actions if isinstance(a, SetTimer) and isinstance(a.timer, LateAttemptTimer)
-    ]
-    actions = made.handle(RequestBodyReceived(1, 156.0), 150.0)
-    assert [a.timer for a in actions if isinstance(a, SetTimer)] == [
-        LateAttemptTimer(1, 0)
-    ]  # from now on it may be late
-    assert made.jobs[1].request.deadline == 156.0 and made.jobs[1].asked == 150.0
-
-
-def test_what_is_no_longer_kept_is_not_sent_again() -> None:
-    made = gateway()
-    actions = made.handle(replace(asked_for(1), body_incomplete=True), 100.0)
-    (send,) = (a for a in actions if isinstance(a, StartAttempt))
-    made.handle(RequestBodyConsumed(1), 100.0)
-    actions = made.handle(ended(1, 0, send.endpoint_id, Outcome.CONNECT_FAILED), 100.1)
-    assert [type(a) for a in actions if isinstance(a, StartAttempt | Reject)] == [Reject]
-
-
-def test_a_long_answer_is_judged_by_its_first_bytes_and_frees_its_place() -> None:
-    made = gateway()
-    (send,) = (a for a in made.handle(asked_for(1), 100.0) if isinstance(a, StartAttempt))
-    made.handle(ResponseStreamStarted(1, 0, 0.05), 100.05)
-    assert made.flight == 0 and made.endpoints[send.endpoint_id].flight == 0
-    made.handle(TimerFired(LateAttemptTimer(1, 0)), 101.0)
-    assert made.passed == 1.0 and made.endpoints[send.endpoint_id].bad == 0.0
-    assert made.handle(ended(1, 0, send.endpoint_id, Outcome.BROKEN_RESPONSE, over=True), 140.0) == []
-    assert made.flight == 0 and not made.jobs
-
-
-def test_ready_is_answered_beside_long_answers() -> None:
+def started_attempts(actions: list[Action]) -> list[StartAttempt]:
+    return [action for action in actions if isinstance(action, StartAttempt)]
+
+
+def timers_set(actions: list[Action]) -> list[Timer]:
+    return [action.timer for action in actions if isinstance(action, SetTimer)]
+
+
+def test_time_budget_of_a_streamed_request_starts_at_its_last_byte() -> None:
+    engine = gateway()
+    actions = engine.handle(replace(request_received(1, "pay", deadline=106.0), body_incomplete=True), 100.0)
+    (attempt,) = started_attempts(actions)
+    assert attempt.timeout == 0.0
+    assert not any(isinstance(timer, LateAttemptTimer) for timer in timers_set(actions))
+    actions = engine.handle(RequestBodyReceived(1, 156.0), 150.0)
+    assert timers_set(actions) == [LateAttemptTimer(1, 0)]  # the attempt may be late from now on
+    assert engine.jobs[1].request.deadline == 156.0 and engine.jobs[1].asked == 150.0
+
+
+def test_request_whose_body_was_consumed_is_not_retried() -> None:
+    engine = gateway()
+    actions = engine.handle(replace(request_received(1), body_incomplete=True), 100.0)
+    (attempt,) = started_attempts(actions)
+    engine.handle(RequestBodyConsumed(1), 100.0)
+    actions = engine.handle(ended(1, 0, attempt.endpoint_id, Outcome.CONNECT_FAILED), 100.1)
+    assert [type(action) for action in actions if isinstance(action, StartAttempt | Reject)] == [Reject]
+
+
+def test_streamed_response_is_measured_to_its_first_byte_and_no_longer_in_flight() -> None:
+    engine = gateway()
+    (attempt,) = started_attempts(engine.handle(request_received(1), 100.0))
+    engine.handle(ResponseStreamStarted(1, 0, 0.05), 100.05)
+    assert engine.flight == 0 and engine.endpoints[attempt.endpoint_id].flight == 0
+    engine.handle(TimerFired(LateAttemptTimer(1, 0)), 101.0)
+    assert engine.passed == 1.0 and engine.endpoints[attempt.endpoint_id].bad == 0.0
+    assert engine.handle(ended(1, 0, attempt.endpoint_id, Outcome.BROKEN_RESPONSE, over=True), 140.0) == []
+    assert engine.flight == 0 and not engine.jobs
+
+
+def test_readiness_is_answered_beside_a_long_request() -> None:
     async def test() -> None:
-        async with running() as bed:
-            free = asyncio.Event()
-            bed.backends[0].script = [serve_after(free)]
-            waiting: Client = await bed.client()
-            waiting.send(long_request(1))
-            other: GatewayHarness = bed
-            assert (await (await other.client()).ask(READY))[0] == 200
-            free.set()
-            assert (await waiting.answer())[0] == 200
+        async with running() as harness:
+            may_answer = asyncio.Event()
+            harness.backends[0].script = [serve_after(may_answer)]
+            waiting_client = await harness.client()
+            waiting_client.send(long_request(1))
+            other_client = await harness.client()
+            assert (await other_client.ask(READY))[0] == 200
+            may_answer.set()
+            assert (await waiting_client.answer())[0] == 200
 
     run(test)
