--- a/quota_gateway/body_streaming.py
+++ b/quota_gateway/body_streaming.py
@@ -10,7 +10,7 @@
 # Bytes up to which a body is buffered in full. A longer body is streamed, and reading from its sender stops
 # while as many bytes of it wait here.
 MAX_BUFFERED_BYTES = 64 * 1024
-MAX_BODY_BYTES = 33 * 1024 * 1024  # bytes of one body; the platform allows 32 MiB, the rest is a margin
+MAX_BODY_BYTES = 33 * 1024 * 1024  # bytes of one body; the platform allows 32 MiB, plus a margin
 READ_BUFFER_BYTES = 64 * 1024  # bytes of one read from a socket; connections of one side share the buffer
 
 # Former names, which the upstream and downstream packages still import.
@@ -40,9 +40,9 @@
     """
 
     def __init__(self, length: int | None, budget: float) -> None:
-        """Take the body's length, None for a chunked one, and the client's timeout from its last byte on.
+        """Create an empty buffer; `length` is None for a chunked body.
 
-        `budget` is in seconds.
+        `budget` is the client's timeout in seconds, from the last byte of the body.
         """
         self.length = length
         self.time_budget = budget
--- a/quota_gateway/dispatch/action_executor.py
+++ b/quota_gateway/dispatch/action_executor.py
@@ -32,17 +32,17 @@
 
 
 class ActionContext(Protocol):
-    """What actions reach beside the pool and the requests; the optional parts may be set at any time."""
+    """What actions use besides the pool and the requests; the optional parts may be set at any time."""
 
     counter: CounterClient | None
     drain_clients: Callable[[bool], None] | None
     report_units: Callable[[UnitsCharged], None] | None
 
     def post(self, event: Event) -> None:
-        """Take an event for the policy engine."""
+        """Report an event to the policy engine."""
 
     def timer_fired(self, timer: Timer, due: float) -> None:
-        """Handle a timer that was due at `due`."""
+        """Report a timer that was due at `due`."""
 
 
 class ActionExecutor:
@@ -56,7 +56,7 @@
         clock: Callable[[], float],
         loop: asyncio.AbstractEventLoop,
     ) -> None:
-        """Take the parts that actions work on, and the loop that their timers run on."""
+        """Create an executor whose timers run on `loop`."""
         self._context = context
         self._registry = registry
         self._pool = pool
@@ -114,7 +114,7 @@
         self._answer(action.request_id, HTTPStatus.TOO_MANY_REQUESTS, headers)
 
     def _answer(self, request_id: int, status: HTTPStatus, headers: bytes = b"") -> None:
-        """Give a request its final response without a body; one that is answered already stays so."""
+        """Send a final response without a body; ignored if the request has had one."""
         active_request = self._registry.find_unanswered(request_id)
         if active_request is not None:
             self._registry.finish(active_request, status, b"", headers)
--- a/quota_gateway/dispatch/active_request.py
+++ b/quota_gateway/dispatch/active_request.py
@@ -18,7 +18,7 @@
 RESPONSE_MARGIN = 0.1
 # Seconds before the client's timeout at which the watchdog fails a request that has no response.
 WATCHDOG_MARGIN = 0.05
-MAX_MARGIN_FRACTION = 0.25  # of the budget: the most that the response margin may take of a short one
+MAX_MARGIN_FRACTION = 0.25  # of the budget; bounds the response margin of a short one
 BODY_UPLOAD_TIMEOUT = 900.0  # seconds for a streamed body; the downstream side ends one that stalls
 # Seconds after a request's last byte in which an attempt starts without a check whether the client is still
 # connected: the read itself has just shown that.
@@ -62,7 +62,7 @@
     def __init__(
         self, request_id: int, request: ClientRequest, response: ResponseChannel, observer: AttemptObserver
     ) -> None:
-        """Take the policy engine's id for the request, and where its response and its attempts' ends go."""
+        """Create an unanswered request; `observer` receives what its attempts report."""
         self.request_id = request_id
         self.request = request
         self.response: ResponseChannel | None = response  # None once the request is answered
--- a/quota_gateway/dispatch/attempt_handler.py
+++ b/quota_gateway/dispatch/attempt_handler.py
@@ -26,7 +26,7 @@
         clock: Callable[[], float],
         max_request_units: float,
     ) -> None:
-        """Take where events go, and the most units that an endpoint can have charged for one request."""
+        """Create a handler that posts events by `post`; more units than the maximum are disregarded."""
         self._registry = registry
         self._post = post
         self._clock = clock
@@ -39,7 +39,7 @@
         active_request.in_flight -= 1
         self._answer(active_request, attempt, result)
         elapsed = self._clock() - attempt.waiting_since
-        # an endpoint that declares more units than any request has is not believed
+        # no request has more units, so an endpoint that reports more is wrong
         units = result.units if result.units <= self._max_request_units else 0.0
         self._post(
             AttemptEnded(
@@ -56,7 +56,7 @@
         self._registry.remove_if_complete(active_request)
 
     def _answer(self, active_request: ActiveRequest, attempt: UpstreamAttempt, result: AttemptResult) -> None:
-        """Forward a response, or end the streamed one; what follows a failure the policy engine decides."""
+        """Forward a response or end the streamed one; after any other failure the engine decides."""
         if active_request.answered:
             return
         succeeded = result.outcome is Outcome.SUCCESS
--- a/quota_gateway/dispatch/client_request.py
+++ b/quota_gateway/dispatch/client_request.py
@@ -1,4 +1,4 @@
-"""A client's request as the dispatcher takes it, and the channel on which its response goes back."""
+"""A client's request as the dispatcher receives it, and the channel for its response."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
         """Send a full response; `headers` are complete header lines."""
 
     def begin_stream(self, head: ResponseHead, source: StreamSource) -> None:
-        """Send the head of a 200 response; its body follows by `write_body`, at the pace of `source`."""
+        """Send the head of a 200 response; `write_body` follows. Pausing `source` applies backpressure."""
 
     def end_stream(self) -> None:
         """End a streamed response whose body is complete."""
--- a/quota_gateway/dispatch/dispatcher.py
+++ b/quota_gateway/dispatch/dispatcher.py
@@ -44,17 +44,17 @@
 
 
 class QueuedEvent(NamedTuple):
-    """An event for the policy engine, and the earliest time that it may be handled at."""
+    """An event that waits for the actions of another one."""
 
     event: Event
-    due: float
+    due: float  # the earliest time at which the engine may see it
 
 
 class RequestDispatcher:
     """Owns the one policy engine of this process and gives each request exactly one final response."""
 
     def __init__(self, engine: PolicyEngine, clock: Callable[[], float], pool: ConnectionPool) -> None:
-        """Take the engine and what it works with; must be called in the loop that serves the requests."""
+        """Create the dispatcher of `engine`; must be called in the event loop that serves requests."""
         self.engine = engine
         self.clock = clock
         self.pool = pool
@@ -88,7 +88,7 @@
         return self._registry.unanswered_count
 
     def submit(self, request: ClientRequest, response: ResponseChannel) -> int:
-        """Take a client's request and return its id."""
+        """Start to serve a client's request and return its request id."""
         self.submitted_count += 1
         active_request = ActiveRequest(self.submitted_count, request, response, self._attempt_handler)
         self._registry.add(active_request)
@@ -101,7 +101,7 @@
         return active_request.request_id
 
     def request_body_received(self, request_id: int, received_at: float) -> None:
-        """Take the end of a streamed body: the request's time budget runs from now on."""
+        """Mark a streamed body as complete; the request's time budget starts at `received_at`."""
         active_request = self._registry.find_unanswered(request_id)
         if active_request is None or active_request.request.body_stream is None:
             return
@@ -115,7 +115,7 @@
         self.post(RequestBodyReceived(request_id, active_request.deadline))
 
     def abandon(self, request_id: int, status: int | None) -> None:
-        """Answer a request that can't be served to its end; None if its client has disconnected."""
+        """Answer a request that can't be served to its end; a status of None sends no response."""
         active_request = self._registry.find_unanswered(request_id)
         if active_request is not None:
             self._registry.finish(active_request, status)
@@ -145,7 +145,7 @@
         active_request.cancel_unsent_attempts()
 
     def apply_endpoint_update(self, update: EndpointUpdate) -> None:
-        """Take a full endpoint list or changes of it."""
+        """Apply a full endpoint list or changes to it, and report the update to the engine."""
         self.post(update_pool(self.pool, update))
 
     def set_maintenance(self, endpoint_id: str, enabled: bool) -> bool:
@@ -160,16 +160,16 @@
         self.post(SetDraining(enabled))
 
     def handle_counter_reply(self, reply: CounterReply) -> None:
-        """Take the result of a counter call."""
+        """Report the result of a counter call to the engine."""
         self.post(reply)
 
     def timer_fired(self, timer: Timer, due: float) -> None:
-        """Take a timer of the policy engine that was due at `due`."""
-        # the loop counts whole milliseconds and may call early; to the engine a timer is never early
+        """Report a timer of the engine that was due at `due`."""
+        # the loop rounds to milliseconds and may call early; the engine relies on timers never being early
         self.post(TimerFired(timer), due)
 
     def post(self, event: Event, due: float = 0.0) -> None:
-        """Handle an event; one that is posted while another is handled waits for all of its actions."""
+        """Handle an event, or queue it while the actions of another event are carried out."""
         if self._is_handling_events:
             self._event_queue.append(QueuedEvent(event, due))
             return
@@ -183,7 +183,7 @@
             self._is_handling_events = False
 
     def handle(self, event: Event, due: float) -> None:
-        """Give an event to the engine, not dated before `due`, and carry out the actions."""
+        """Pass an event to the engine, dated `due` or now if that is later, and execute the actions."""
         try:
             for action in self.engine.handle(event, max(self.clock(), due)):
                 self._executor.execute(action)
@@ -195,7 +195,7 @@
         return self.engine.snapshot()
 
     def gauges(self) -> dict[str, int]:
-        """Return the current values that operators read beside the counters, by metric name."""
+        """Return the metrics that are read from current state, by name."""
         return {
             "dispatches": self.pool.attempts_written,
             "concurrent": self.unanswered_count,
@@ -204,7 +204,7 @@
         }
 
     def fail_all_unanswered(self) -> None:
-        """Fail the requests that are still unanswered when the process stops."""
+        """Fail every unanswered request; for the end of a graceful shutdown."""
         for active_request in list(self.active_requests.values()):
             self._fail_unanswered(active_request)
 
--- a/quota_gateway/dispatch/request_registry.py
+++ b/quota_gateway/dispatch/request_registry.py
@@ -13,7 +13,7 @@
     """All requests that wait for their response or still have attempts in flight."""
 
     def __init__(self, clock: Callable[[], float], metrics: Metrics) -> None:
-        """Take the clock for `wait_until_answered`, and where finished requests are counted."""
+        """Create an empty registry that counts finished requests in `metrics`."""
         self.active_requests: dict[int, ActiveRequest] = {}
         self.open_call_ids: set[bytes] = set()  # the call ids that clients gave these requests
         self.unanswered_count = 0
@@ -41,7 +41,7 @@
     def finish(
         self, active_request: ActiveRequest, status: int | None, body: bytes = b"", headers: bytes = b""
     ) -> None:
-        """Answer a request that is unanswered; with None for the status its client has disconnected."""
+        """Answer an unanswered request; a status of None sends nothing, as its client has disconnected."""
         active_request.answered = True
         self.unanswered_count -= 1
         if status is not None:
--- a/quota_gateway/metrics.py
+++ b/quota_gateway/metrics.py
@@ -15,7 +15,7 @@
     """Counts each request once, when it ends, under its request class."""
 
     def __init__(self, request_classes: Iterable[str]) -> None:
-        """Start all counters at zero; `request_classes` names every class that requests may have."""
+        """Set all counters to zero; `request_classes` names every class that requests may have."""
         self.success = dict.fromkeys(request_classes, 0)
         self.overload = dict.fromkeys(self.success, 0)
         self.error = dict.fromkeys(self.success, 0)
@@ -23,7 +23,7 @@
         self.reload_failure = 0
 
     def request_ended(self, request_class: str, status: int) -> None:
-        """Count a request by the status of its final response."""
+        """Count a request by the status of its final response; KeyError for an unknown class."""
         if status in SUCCESS_STATUSES:
             self.success[request_class] += 1
         elif status in OVERLOAD_STATUSES:
