--- a/quota_gateway/downstream/client_listener.py
+++ b/quota_gateway/downstream/client_listener.py
@@ -6,7 +6,7 @@
 import socket
 from collections.abc import Callable
 
-from quota_gateway.body_streaming import READ_AT_ONCE
+from quota_gateway.body_streaming import READ_BUFFER_BYTES
 from quota_gateway.dispatch.dispatcher import RequestDispatcher
 from quota_gateway.downstream.client_connection import ClientConnection
 from quota_gateway.downstream.connection_eviction import MAX_EVICTIONS, end_if_unused, evict_unused
@@ -43,7 +43,7 @@
         self.clock = clock
         self.max_connections = max_connections
         self.withheld = 0  # connections fewer than that, while descriptors are short
-        self.read_buffer = bytearray(READ_AT_ONCE)
+        self.read_buffer = bytearray(READ_BUFFER_BYTES)
         self.is_serving = is_serving
         self.router = RequestRouter(dispatcher, settings, self.is_ready)
         self.connections: set[ClientConnection] = set()
--- a/quota_gateway/downstream/connection_limits.py
+++ b/quota_gateway/downstream/connection_limits.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from quota_gateway.body_streaming import HELD
+from quota_gateway.body_streaming import MAX_BUFFERED_BYTES
 from quota_gateway.downstream.request_reader import RequestReader
 
 READ_TIMEOUT = 2.5  # seconds for a complete head, and for a new connection's first byte: an error or a close
@@ -44,7 +44,7 @@
 def is_body_stalled(request: RequestReader, last_read_at: float, now: float) -> bool:
     """Return True if the body has stalled, or is too slow ever to end."""
     stalled_for = now - last_read_at
-    if request.body_size >= HELD:
+    if request.body_size >= MAX_BUFFERED_BYTES:
         return stalled_for > LARGE_BODY_STALL_TIMEOUT
     elapsed = now - request.body_started_at
     is_slow = elapsed > READ_TIMEOUT and request.body_size < MIN_BODY_RATE * elapsed
--- a/quota_gateway/downstream/request_handler.py
+++ b/quota_gateway/downstream/request_handler.py
@@ -7,7 +7,7 @@
 
 import httptools
 
-from quota_gateway.body_streaming import HELD, MOST_BODY
+from quota_gateway.body_streaming import MAX_BODY_BYTES, MAX_BUFFERED_BYTES
 from quota_gateway.downstream.half_close import HalfClose
 from quota_gateway.downstream.request_reader import BODY_TOO_LARGE, RequestReader
 from quota_gateway.downstream.request_router import RequestRouter
@@ -70,9 +70,9 @@
         self.http_version = self.parser.get_http_version()
         self.expects_continue = b"expect" in self.headers and self.http_version != "1.0"
         length = self.content_length()
-        if length > MOST_BODY:
+        if length > MAX_BODY_BYTES:
             self.error = InvalidRequestError(413, BODY_TOO_LARGE)
-        elif length > HELD:
+        elif length > MAX_BUFFERED_BYTES:
             self.start_body_stream(length)
         self.send_continue()
 
--- a/quota_gateway/downstream/request_parser.py
+++ b/quota_gateway/downstream/request_parser.py
@@ -11,7 +11,7 @@
 from typing import NamedTuple
 
 from quota_gateway.body_streaming import RequestBodyStream
-from quota_gateway.dispatch.dispatcher import ClientRequest
+from quota_gateway.dispatch.client_request import ClientRequest
 from quota_gateway.downstream.request_reader import RequestReader
 from quota_gateway.errors import InvalidRequestError
 from quota_gateway.model.settings import Idempotency, RequestClass, Settings
--- a/quota_gateway/downstream/request_reader.py
+++ b/quota_gateway/downstream/request_reader.py
@@ -6,7 +6,7 @@
 
 import httptools
 
-from quota_gateway.body_streaming import HELD, MOST_BODY, RequestBodyStream
+from quota_gateway.body_streaming import MAX_BODY_BYTES, MAX_BUFFERED_BYTES, RequestBodyStream
 from quota_gateway.errors import InvalidRequestError
 
 MAX_HEAD_SIZE = 32 * 1024  # bytes of request line and headers; a browser with many cookies sends 8 KiB
@@ -98,7 +98,7 @@
         """Return True inside a body that is too large to be read only to reach the request behind it."""
         if self.in_head or not self.in_request:
             return False
-        return self.body_size > HELD or self.content_length() > HELD
+        return self.body_size > MAX_BUFFERED_BYTES or self.content_length() > MAX_BUFFERED_BYTES
 
     def close(self) -> None:
         """Drop the parser, which refers back to this object: the cycle would outlive the connection."""
@@ -155,13 +155,13 @@
         """Handle a part of the body: buffer it, or pass it on (httptools)."""
         self.body_size += len(body)
         self.expects_continue = False  # the client did not wait
-        if self.body_size > MOST_BODY:
+        if self.body_size > MAX_BODY_BYTES:
             self.error = InvalidRequestError(413, BODY_TOO_LARGE)
         elif self.body_stream is not None:
             self.body_stream.feed(body)
         elif self.error is None:
             self.body.append(body)
-            if self.body_size > HELD:
+            if self.body_size > MAX_BUFFERED_BYTES:
                 self.start_body_stream(None)
 
     def on_message_complete(self) -> None:
--- a/quota_gateway/downstream/request_router.py
+++ b/quota_gateway/downstream/request_router.py
@@ -4,7 +4,8 @@
 
 from collections.abc import Callable
 
-from quota_gateway.dispatch.dispatcher import ClientRequest, RequestDispatcher
+from quota_gateway.dispatch.client_request import ClientRequest
+from quota_gateway.dispatch.dispatcher import RequestDispatcher
 from quota_gateway.downstream.request_parser import RequestParser
 from quota_gateway.downstream.request_reader import RequestReader
 from quota_gateway.downstream.response_writer import ResponseWriter
--- a/quota_gateway/upstream/connection_pool.py
+++ b/quota_gateway/upstream/connection_pool.py
@@ -5,7 +5,7 @@
 import asyncio
 from collections.abc import Callable, Iterable
 
-from quota_gateway.body_streaming import READ_AT_ONCE as READ_BUFFER_BYTES
+from quota_gateway.body_streaming import READ_BUFFER_BYTES
 from quota_gateway.model.outcomes import Outcome
 from quota_gateway.sockets.dialing import connect_with_retry, ignore_descriptor_exhaustion
 from quota_gateway.upstream.attempt import AttemptResult, UpstreamAttempt
--- a/quota_gateway/upstream/response_headers.py
+++ b/quota_gateway/upstream/response_headers.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from quota_gateway.body_streaming import MOST_BODY as MAX_BODY_BYTES
+from quota_gateway.body_streaming import MAX_BODY_BYTES
 
 MAX_BILLED_UNITS = 1e6  # exclusive; more is a fault of the endpoint
 
--- a/quota_gateway/upstream/response_parser.py
+++ b/quota_gateway/upstream/response_parser.py
@@ -11,9 +11,7 @@
 
 import httptools
 
-from quota_gateway.body_streaming import HELD as MAX_BUFFERED_BYTES
-from quota_gateway.body_streaming import MOST_BODY as MAX_BODY_BYTES
-from quota_gateway.body_streaming import ResponseHead, StreamSink
+from quota_gateway.body_streaming import MAX_BODY_BYTES, MAX_BUFFERED_BYTES, ResponseHead, StreamSink
 from quota_gateway.model.outcomes import Outcome
 from quota_gateway.upstream.attempt import AttemptResult
 from quota_gateway.upstream.response_headers import ResponseHeaders
--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from quota_gateway.body_streaming import HELD, MOST_BODY
+from quota_gateway.body_streaming import MAX_BODY_BYTES, MAX_BUFFERED_BYTES
 from quota_gateway.downstream.connection_eviction import UNUSED_AFTER
 from quota_gateway.downstream.request_handler import MAX_INVALID_REQUESTS
 from quota_gateway.downstream.request_reader import MAX_HEAD_SIZE
@@ -145,8 +145,8 @@
         (request(1, "extract", Content_Length="10\r\n Transfer-Encoding: chunked"), 400),
         (request(1, "extract", Transfer_Encoding="chunked"), 400),
         (request(1, "extract", Transfer_Encoding="identity"), 400),
-        (request(1, "extract", Content_Length=str(MOST_BODY + 1)), 413),
-        (request(1, "extract", Content_Length=str(MOST_BODY), Plan="gold"), 400),
+        (request(1, "extract", Content_Length=str(MAX_BODY_BYTES + 1)), 413),
+        (request(1, "extract", Content_Length=str(MAX_BODY_BYTES), Plan="gold"), 400),
         (b"GET /api HTTP/1.1\r\nX-Long: " + b"x" * (4 * MAX_HEAD_SIZE), 431),
     ],
 )
@@ -162,7 +162,7 @@
 
 def test_largest_buffered_body_is_forwarded() -> None:
     async def test(harness: GatewayHarness, client: Client) -> None:
-        assert (await client.ask(request(1, "extract", body=b"x" * HELD)))[0] == 200
+        assert (await client.ask(request(1, "extract", body=b"x" * MAX_BUFFERED_BYTES)))[0] == 200
 
     run_with_client(test)
 
@@ -206,7 +206,7 @@
 def test_reading_pauses_while_the_client_reads_no_responses() -> None:
     # its responses would fill the gateway's memory
     async def test(harness: GatewayHarness, client: Client) -> None:
-        large = message(200, b"x" * HELD)
+        large = message(200, b"x" * MAX_BUFFERED_BYTES)
         harness.backends[0].script = [lambda writer, asked: writer.write(large)] * 1000
         client = await harness.client(receive_buffer=8192)
         client.writer.transport.pause_reading()  # type: ignore[attr-defined]
--- a/tests/test_no_attempt_after_disconnect.py
+++ b/tests/test_no_attempt_after_disconnect.py
@@ -14,7 +14,7 @@
 
 import pytest
 
-from quota_gateway.body_streaming import HELD
+from quota_gateway.body_streaming import MAX_BUFFERED_BYTES
 from quota_gateway.dispatch.dispatcher import RequestDispatcher
 from quota_gateway.downstream.client_connection import MAX_PIPELINED_REQUESTS
 from quota_gateway.downstream.half_close import HalfClose
@@ -216,7 +216,9 @@
             case "queued":
                 release = await wait_in_queue(harness, client)
             case "uploading":
-                partial_request = request(9, "extract", body=b"x" * 4 * HELD)[: 2 * HELD]
+                partial_request = request(9, "extract", body=b"x" * 4 * MAX_BUFFERED_BYTES)[
+                    : 2 * MAX_BUFFERED_BYTES
+                ]
                 await wait_for_connection(harness, client, connect_time, partial_request)
             case "connecting":
                 await wait_for_connection(harness, client, connect_time, request(9))
--- a/tests/test_upstream_connections.py
+++ b/tests/test_upstream_connections.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from quota_gateway.body_streaming import HELD as MAX_BUFFERED_BYTES
+from quota_gateway.body_streaming import MAX_BUFFERED_BYTES
 from quota_gateway.model.outcomes import Outcome
 from quota_gateway.upstream import connection
 from quota_gateway.upstream.attempt import AttemptResult
