--- a/quota_gateway/downstream/client_connection.py
+++ b/quota_gateway/downstream/client_connection.py
@@ -5,10 +5,8 @@
 import asyncio
 from typing import Protocol
 
-from quota_gateway.body_streaming import RequestBodyStream
 from quota_gateway.downstream.connection_limits import (
     READ_TIMEOUT,
-    is_body_stalled,
     is_request_overdue,
     linger_timeout,
 )
@@ -43,9 +41,9 @@
     def __init__(self, listener: RequestListener) -> None:
         """Start without a request."""
         super().__init__(listener)
-        self.requests = RequestHandler(self, listener.router, self.heard_at)
+        self.requests = RequestHandler(self, listener.router, self.last_read_at)
         self.responses = ResponseQueue()
-        self.idle_since = self.heard_at  # seconds: when the latest responses were written
+        self.idle_since = self.last_read_at  # seconds: when the latest responses were written
         self.half_close = HalfClose(listener, self.responses)
 
     @property
@@ -67,8 +65,8 @@
         """Parse received bytes; after the last request they are discarded."""
         if self.ended:
             return
-        self.heard_at = self.listener.clock()
-        self.requests.received_at = self.heard_at
+        self.last_read_at = self.listener.clock()
+        self.requests.received_at = self.last_read_at
         self.unread = self.unread + data if self.unread else data
         self.process_unread()
 
@@ -88,17 +86,17 @@
         body_stream = self.requests.body_stream
         if body_stream is not None and body_stream.is_full():
             return True
-        return self.stuck or len(self.responses) >= MAX_PIPELINED_REQUESTS
+        return self.write_paused or len(self.responses) >= MAX_PIPELINED_REQUESTS
 
     def update_reading(self) -> None:
         """Pause reading while enough is in flight, so that no client can fill the memory."""
         pause = self.is_full() or bool(self.unread) or self.requests.error_pause is not None
-        if self.transport is None or pause == self.paused or self.ended:
+        if self.transport is None or pause == self.read_paused or self.ended:
             return
         if pause:
             self.pause_reading()
         else:
-            self.heard_at = self.listener.clock()
+            self.last_read_at = self.listener.clock()
             self.resume_reading()
 
     def pause_writing(self) -> None:
@@ -180,17 +178,17 @@
         for request_id in self.responses.take_incomplete():
             self.listener.dispatcher.client_disconnected(request_id)
 
-    def look_after(self, now: float, idle_timeout: float) -> None:
+    def enforce_timeouts(self, now: float, idle_timeout: float) -> None:
         """Enforce the timeouts; a connection closes soon, or gets an error, whatever its client sent."""
         requests = self.requests
         if self.closing:
             if now - self.closing_since > linger_timeout(requests):
                 self.drop()
-        elif self.stuck:
+        elif self.write_paused:
             if self.unread_response_timer.has_expired(now, self.unsent_bytes()):
                 self.drop()
         elif self.is_reading_request():
-            if is_request_overdue(requests, self.heard_at, now):
+            if is_request_overdue(requests, self.last_read_at, now):
                 requests.abort_request(InvalidRequestError(408, "the request did not come whole in time"))
         elif self.is_idle():
             timeout = idle_timeout if requests.any_request_started else READ_TIMEOUT
@@ -199,31 +197,10 @@
 
     def is_reading_request(self) -> bool:
         """Return True if a request is incomplete for no other reason than that its client is slow."""
-        if not self.in_request or self.unread or self.paused:
+        if not self.in_request or self.unread or self.read_paused:
             return False
         return self.responses.is_first(self.requests.streaming_writer)
 
     def is_idle(self) -> bool:
         """Return True if no request is in flight here or partly read."""
         return not (self.responses or self.closing or self.unread or self.in_request)
-
-    # The request's fields, as the tests of body streaming read them.
-
-    @property
-    def body_stream(self) -> RequestBodyStream | None:
-        """The body that is being forwarded, if any."""
-        return self.requests.body_stream
-
-    @property
-    def in_head(self) -> bool:
-        """True while a request's headers are incomplete."""
-        return self.requests.in_head
-
-    @property
-    def body_size(self) -> int:
-        """The bytes read of the request's body."""
-        return self.requests.body_size
-
-    def body_stands(self, now: float) -> bool:
-        """Return True if the body has stalled."""
-        return is_body_stalled(self.requests, self.heard_at, now)
--- a/quota_gateway/downstream/client_listener.py
+++ b/quota_gateway/downstream/client_listener.py
@@ -148,7 +148,7 @@
         idle_timeout = CROWDED_IDLE_TIMEOUT if is_crowded else IDLE_TIMEOUT
         ends_unused = self.draining and now - self.drained_since >= DRAIN_DELAY
         for connection in list(self.connections):
-            connection.look_after(now, idle_timeout)
+            connection.enforce_timeouts(now, idle_timeout)
             if ends_unused:
                 end_if_unused(connection, now)
         self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL, self.sweep)
--- a/quota_gateway/downstream/flow_control.py
+++ b/quota_gateway/downstream/flow_control.py
@@ -28,11 +28,13 @@
         self.transport: asyncio.Transport | None = None  # set while the connection is open
         self.descriptor = -1
         self.unread = b""  # bytes that have been received and not processed
-        self.heard_at = listener.clock()  # seconds: when something was last received, or reading was resumed
+        self.last_read_at = (
+            listener.clock()
+        )  # seconds: when something was last received, or reading was resumed
         self.unread_response_timer = UnreadResponseTimer()
         self.closing_since = 0.0  # seconds
-        self.paused = False  # reading is paused
-        self.stuck = False  # writing is paused: the client doesn't read
+        self.read_paused = False  # reading is paused
+        self.write_paused = False  # writing is paused: the client doesn't read
         self.ended = False  # nothing that is received is processed any more
         self.closing = False  # the last response has been written
 
@@ -59,26 +61,26 @@
 
     def pause_reading(self) -> None:
         """Leave what the client sends in the kernel, and watch for its disconnect instead."""
-        if not self.paused and self.transport is not None:
-            self.paused = True
+        if not self.read_paused and self.transport is not None:
+            self.read_paused = True
             self.transport.pause_reading()
             self.listener.disconnect_monitor.watch(self.descriptor, self.handle_disconnect)
 
     def resume_reading(self) -> None:
         """Read again, if reading is paused."""
-        if self.paused and self.transport is not None:
-            self.paused = False
+        if self.read_paused and self.transport is not None:
+            self.read_paused = False
             self.listener.disconnect_monitor.unwatch(self.descriptor, self.handle_disconnect)
             self.transport.resume_reading()
 
     def pause_writing(self) -> None:
         """Note that the client doesn't read (asyncio)."""
-        self.stuck = True
+        self.write_paused = True
         self.unread_response_timer.start(self.listener.clock(), self.unsent_bytes())
 
     def resume_writing(self) -> None:
         """Note that the client reads again (asyncio)."""
-        self.stuck = False
+        self.write_paused = False
 
     def unsent_bytes(self) -> int:
         """Return the number of bytes that the kernel has not taken yet."""
@@ -112,7 +114,7 @@
         self.closing = True
         if self.transport is None:
             return
-        if self.stuck:
+        if self.write_paused:
             self.transport.abort()
         else:
             self.transport.close()
--- a/quota_gateway/downstream/response_queue.py
+++ b/quota_gateway/downstream/response_queue.py
@@ -35,7 +35,7 @@
             if data:
                 transport.write(data)
             if writer.streaming:
-                if writer.source is not None and not writer.connection.stuck:
+                if writer.source is not None and not writer.connection.write_paused:
                     writer.source.resume()
                 return FlushResult.STREAMING
             self.popleft()
--- a/quota_gateway/downstream/response_writer.py
+++ b/quota_gateway/downstream/response_writer.py
@@ -27,7 +27,7 @@
     """What a response needs of its connection."""
 
     transport: asyncio.Transport | None
-    stuck: bool  # the transport's buffer is full: the client doesn't read
+    write_paused: bool  # the transport's buffer is full: the client doesn't read
 
     @property
     def http_version(self) -> str:
@@ -112,7 +112,7 @@
         self.source = source
         self.streaming = True
         self.connection.flush()
-        if not self.is_sending or self.connection.stuck:
+        if not self.is_sending or self.connection.write_paused:
             source.pause()
 
     def write_body(self, piece: bytes) -> None:
--- a/tests/test_body_streaming.py
+++ b/tests/test_body_streaming.py
@@ -10,7 +10,11 @@
 import pytest
 
 from quota_gateway.body_streaming import MAX_BUFFERED_BYTES, READ_BUFFER_BYTES
-from quota_gateway.downstream.connection_limits import BODY_STALL_TIMEOUT, LARGE_BODY_STALL_TIMEOUT
+from quota_gateway.downstream.connection_limits import (
+    BODY_STALL_TIMEOUT,
+    LARGE_BODY_STALL_TIMEOUT,
+    is_body_stalled,
+)
 from quota_gateway.model.actions import Action, Reject, SetTimer, StartAttempt
 from quota_gateway.model.events import (
     RequestBodyConsumed,
@@ -115,7 +119,7 @@
             client = await harness.client(receive_buffer=8192)
             client.writer.transport.pause_reading()  # type: ignore[attr-defined]
             client.send(request(1))
-            await until(lambda: any(c.stuck for c in harness.process.listener.connections))
+            await until(lambda: any(c.write_paused for c in harness.process.listener.connections))
             (upstream,) = harness.process.pool.connections
             assert upstream.paused and upstream.stall is None
             (connection,) = harness.process.listener.connections
@@ -235,12 +239,14 @@
             harness.backends[0].serve = serve_later  # type: ignore[method-assign]
             client = await harness.client()
             client.send(long_request(1, LONG_BODY * 40))
-            await until(lambda: any(c.paused for c in harness.process.listener.connections))
+            await until(lambda: any(c.read_paused for c in harness.process.listener.connections))
             (connection,) = harness.process.listener.connections
-            assert connection.body_stream is not None
-            assert connection.body_stream.buffered_bytes <= MAX_BUFFERED_BYTES + READ_BUFFER_BYTES
+            assert connection.requests.body_stream is not None
+            assert connection.requests.body_stream.buffered_bytes <= MAX_BUFFERED_BYTES + READ_BUFFER_BYTES
             assert len(connection.unread) <= READ_BUFFER_BYTES
-            assert not connection.body_stands(connection.heard_at + 0.1)
+            assert not is_body_stalled(
+                connection.requests, connection.last_read_at, connection.last_read_at + 0.1
+            )
             may_read.set()
             assert (await client.answer())[0] == 200
 
@@ -315,10 +321,14 @@
             connections = harness.process.listener.connections
             client = await harness.client()
             client.send(long_request(1)[:sent])
-            await until(lambda: any(not c.in_head and c.body_size > sent - 2000 for c in connections))
+            await until(
+                lambda: any(
+                    not c.requests.in_head and c.requests.body_size > sent - 2000 for c in connections
+                )
+            )
             (connection,) = connections
             for idle_time, times_out in ((stall_timeout - 0.1, False), (stall_timeout + 0.1, True)):
-                connection.look_after(connection.heard_at + idle_time, 100.0)
+                connection.enforce_timeouts(connection.last_read_at + idle_time, 100.0)
                 assert connection.ended == times_out
             assert (await client.answer())[0] == 408
 
--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -211,10 +211,10 @@
         client = await harness.client(receive_buffer=8192)
         client.writer.transport.pause_reading()  # type: ignore[attr-defined]
         client.send(b"".join(request(n) for n in range(1000)))
-        await until(lambda: any(c.stuck for c in harness.process.listener.connections))
+        await until(lambda: any(c.write_paused for c in harness.process.listener.connections))
         await harness.process.dispatcher.wait_until_answered(SOON)
         assert harness.process.dispatcher.submitted_count < 1000
-        connection = next(c for c in harness.process.listener.connections if c.stuck)
+        connection = next(c for c in harness.process.listener.connections if c.write_paused)
         assert connection.transport is not None
         assert connection.transport.get_write_buffer_size() < 3_000_000
         client.writer.transport.resume_reading()  # type: ignore[attr-defined]
@@ -330,7 +330,7 @@
         invalid = request(1, Plan="gold")
         assert (await client.ask(invalid))[0] == 400
         (connection,) = harness.process.listener.connections
-        assert connection.requests.error_pause is not None and connection.paused
+        assert connection.requests.error_pause is not None and connection.read_paused
         client.send(invalid * 300)
         for _ in range(MAX_INVALID_REQUESTS - 1):
             assert (await client.answer())[0] == 400
--- a/tests/test_client_disconnect.py
+++ b/tests/test_client_disconnect.py
@@ -151,7 +151,7 @@
             harness.counter.free.clear()
             client, listener = await harness.client(), harness.process.listener
             client.send(b"".join(request(number) for number in range(8 * MAX_PIPELINED_REQUESTS)))
-            await until(lambda: any(c.paused for c in listener.connections))
+            await until(lambda: any(c.read_paused for c in listener.connections))
             assert len(harness.process.dispatcher.active_requests) >= MAX_PIPELINED_REQUESTS
             if how == "closes":
                 client.writer.close()
--- a/tests/test_no_attempt_after_disconnect.py
+++ b/tests/test_no_attempt_after_disconnect.py
@@ -151,7 +151,7 @@
     active_requests = harness.process.dispatcher.active_requests
     await until(lambda: len(active_requests) >= min(number, MAX_PIPELINED_REQUESTS))
     if state == "paused":
-        await until(lambda: any(c.paused for c in harness.process.listener.connections))
+        await until(lambda: any(c.read_paused for c in harness.process.listener.connections))
     return harness.counter.free.set
 
 
