--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -1,59 +1,94 @@
-"""An operator's word on backends and on the gateway, as the module keeps it."""
+"""Operators' commands on endpoints and on the gateway, as the policy engine applies them."""
 
 from __future__ import annotations
 
-from quota_gateway.model.actions import CloseIdleConnections, DrainClientConnections, StartAttempt
+from collections.abc import Iterable
+
+import pytest
+
+from quota_gateway.engine.policy_engine import PolicyEngine
+from quota_gateway.model.actions import CloseIdleConnections, DrainClientConnections
 from quota_gateway.model.endpoints import EndpointStatus
 from quota_gateway.model.events import SetDraining, SetMaintenance
-from tests.policy_harness import backend, backends, gateway, request
+from quota_gateway.model.outcomes import Outcome
+from tests.policy_assertions import started_attempts
+from tests.policy_harness import backend, backends, ended, gateway, request
 
 
-def sends(made: object, numbers: range) -> set[str]:
-    found: set[str] = set()
+def used_endpoints(engine: PolicyEngine, numbers: Iterable[int]) -> set[str]:
+    """Send the requests of these numbers, each after the last one's end; return the endpoints used."""
+    used: set[str] = set()
     for number in numbers:
-        actions = made.handle(request(number, customer=f"c{number}"), 100.0)  # type: ignore[attr-defined]
-        found |= {a.endpoint_id for a in actions if isinstance(a, StartAttempt)}
-    return found
-
-
-def test_a_ban_outlives_lists_and_restarts() -> None:
-    made = gateway()
-    assert made.handle(SetMaintenance("a", True), 100.0) == [CloseIdleConnections("a")]
-    assert sends(made, range(20)) == {"b"}
-    for listed in (
-        backends(backend("a", status=EndpointStatus.REMOVED), backend("b")),
-        backends(backend("a", started=99.0), backend("b")),
-    ):
-        made.handle(listed, 100.0)
-        assert sends(made, range(100, 120)) <= {"b"}
-    assert made.unavailable_endpoints() == 1 and made.knows_endpoint("a")
-
-
-def test_every_backend_banned_leaves_none_to_serve_with() -> None:
-    made = gateway()
-    for name in "ab":
-        made.handle(SetMaintenance(name, True), 100.0)
-    assert not made.accepts_clients() and sends(made, range(3)) == set()
-
-
-def test_what_is_put_back_is_cold_whatever_the_list_says() -> None:
-    made = gateway()
-    for out in (True, True, False, False):  # two calls out need one call back
-        made.handle(SetMaintenance("a", out), 100.0)
-    server = made.endpoints["a"]
-    assert made.slow_start.factor(server) == made.settings.slow_start_minimum
-    made.handle(backends(backend("a"), backend("b")), 101.0)  # not told of the restart yet
-    assert made.endpoints["a"] is server
-    made.handle(backends(backend("a", started=99.5), backend("b")), 101.0)
-    assert made.endpoints["a"] is server
-    made.handle(backends(backend("a", started=102.0), backend("b")), 103.0)
-    assert made.endpoints["a"].endpoint.started_at == 102.0
-
-
-def test_a_drain_changes_no_admission() -> None:
-    made = gateway()
-    assert made.handle(SetDraining(True), 100.0) == [DrainClientConnections(True)]
-    assert not made.accepts_clients() and sends(made, range(4))
-    assert (
-        made.handle(SetDraining(False), 100.0) == [DrainClientConnections(False)] and made.accepts_clients()
-    )
+        for attempt in started_attempts(engine.handle(request(number, customer=f"c{number}"), 100.0)):
+            used.add(attempt.endpoint_id)
+            engine.handle(ended(number, 0, attempt.endpoint_id, Outcome.SUCCESS), 100.0)
+    return used
+
+
+def test_maintenance_closes_idle_connections_and_ends_attempts_to_the_endpoint() -> None:
+    engine = gateway()
+    assert engine.handle(SetMaintenance("a", True), 100.0) == [CloseIdleConnections("a")]
+    assert used_endpoints(engine, range(20)) == {"b"}
+
+
+def test_maintenance_lasts_through_endpoint_lists_and_restarts() -> None:
+    engine = gateway()
+    engine.handle(SetMaintenance("a", True), 100.0)
+    engine.handle(backends(backend("a", status=EndpointStatus.REMOVED), backend("b")), 100.0)
+    assert used_endpoints(engine, range(20)) == {"b"}
+    engine.handle(backends(backend("a", started=99.0), backend("b")), 100.0)
+    assert used_endpoints(engine, range(100, 120)) == {"b"}
+    assert engine.unavailable_endpoints() == 1
+    assert engine.knows_endpoint("a")
+
+
+def test_gateway_accepts_no_clients_while_every_endpoint_is_under_maintenance() -> None:
+    engine = gateway()
+    for endpoint_id in ("a", "b"):
+        engine.handle(SetMaintenance(endpoint_id, True), 100.0)
+    assert not engine.accepts_clients()
+    assert used_endpoints(engine, range(3)) == set()
+
+
+def engine_after_maintenance() -> PolicyEngine:
+    """Return an engine where endpoint "a" has returned; two commands to start need one to end."""
+    engine = gateway()
+    for enabled in (True, True, False, False):
+        engine.handle(SetMaintenance("a", enabled), 100.0)
+    return engine
+
+
+def test_endpoint_warms_up_after_maintenance() -> None:
+    engine = engine_after_maintenance()
+    factor = engine.slow_start.factor(engine.endpoints["a"])
+    assert factor == engine.settings.slow_start_minimum
+
+
+@pytest.mark.parametrize("listed_start", [None, 99.5])
+def test_list_that_does_not_know_of_the_return_leaves_the_endpoint_as_it_is(
+    listed_start: float | None,
+) -> None:
+    engine = engine_after_maintenance()
+    state = engine.endpoints["a"]
+    engine.handle(backends(backend("a", started=listed_start), backend("b")), 101.0)
+    assert engine.endpoints["a"] is state
+
+
+def test_list_that_names_a_later_start_replaces_the_time_of_the_return() -> None:
+    engine = engine_after_maintenance()
+    engine.handle(backends(backend("a", started=102.0), backend("b")), 103.0)
+    assert engine.endpoints["a"].endpoint.started_at == 102.0
+
+
+def test_draining_gateway_still_admits_requests() -> None:
+    engine = gateway()
+    assert engine.handle(SetDraining(True), 100.0) == [DrainClientConnections(True)]
+    assert not engine.accepts_clients()
+    assert used_endpoints(engine, range(4))
+
+
+def test_gateway_accepts_clients_again_once_draining_is_cancelled() -> None:
+    engine = gateway()
+    engine.handle(SetDraining(True), 100.0)
+    assert engine.handle(SetDraining(False), 100.0) == [DrainClientConnections(False)]
+    assert engine.accepts_clients()
