--- a/tests/test_client_retries.py
+++ b/tests/test_client_retries.py
@@ -1,4 +1,4 @@
-"""Clients' repeats: how old they are, and which of them may take the place of a fresh request."""
+"""Clients' retries: how old they are, which of them are admitted, and the Retry-After that clients get."""
 
 from __future__ import annotations
 
@@ -8,129 +8,166 @@
 import pytest
 
 from quota_gateway.engine.policy_engine import PolicyEngine
-from quota_gateway.model.actions import Action, Reject, StartAttempt
+from quota_gateway.model.actions import Action, Reject
 from quota_gateway.model.events import Event, RequestReceived
+from quota_gateway.policy.request_lifecycle import LATE_RETRY_LIMIT_FRACTION
 from tests.harness import request as http_request
 from tests.harness import run, running
+from tests.policy_assertions import first_attempt, limiter_of, started_attempts
 from tests.policy_harness import SAFE, gateway, request
 
+DEADLINE = SAFE.deadline  # seconds from a client's first send
+OBJECTIVE = SAFE.latency_objective  # seconds from a client's first send
 
-def repeat(number: int, patience: float) -> RequestReceived:
-    asked = request(number, customer=f"x{number}", deadline=100.0 + patience)
-    return replace(asked, is_retry=True, client_timeout=patience)
 
+def retry(number: int, client_timeout: float) -> RequestReceived:
+    """Return a retry at 100 s whose client waits so many seconds more."""
+    received = request(number, customer=f"x{number}", deadline=100.0 + client_timeout)
+    return replace(received, is_retry=True, client_timeout=client_timeout)
 
-def busy(patience: float = SAFE.deadline, **changes: Any) -> PolicyEngine:
-    """A gateway that has seen a first try, with enough out that there is no room to spare."""
-    made = gateway(**changes)
-    made.handle(replace(request(1, customer="first"), client_timeout=patience), 100.0)
-    made.admission.concurrency_limit = made.admission.in_flight * 4.0
-    return made
 
+def retry_of_age(number: int, seconds: float) -> RequestReceived:
+    """Return a retry whose client sent the request for the first time so many seconds ago."""
+    return retry(number, DEADLINE - seconds)
 
-def test_a_repeat_that_comes_too_late_gives_way_to_fresh_requests() -> None:
-    # half of all arrivals on a busy day were repeats: each took capacity and quota, and earned nothing
-    made = busy()
-    late = made.handle(repeat(2, SAFE.deadline - 1.5 * SAFE.latency_objective), 100.0)
-    assert [type(a) for a in late] == [Reject] and late[0].retry_after > 0  # type: ignore[union-attr]
-    assert (
-        made.limiters.limiters["x2"].balance == made.limiters.limiters["x2"].capacity
-    )  # and took nothing of the quota
-    assert any(
-        isinstance(a, StartAttempt)
-        for a in made.handle(repeat(3, SAFE.deadline - 0.3 * SAFE.latency_objective), 100.0)
-    )
-    assert any(isinstance(a, StartAttempt) for a in made.handle(request(4, customer="fresh"), 100.0))
 
+def busy_engine(client_timeout: float = DEADLINE, **changes: Any) -> PolicyEngine:
+    """Return an engine that has seen a first send, and has no capacity to spare for a retry too late."""
+    engine = gateway(**changes)
+    engine.handle(replace(request(1, customer="first"), client_timeout=client_timeout), 100.0)
+    engine.admission.concurrency_limit = engine.admission.in_flight / LATE_RETRY_LIMIT_FRACTION
+    return engine
 
-def test_a_repeat_that_comes_too_late_is_served_where_there_is_room() -> None:
-    made = busy()
-    made.admission.concurrency_limit = float("inf")
-    tries = [made.handle(repeat(n, 1.0), 100.0) for n in (2, 3)]
-    assert all(any(isinstance(a, StartAttempt) for a in actions) for actions in tries)
-    spent = made.limiters.limiters["x2"]
-    spent.balance = spent.capacity / 4  # what is left there is for fresh ones
-    again = replace(repeat(4, 1.0), customer="x2")
-    assert [type(a) for a in made.handle(again, 100.0)] == [Reject]
+
+def test_retry_that_is_too_late_is_rejected_and_not_charged() -> None:
+    # half of all arrivals on a busy day were retries: each took capacity and quota, and earned nothing
+    engine = busy_engine()
+    (rejection,) = engine.handle(retry_of_age(2, 1.5 * OBJECTIVE), 100.0)
+    assert isinstance(rejection, Reject) and rejection.retry_after > 0
+    limiter = limiter_of(engine, "x2")
+    assert limiter.balance == limiter.capacity
+
+
+def test_retry_in_time_and_new_request_are_forwarded_at_a_busy_gateway() -> None:
+    engine = busy_engine()
+    engine.handle(retry_of_age(2, 1.5 * OBJECTIVE), 100.0)
+    assert started_attempts(engine.handle(retry_of_age(3, 0.3 * OBJECTIVE), 100.0))
+    assert started_attempts(engine.handle(request(4, customer="new"), 100.0))
+
+
+def test_retry_that_is_too_late_is_forwarded_where_there_is_spare_capacity() -> None:
+    engine = busy_engine()
+    engine.admission.concurrency_limit = float("inf")
+    for number in (2, 3):
+        assert started_attempts(engine.handle(retry(number, 1.0), 100.0))
+
+
+def test_retry_that_is_too_late_is_rejected_where_little_quota_is_left() -> None:
+    engine = busy_engine()
+    engine.admission.concurrency_limit = float("inf")
+    assert started_attempts(engine.handle(retry(2, 1.0), 100.0))
+    limiter = limiter_of(engine, "x2")
+    limiter.balance = limiter.capacity / 4  # less than half: what is left is for new requests
+    second_retry = replace(retry(4, 1.0), customer="x2")
+    assert [type(action) for action in engine.handle(second_retry, 100.0)] == [Reject]
 
 
 @pytest.mark.parametrize(
-    ("patience", "advice", "sent"),
+    ("client_timeout", "max_retry_after", "is_forwarded"),
     [
-        (2.0, 1.0, False),  # the advice alone made it as old as the aim
-        (2.0, 0.3, True),
-        (3.9, 1.0, True),  # but no older than its time allows
+        pytest.param(2.0, 1.0, False, id="as old as the objective by Retry-After alone"),
+        pytest.param(2.0, 0.3, True, id="younger than the objective"),
+        pytest.param(3.9, 1.0, True, id="no older than its timeout allows"),
     ],
 )
-def test_a_repeat_with_as_much_time_as_a_first_try_is_as_old_as_the_advice(
-    patience: float, advice: float, sent: bool
+def test_retry_with_the_timeout_of_a_first_send_is_as_old_as_the_longest_retry_after(
+    client_timeout: float, max_retry_after: float, is_forwarded: bool
 ) -> None:
-    made = busy(patience, max_retry_after=advice)
-    assert any(isinstance(a, StartAttempt) for a in made.handle(repeat(2, patience), 100.0)) == sent
+    engine = busy_engine(client_timeout, max_retry_after=max_retry_after)
+    attempts = started_attempts(engine.handle(retry(2, client_timeout), 100.0))
+    assert bool(attempts) == is_forwarded
+
 
+def test_retry_with_the_timeout_of_a_first_send_counts_as_new_without_retry_after() -> None:
+    engine = busy_engine(2.0, retry_after_allowed=False)
+    assert started_attempts(engine.handle(retry(2, 2.0), 100.0))
 
-def test_without_advice_nothing_is_known_of_such_a_repeat() -> None:
-    made = busy(2.0, retry_after_allowed=False)
-    assert any(isinstance(a, StartAttempt) for a in made.handle(repeat(2, 2.0), 100.0))
 
+def test_retry_is_not_too_late_where_late_responses_keep_their_value() -> None:
+    engine = busy_engine(request_classes=(replace(SAFE, late_value_ratio=0.6),))
+    assert started_attempts(engine.handle(retry_of_age(2, 1.5 * OBJECTIVE), 100.0))
 
-def test_a_repeat_whose_late_answer_keeps_its_worth_is_not_too_late() -> None:
-    made = busy(request_classes=(replace(SAFE, late_value_ratio=0.6),))
-    assert any(
-        isinstance(a, StartAttempt)
-        for a in made.handle(repeat(2, SAFE.deadline - 1.5 * SAFE.latency_objective), 100.0)
-    )
 
+def test_attempt_of_a_retry_times_out_when_one_of_its_first_send_would() -> None:
+    attempt = first_attempt(busy_engine().handle(retry_of_age(2, 0.4 * OBJECTIVE), 100.0))
+    assert attempt.timeout == pytest.approx(0.6 * OBJECTIVE)
 
-def test_what_a_repeat_waits_for_ends_with_the_time_its_first_try_set() -> None:
-    made = busy()
-    actions = made.handle(repeat(2, SAFE.deadline - 0.4 * SAFE.latency_objective), 100.0)
-    sent = next(a for a in actions if isinstance(a, StartAttempt))
-    assert sent.timeout == pytest.approx(0.6 * SAFE.latency_objective)
-    throttle = made.limiters.limiters["x2"]
-    throttle.balance = 1.0 - 0.3 * throttle.rate  # 0.3 s short: a fresh one is held for it, an old one is not
-    old = replace(repeat(3, SAFE.deadline - 0.8 * SAFE.latency_objective), customer="x2")
-    assert any(isinstance(a, Reject) for a in made.handle(old, 100.0))
-    assert not any(isinstance(a, Reject) for a in made.handle(request(4, customer="x2"), 100.0))
 
+def test_retry_is_queued_no_longer_than_its_first_send_would_be() -> None:
+    engine = busy_engine()
+    engine.handle(retry_of_age(2, 0.4 * OBJECTIVE), 100.0)
+    limiter = limiter_of(engine, "x2")
+    limiter.balance = 1.0 - 0.3 * limiter.rate  # one unit is there in 0.3 s
+    # of its objective of 1 s the retry has 0.2 s left; a new request may be queued for 0.4 s
+    old_retry = replace(retry_of_age(3, 0.8 * OBJECTIVE), customer="x2")
+    assert any(isinstance(action, Reject) for action in engine.handle(old_retry, 100.0))
+    new_request = request(4, customer="x2")
+    assert not any(isinstance(action, Reject) for action in engine.handle(new_request, 100.0))
 
-def test_the_module_is_told_how_long_the_client_waits_from_its_send(monkeypatch: pytest.MonkeyPatch) -> None:
-    told: list[RequestReceived] = []
+
+def test_engine_gets_the_timeout_that_the_client_sends(monkeypatch: pytest.MonkeyPatch) -> None:
+    received: list[RequestReceived] = []
     handle = PolicyEngine.handle
 
-    def listening(self: PolicyEngine, event: Event, now: float) -> list[Action]:
+    def recording_handle(self: PolicyEngine, event: Event, now: float) -> list[Action]:
         if isinstance(event, RequestReceived):
-            told.append(event)
+            received.append(event)
         return handle(self, event, now)
 
     async def test() -> None:
-        monkeypatch.setattr(PolicyEngine, "handle", listening)
-        async with running() as bed:
-            assert (await (await bed.client()).ask(http_request(1, budget=3.25, X_Again="1")))[0] == 200
-        assert [(r.client_timeout, r.is_retry) for r in told] == [(3.25, True)]
+        monkeypatch.setattr(PolicyEngine, "handle", recording_handle)
+        async with running() as harness:
+            client = await harness.client()
+            status, _, _ = await client.ask(http_request(1, budget=3.25, X_Again="1"))
+            assert status == 200
+        assert [(event.client_timeout, event.is_retry) for event in received] == [(3.25, True)]
 
     run(test)
 
 
-def advice(made: PolicyEngine, asked: RequestReceived) -> float:
-    refused = next(a for a in made.handle(asked, 100.0) if isinstance(a, Reject))
-    return refused.retry_after
+def retry_after(engine: PolicyEngine, received: RequestReceived) -> float:
+    """Return the Retry-After in seconds with which a request is rejected."""
+    rejections = [action for action in engine.handle(received, 100.0) if isinstance(action, Reject)]
+    return rejections[0].retry_after
+
+
+def engine_with_empty_bucket() -> PolicyEngine:
+    """Return an engine whose token bucket, 4 units that refill by 2 a second, has just been emptied."""
+    engine = gateway()
+    engine.handle(request(1, units=4.0), 100.0)
+    return engine
+
+
+def test_retry_after_is_the_wait_for_quota_if_that_is_in_time() -> None:
+    assert retry_after(engine_with_empty_bucket(), request(2)) == pytest.approx(0.5)
+
+
+def test_retry_after_is_short_where_quota_comes_too_late() -> None:
+    # with half a second or more a client came back too late to be served in time by any gateway
+    engine = engine_with_empty_bucket()
+    soon = 0.15 * OBJECTIVE
+    assert retry_after(engine, request(2, units=3.0)) == pytest.approx(
+        soon
+    )  # 1.5 s until there is quota here
 
 
-def test_a_refused_client_is_told_when_there_is_credit_if_that_is_in_time() -> None:
-    made = gateway()
-    made.handle(request(1, units=4.0), 100.0)  # the bank is empty
-    assert advice(made, request(2)) == pytest.approx(0.5)
+def test_retry_after_is_short_while_load_is_shed() -> None:
+    engine = gateway()
+    engine.admission.concurrency_limit = -1.0
+    assert retry_after(engine, request(3)) == pytest.approx(0.15 * OBJECTIVE)
 
 
-def test_a_refused_client_is_told_to_come_back_soon_where_credit_here_comes_too_late() -> None:
-    # told half a second or more, it came back too late to be served in time by anybody
-    made = gateway()
-    made.handle(request(1, units=4.0), 100.0)
-    assert advice(made, request(2, units=3.0)) == pytest.approx(0.15 * SAFE.latency_objective)  # 1.5 s here
-    pressed = gateway()
-    pressed.admission.concurrency_limit = -1.0
-    assert advice(pressed, request(3)) == pytest.approx(0.15 * SAFE.latency_objective)
-    silent = gateway(retry_after_allowed=False)
-    silent.admission.concurrency_limit = -1.0
-    assert advice(silent, request(4)) == 0.0
+def test_retry_after_is_zero_where_the_settings_do_not_allow_it() -> None:
+    engine = gateway(retry_after_allowed=False)
+    engine.admission.concurrency_limit = -1.0
+    assert retry_after(engine, request(4)) == 0.0
