--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -1,103 +1,171 @@
-"""How much a cold backend is given: by what else there is, and by all gateways together."""
+"""Slow start: what an endpoint that is warming up gets, by its peers and from all gateways together."""
 
 from __future__ import annotations
 
-from dataclasses import replace
+from dataclasses import dataclass, replace
 
 import pytest
 
 from quota_gateway.engine.policy_engine import PolicyEngine
-from quota_gateway.model.actions import StartAttempt
-from quota_gateway.model.events import SetMaintenance
+from quota_gateway.model.events import EndpointListUpdate, Event, SetMaintenance
+from quota_gateway.model.outcomes import Outcome
 from quota_gateway.policy.outlier_detection import OUTLIER_THRESHOLD
 from quota_gateway.policy.slow_start import BUDGET_FRACTION
 from tests.fleet import Result, cases, play
-from tests.policy_harness import SETTINGS, backend, backends, gateway, request
-
-
-@pytest.mark.parametrize(("sick", "cold"), [(0, 1), (2, 1), (0, 3), (2, 3)])
-def test_a_cold_backend_is_given_more_where_few_others_are_warm_and_sound(sick: int, cold: int) -> None:
-    # left to a part of an even share each, cold ones stood idle while the few sound ones were pushed over
-    warm = [backend(f"w{n}") for n in range(5 - cold)]
-    made = gateway(now=100.0, listed=backends(*warm, *(backend(f"c{n}", started=95.0) for n in range(cold))))
-    server = made.endpoints["c0"]
-    share = made.slow_start.factor(server)
-    for n in range(sick):
-        made.endpoints[f"w{n}"].failure_score = OUTLIER_THRESHOLD
-    most = made.settings.slow_start_overload_ratio * BUDGET_FRACTION * share
-    even = share * 5 / (5 - cold - sick + cold * share)  # of what each of the sound ones can do
-    # never more than is safe, and that where the others could not take the rest
-    assert made.slow_start.probability(server) == pytest.approx(min(even, most))
-    assert (even > most) == (sick > 0)
-
-
-def fleet_of(width: int, count: int) -> list[PolicyEngine]:
-    """Gateways before so many backends, the first of which has come back a second ago."""
-    listed = backends(backend("c", started=99.0), *(backend(f"w{n}") for n in range(count - 1)))
-    made = [
-        PolicyEngine(replace(SETTINGS, gateway_count=width, gateway_index=me), me, 100.0)
-        for me in range(width)
-    ]
-    for each in made:
-        each.handle(listed, 100.0)
-    return made
-
-
-@pytest.mark.parametrize("multiple", [2.0, 4.0])
-@pytest.mark.parametrize(("width", "count"), [(1, 8), (3, 9), (20, 36), (30, 36), (200, 100), (200, 7)])
-def test_the_gateways_parts_add_up_to_the_fleets_budget_whatever_each_sees(
-    width: int, count: int, multiple: float
-) -> None:
-    # a gateway that saw others fail raised its part by what it alone saw, and so did those that had widened
-    fleet = fleet_of(width, count)
-    for me, made in enumerate(fleet):
-        made.context.settings = replace(made.settings, slow_start_overload_ratio=multiple)
-        for server in made.registry.candidates:
-            server.failure_score = OUTLIER_THRESHOLD * (
-                server.endpoint.endpoint_id != "c" and me % 3 > 0
-            )  # most see all others as bad
-        made.registry.refresh_candidates()
-    rates = [1.0 + 9.0 * (me % 7 == 0) for me in range(width)]  # some have ten times what others have
-    reach = [me for me, made in enumerate(fleet) if made.endpoints["c"] in made.registry.assigned_subset]
-    even = sum(rates[me] / len(fleet[me].registry.assigned_subset) for me in reach)  # a second, to a warm one
-    share = fleet[0].slow_start.factor(fleet[0].endpoints["c"])
-    drawn = [rates[me] / len(made.registry.candidates) for me, made in enumerate(fleet)]
-    most = sum(
-        rate * made.slow_start.budget(made.endpoints["c"]) for rate, made in zip(drawn, fleet, strict=True)
-    )
-    kept = sum(
-        rate * made.slow_start.probability(made.endpoints["c"])
-        for rate, made in zip(drawn, fleet, strict=True)
-    )
-    assert most == pytest.approx(BUDGET_FRACTION * multiple * share * even)
-    assert kept <= most + 1e-9
-    assert all(
-        made.slow_start.probability(made.endpoints["c"]) == 0
-        for me, made in enumerate(fleet)
-        if me not in reach
-    )
+from tests.policy_assertions import first_attempt, started_attempts
+from tests.policy_harness import SETTINGS, backend, backends, ended, gateway, request
 
+WARMING_UP = "c"  # id of the endpoint that is warming up
 
-@pytest.mark.parametrize("way", ["new", "reborn at its id", "put back"])
-def test_a_backend_is_cold_however_it_came_back(way: str) -> None:
-    made = gateway(now=100.0, listed=backends(backend("a"), backend("b")), slow_start_overload_ratio=0.0)
-    if way == "new":
-        made.handle(backends(backend("a"), backend("c", started=100.0)), 100.0)
-    elif way == "reborn at its id":
-        made.handle(backends(backend("a"), backend("b", started=100.0)), 100.0)
-    else:
-        made.handle(SetMaintenance("b", True), 100.0)
-        made.handle(SetMaintenance("b", False), 100.0)
-    sent = [
-        action.endpoint_id
+
+@pytest.mark.parametrize(("outliers", "warming_up"), [(0, 1), (2, 1), (0, 3), (2, 3)])
+def test_endpoint_gets_more_work_where_few_others_are_warm_and_healthy(
+    outliers: int, warming_up: int
+) -> None:
+    # with a fraction of an even share each, those warming up were idle while the few healthy ones overloaded
+    warm_endpoints = [backend(f"w{number}") for number in range(5 - warming_up)]
+    new_endpoints = [backend(f"c{number}", started=95.0) for number in range(warming_up)]
+    engine = gateway(now=100.0, listed=backends(*warm_endpoints, *new_endpoints))
+    endpoint = engine.endpoints["c0"]
+    factor = engine.slow_start.factor(endpoint)
+    for number in range(outliers):
+        engine.endpoints[f"w{number}"].failure_score = OUTLIER_THRESHOLD
+    budget = engine.settings.slow_start_overload_ratio * BUDGET_FRACTION * factor
+    healthy_capacity = 5 - warming_up - outliers + warming_up * factor
+    even = factor * 5 / healthy_capacity  # work in proportion to what each of the healthy ones can do
+    # never over the budget, which binds only where the others could not take the work
+    assert engine.slow_start.probability(endpoint) == pytest.approx(min(even, budget))
+    assert (even > budget) == (outliers > 0)
+
+
+def test_endpoint_keeps_its_work_while_the_others_are_late() -> None:
+    # reduced by each late response of the others, it was idle just when half a fleet had restarted
+    engine = gateway(listed=backends(backend("a"), replace(backend("b"), started_at=98.0)))
+    endpoint = engine.endpoints["b"]
+    factor = engine.slow_start.factor(endpoint)
+    assert 0.2 < factor < 1.0
+    engine.admission.fleet_failure_rate = 0.9
+    assert engine.slow_start.probability(endpoint) > 0.5 * factor
+
+
+@pytest.mark.parametrize("gateway_count", [2, 300])
+def test_new_endpoint_gets_its_work_from_all_gateways_together(gateway_count: int) -> None:
+    """Found in incidents: each of hundreds of gateways sent a request as soon as the endpoint was listed."""
+    received = 0
+    warm_endpoints = [backend(f"w{number}") for number in range(5)]
+    for seed in range(gateway_count):
+        engine = PolicyEngine(replace(SETTINGS, gateway_count=gateway_count), seed, 100.0)
+        engine.handle(backends(backend(WARMING_UP, started=100.0), *warm_endpoints), 100.0)
+        for number in range(1200 // gateway_count):
+            actions = engine.handle(request(number, customer=f"x{number}", deadline=110.0), 100.1)
+            endpoint_id = first_attempt(actions).endpoint_id
+            received += endpoint_id == WARMING_UP
+            engine.handle(ended(number, 0, endpoint_id, Outcome.SUCCESS), 100.2)
+    assert 10 <= received <= 70  # a warm one gets over 200; this one can do a quarter of that, 50, at least
+
+
+def test_fleet_of_new_endpoints_only_is_used() -> None:
+    engine = gateway(listed=backends(backend("a", started=99.0), backend("b", started=99.0)))
+    attempts = 0
+    for number in range(40):
+        received = request(number, customer=f"x{number}", deadline=110.0)
+        attempts += len(started_attempts(engine.handle(received, 100.0 + number / 10)))
+    assert 1 <= attempts <= 20
+
+
+@dataclass(frozen=True, slots=True)
+class Member:
+    """One gateway of a fleet, and the attempts a second that it makes."""
+
+    engine: PolicyEngine
+    rate: float
+
+    @property
+    def is_assigned(self) -> bool:
+        """Whether the endpoint that is warming up is in the gateway's own subset."""
+        return self.engine.endpoints[WARMING_UP] in self.engine.registry.assigned_subset
+
+    @property
+    def even_rate(self) -> float:
+        """Attempts a second that the gateway sends to each endpoint of its own subset, if all are warm."""
+        return self.rate / len(self.engine.registry.assigned_subset)
+
+    @property
+    def draw_rate(self) -> float:
+        """Draws a second that fall on each candidate, also while the subset is widened."""
+        return self.rate / len(self.engine.registry.candidates)
+
+    @property
+    def budget(self) -> float:
+        return self.engine.slow_start.budget(self.engine.endpoints[WARMING_UP])
+
+    @property
+    def probability(self) -> float:
+        return self.engine.slow_start.probability(self.engine.endpoints[WARMING_UP])
+
+
+def member_of_fleet(
+    gateway_index: int, gateway_count: int, overload_ratio: float, listed: EndpointListUpdate
+) -> Member:
+    """Return a gateway; most of a fleet see all other endpoints as outliers, some have ten times the load."""
+    settings = replace(
+        SETTINGS,
+        gateway_count=gateway_count,
+        gateway_index=gateway_index,
+        slow_start_overload_ratio=overload_ratio,
+    )
+    engine = PolicyEngine(settings, gateway_index, 100.0)
+    engine.handle(listed, 100.0)
+    if gateway_index % 3 > 0:
+        for endpoint in engine.registry.candidates:
+            endpoint.failure_score = 0.0 if endpoint.id == WARMING_UP else OUTLIER_THRESHOLD
+        engine.registry.refresh_candidates()
+    return Member(engine, rate=10.0 if gateway_index % 7 == 0 else 1.0)
+
+
+@pytest.mark.parametrize("overload_ratio", [2.0, 4.0])
+@pytest.mark.parametrize(
+    ("gateway_count", "endpoint_count"), [(1, 8), (3, 9), (20, 36), (30, 36), (200, 100), (200, 7)]
+)
+def test_budgets_of_the_gateways_add_up_to_that_of_the_fleet_whatever_each_sees(
+    gateway_count: int, endpoint_count: int, overload_ratio: float
+) -> None:
+    # gateways that saw others fail, or had widened their subsets, raised their part by what they alone saw
+    warm_endpoints = [backend(f"w{number}") for number in range(endpoint_count - 1)]
+    listed = backends(backend(WARMING_UP, started=99.0), *warm_endpoints)
+    fleet = [member_of_fleet(index, gateway_count, overload_ratio, listed) for index in range(gateway_count)]
+    first = fleet[0].engine
+    factor = first.slow_start.factor(first.endpoints[WARMING_UP])
+    even_rate = sum(member.even_rate for member in fleet if member.is_assigned)
+    allowed_rate = sum(member.draw_rate * member.budget for member in fleet)
+    expected_rate = sum(member.draw_rate * member.probability for member in fleet)
+    assert allowed_rate == pytest.approx(BUDGET_FRACTION * overload_ratio * factor * even_rate)
+    assert expected_rate <= allowed_rate + 1e-9
+    assert all(member.probability == 0 for member in fleet if not member.is_assigned)
+
+
+@pytest.mark.parametrize(
+    "events",
+    [
+        pytest.param([backends(backend("a"), backend("c", started=100.0))], id="new"),
+        pytest.param([backends(backend("a"), backend("b", started=100.0))], id="restarted"),
+        pytest.param([SetMaintenance("b", True), SetMaintenance("b", False)], id="after maintenance"),
+    ],
+)
+def test_endpoint_warms_up_however_it_came_back(events: list[Event]) -> None:
+    engine = gateway(now=100.0, listed=backends(backend("a"), backend("b")), slow_start_overload_ratio=0.0)
+    for event in events:
+        engine.handle(event, 100.0)
+    used = {
+        attempt.endpoint_id
         for number in range(100)
-        for action in made.handle(request(number, customer=f"c{number}"), 100.0)
-        if isinstance(action, StartAttempt)
-    ]
-    assert sent and set(sent) == {"a"}  # nothing is allowed for a cold one: only the warm one is left
+        for attempt in started_attempts(engine.handle(request(number, customer=f"c{number}"), 100.0))
+    }
+    assert used == {"a"}  # a ratio of 0 leaves no budget for the other one
 
 
-def played(gateways: int, starts: int) -> dict[tuple[str, float], list[Result]]:
+def results_by_load(gateways: int, starts: int) -> dict[tuple[str, float], list[Result]]:
+    """Play the cases of a fleet, and return their results by load and overload ratio."""
     results: dict[tuple[str, float], list[Result]] = {}
     for case in cases(gateways, starts):
         results.setdefault((case.load, case.multiple), []).append(play(case))
@@ -105,13 +173,14 @@
 
 
 @pytest.mark.parametrize(("gateways", "starts"), [(1, 30), (3, 30), (20, 120), (30, 60), (200, 80)])
-def test_a_fleet_sends_no_cold_backend_more_than_chance_explains(gateways: int, starts: int) -> None:
-    for (load, multiple), results in played(gateways, starts).items():
-        used = sum(r.used for r in results) / len(results)
+def test_fleet_sends_no_new_endpoint_more_than_chance_explains(gateways: int, starts: int) -> None:
+    for (load, overload_ratio), results in results_by_load(gateways, starts).items():
+        used = sum(result.used for result in results) / len(results)
+        worst = max(result.worst for result in results)
         print(
-            f"cold: {gateways} gateways, {load}, multiple {multiple:.0f}: "
-            f"worst {max(r.worst for r in results):+.1f}, used {used:.2f}"
+            f"slow start: {gateways} gateways, {load}, overload ratio {overload_ratio:.0f}: "
+            f"worst {worst:+.1f}, used {used:.2f}"
         )
-        assert sum(r.over for r in results) == 0
+        assert sum(result.over for result in results) == 0
         if load == "pressed":  # 0.16 to 0.18 and 0.21 to 0.25 were used while the others were late
-            assert used > (0.2 if multiple > 2.0 else 0.3)
+            assert used > (0.2 if overload_ratio > 2.0 else 0.3)
