--- a/quota_gateway/engine/policy_engine.py
+++ b/quota_gateway/engine/policy_engine.py
@@ -31,10 +31,10 @@
 
 
 class PolicyEngine:
-    """Decides for one gateway, on its settings and the events that it is given, and on nothing else."""
+    """Decides for one gateway, by its settings and events only: without I/O, clock or tasks."""
 
     def __init__(self, settings: Settings, seed: int, now: float) -> None:
-        """Connect the mechanisms; `seed` is that of the random numbers, `now` seconds."""
+        """Connect the mechanisms; `seed` is for the random numbers, `now` is in seconds."""
         validate_settings(settings)
         self.context = context = EngineContext(settings, random.Random(seed), now, now)
         self.draining = False
@@ -72,11 +72,11 @@
 
     @property
     def settings(self) -> Settings:
-        """The settings that the engine was made with."""
+        """The engine's settings."""
         return self.context.settings
 
     def handle(self, event: events.Event, now: float) -> list[actions.Action]:
-        """Return what is to be done about an event, in this order; `now` is seconds and never goes back."""
+        """Return the actions for an event, in order; `now` is seconds, clamped to never go back."""
         self.context.now = max(self.context.now, now)
         self.context.actions = []
         match event:
@@ -178,15 +178,15 @@
             self.context.emit(actions.DrainClientConnections(True))
 
     def snapshot(self) -> events.StateSnapshot:
-        """Return what the next process of this gateway takes over."""
+        """Return the state for the next process of this gateway."""
         return save_state(self)
 
     def knows_endpoint(self, endpoint_id: str) -> bool:
-        """Return whether an operator may name this endpoint."""
+        """Return whether the endpoint is listed or under maintenance."""
         return endpoint_id in self.registry.endpoints or endpoint_id in self.registry.under_maintenance
 
     def unavailable_endpoints(self) -> int:
-        """Return how many listed endpoints get no requests: by list, operators, faults or subset."""
+        """Return how many listed endpoints get no requests: by status, maintenance, ejection or subset."""
         used = sum(1 for endpoint in self.registry.candidates if not self._is_ejected(endpoint))
         return len(self.registry.endpoints) - used
 
@@ -195,5 +195,5 @@
         return is_outlier(endpoint) and self.context.now - endpoint.last_used_at >= RECENTLY_USED
 
     def accepts_clients(self) -> bool:
-        """Return whether clients may be sent here."""
+        """Return whether a load balancer may send clients here."""
         return bool(self.registry.serving) and not self.draining
--- a/quota_gateway/engine/state_snapshot.py
+++ b/quota_gateway/engine/state_snapshot.py
@@ -1,7 +1,7 @@
-"""Saves an engine's state as plain values for the next process, and reads those of the process before.
+"""Saves an engine's state as plain values for the next process, and restores that of the previous one.
 
-Keys and the order of list items are a format between versions of the program: they stay as they are, whatever
-the attributes are called.
+Keys and the order of list items are a format between versions of the program: they stay the same when
+attributes are renamed.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
 
 
 def save_state(engine: Mechanisms) -> StateSnapshot:
-    """Return the state in plain values, as it goes to the next process."""
+    """Return the state in plain values, as it is sent to the next process."""
     limiters = [list(astuple(_saved_limiter(limiter))) for limiter in engine.limiters.limiters.values()]
     endpoints = [
         [state.id, state.endpoint.started_at, state.concurrency_limit, state.failure_score, state.decayed_at]
@@ -87,7 +87,7 @@
 
 
 def load_state(state: dict[str, Any]) -> SavedState:
-    """Return the state that another process saved; KeyError, TypeError or ValueError if it is spoilt."""
+    """Return the state that another process saved; KeyError, TypeError or ValueError if it is malformed."""
     return SavedState(
         started_at=state["born"],
         limiters=[SavedLimiter(*row) for row in state["throttles"]],
@@ -111,7 +111,7 @@
 
 
 def restore_state(engine: Mechanisms, saved: SavedState) -> None:
-    """Merge the state into that of this process, but for whether the gateway drains."""
+    """Merge the state into that of this process, except whether the gateway is draining."""
     engine.context.started_at = min(engine.context.started_at, saved.started_at)
     _restore_figures(engine, saved)
     engine.registry.under_maintenance.update(saved.under_maintenance)
--- a/quota_gateway/policy/__init__.py
+++ b/quota_gateway/policy/__init__.py
@@ -1,1 +1,1 @@
-"""Every decision of the gateway, one mechanism a module."""
+"""The gateway's decisions, one mechanism per module."""
--- a/quota_gateway/policy/admission.py
+++ b/quota_gateway/policy/admission.py
@@ -9,18 +9,18 @@
 LATE_FRACTION = 0.35  # of the latency objective from which an answer is late: short queues are no overload
 MIN_IN_FLIGHT = 1.0  # attempts that a gateway may always have in flight; a fraction of one is drawn
 LIMIT_SLACK = 2.0  # attempts above those in flight that a late answer leaves: chance alone needs them
-LIMIT_DECREASE = 0.5  # taken off the limit for a late answer
+LIMIT_DECREASE = 0.5  # subtracted from the limit for a late answer
 LIMIT_INCREASE = 0.5  # added for one in time while half of the limit is in use
 ADMIT_DECREASE = 0.7  # factor of the admitted part for a late answer
-ADMIT_INCREASE = 1.25  # and for one in time: the part stands still where 38% are late
-MIN_ADMIT_RATIO = 0.05  # with less nothing would tell that the overload is over
+ADMIT_INCREASE = 1.25  # and for one in time: the part is stable where 38% are late
+MIN_ADMIT_RATIO = 0.05  # with less, the end of an overload would not be noticed
 SAMPLE_INTERVAL = 1.0  # seconds from which an answer counts in full: where more come each counts for less
 FAILURE_SAMPLE_WEIGHT = 0.0375  # of one answer in the fleet's failure rate
 
 
 @dataclass(slots=True, eq=False)
 class AdmissionController:
-    """Owns the gateway's limit on attempts in flight, and the part of requests that it admits."""
+    """Adjusts the limit on attempts in flight and the fraction of requests that are admitted."""
 
     context: EngineContext
     registry: EndpointRegistry
@@ -49,20 +49,20 @@
         self.in_flight += 1
 
     def attempt_finished(self, attempt: AttemptState) -> None:
-        """Free the place of an attempt."""
+        """Release the concurrency slot of an attempt."""
         attempt.endpoint.in_flight -= 1
         attempt.endpoint.late_in_flight -= attempt.is_late
         self.in_flight -= not attempt.is_late
 
     def attempt_late(self, attempt: AttemptState) -> None:
-        """Sample an attempt once it is late, and no longer let it fill the limit that healthy ones need."""
+        """Sample an attempt once it is late; it no longer counts against the gateway's limit."""
         attempt.is_late = True
         attempt.endpoint.late_in_flight += 1
         self.in_flight -= 1
         self.record_sample(True, attempt.endpoint)
 
     def record_sample(self, late: bool, endpoint: EndpointState) -> None:
-        """Move the limits and the admitted part, whose steps scale with it whatever the traffic."""
+        """Adjust the limits and the admit ratio; the ratio's step is weighted by the time since the last."""
         endpoint.concurrency_limit = _adjusted(
             endpoint.concurrency_limit, late, endpoint.in_flight, endpoint.minimum_limit
         )
--- a/quota_gateway/policy/attempt_results.py
+++ b/quota_gateway/policy/attempt_results.py
@@ -1,4 +1,4 @@
-"""What follows from the end of an attempt: samples, charges, retries."""
+"""Handling of finished attempts: samples, charges and retries."""
 
 from dataclasses import dataclass
 
@@ -16,7 +16,7 @@
 
 @dataclass(slots=True, eq=False)
 class AttemptResults:
-    """Hands the end of each attempt to the mechanisms that learn from it."""
+    """Passes the result of each attempt to the mechanisms that learn from it."""
 
     context: EngineContext
     admission: AdmissionController
@@ -25,7 +25,7 @@
     queue: RequestQueue
 
     def attempt_ended(self, event: AttemptEnded) -> None:
-        """Learn from the outcome, charge the real units, and retry or forget the request."""
+        """Learn from the outcome, charge the actual units, and retry or forget the request."""
         request = self.forwarder.requests.get(event.request_id)
         attempt = request.attempt_in_flight(event.attempt_index) if request is not None else None
         if request is None or attempt is None:
@@ -56,7 +56,7 @@
             self.admission.attempt_late(attempt)
 
     def stream_started(self, request: PendingRequest, event: ResponseStreamStarted) -> None:
-        """Sample a response by its first bytes; while the rest is passed on its slot serves another."""
+        """Sample a response by its first bytes, and release its slot while the rest is streamed."""
         request.streaming = True
         attempt = request.attempt_in_flight(event.attempt_index)
         if attempt is not None:
--- a/quota_gateway/policy/endpoint_registry.py
+++ b/quota_gateway/policy/endpoint_registry.py
@@ -28,12 +28,12 @@
     serving: list[EndpointState] = field(default_factory=list)
     candidates: Sequence[EndpointState] = ()  # this gateway's subset, widened while it is unhealthy
     assigned_subset: set[EndpointState] = field(default_factory=set)  # the same, never widened
-    under_maintenance: set[str] = field(default_factory=set)  # by operators, whatever the list says
+    under_maintenance: set[str] = field(default_factory=set)  # by operators, independent of the list
     ring: SubsetRing = field(default_factory=lambda: SubsetRing((), 0, 1))
     returned_at: dict[str, float] = field(default_factory=dict)  # when operators ended a maintenance
 
     def apply(self, update: EndpointListUpdate) -> None:
-        """Take over what discovery says; after a failure the list stays, and is polled again soon."""
+        """Apply an update; after a failed poll the list stays as it is, and is polled again soon."""
         context = self.context
         if update.kind is EndpointListKind.FAILED:
             delay = context.settings.poll_interval * RETRY_POLL_FRACTION * (0.5 + context.random.random())
@@ -63,7 +63,7 @@
         self.endpoints[endpoint.endpoint_id] = state
 
     def set_maintenance(self, event: SetMaintenance) -> None:
-        """Keep to the operators' word until they take it back; what comes back is taken to be warming up."""
+        """Start or end maintenance, which no list ends; an endpoint that returns from it is warming up."""
         key = event.endpoint_id
         if event.enabled:
             self.under_maintenance.add(key)
@@ -76,25 +76,25 @@
         self.refresh_serving()
 
     def restore(self, saved: SavedEndpoint) -> None:
-        """Take over what another process learned of an endpoint since its start."""
+        """Restore what the previous process learned of an endpoint since its start."""
         state = self.endpoints.get(saved.endpoint_id)
         if state is None:
             return
-        state.endpoint = self.as_returned(state.endpoint)  # the list does not tell of a return
+        state.endpoint = self.as_returned(state.endpoint)  # the list does not know of its return
         if state.endpoint.started_at == saved.started_at:
             state.concurrency_limit = saved.concurrency_limit
             state.failure_score = saved.failure_score
             state.decayed_at = saved.decayed_at
 
     def as_returned(self, endpoint: Endpoint) -> Endpoint:
-        """Return it with the time of its return, where the list does not know of a later start."""
+        """Return the endpoint with its return from maintenance as its start, unless a later one is listed."""
         returned_at = self.returned_at.get(endpoint.endpoint_id, 0.0)
         if returned_at > (endpoint.started_at or 0.0):
             return replace(endpoint, started_at=returned_at)
         return endpoint
 
     def refresh_serving(self) -> None:
-        """Find out anew which endpoints serve, and this gateway's subset of them."""
+        """Recompute which endpoints serve, and this gateway's subset of them."""
         self.serving = [
             endpoint
             for endpoint in self.endpoints.values()
@@ -106,11 +106,11 @@
         self.refresh_candidates()
 
     def refresh_candidates(self) -> None:
-        """Widen the subset where too few of it are healthy, or narrow it again."""
+        """Recompute the subset, which is wider while too few of its endpoints are healthy."""
         self.candidates = self.ring.select(lambda endpoint: not is_outlier(endpoint))
 
     def is_usable(self, endpoint: EndpointState) -> bool:
-        """Return whether a request may go there by the list, the operators and its concurrency limit."""
+        """Return whether the list, the operators and its concurrency limit allow another attempt."""
         current = self.endpoints.get(endpoint.id) is endpoint
         serving = endpoint.is_serving and endpoint.id not in self.under_maintenance
         return current and serving and endpoint.in_flight < endpoint.concurrency_limit
--- a/quota_gateway/policy/fine_grained_quota.py
+++ b/quota_gateway/policy/fine_grained_quota.py
@@ -1,6 +1,6 @@
 """Quotas that are too small to split: many gateways share a burst of which none could hold a request.
 
-Such a quota is not split. A reading of the counter tells the balance of the whole quota from the units that
+Such a quota is not split. A reading of the counter gives the balance of the whole quota from the units that
 all gateways forwarded; while the counter is overloaded, a sample of the requests is read for all of them.
 """
 
@@ -45,7 +45,7 @@
     grant_ratios: dict[tuple[str, bool, bool], float]
 
     def request_reading(self, request: PendingRequest) -> None:
-        """Have the request wait for a reading, where the balance known here can't decide on it."""
+        """Call the counter and let the request wait, where the local balance can't decide on it."""
         limiter = request.limiter
         now = self.context.now
         expired = now >= limiter.reading_valid_until
@@ -68,7 +68,7 @@
         self._call_counter(limiter, request.reported_units)
 
     def _pays_off_unsampled(self, request: PendingRequest, covered: bool) -> bool:
-        """Return whether an unsampled request earns more than it costs, by those that were sampled."""
+        """Return whether forwarding without a reading pays off, by the grant ratio of sampled requests."""
         plan = request.plan
         granted = self.grant_ratios[plan.name, covered, request.request.is_retry]
         return granted + (1.0 - granted) * (plan.over_quota_value - plan.over_quota_cost) >= 0
@@ -81,18 +81,18 @@
         limiter.unreported_units = 0.0
 
     def report_unreported(self, limiter: Limiter) -> None:
-        """Report what no call has reported yet."""
+        """Report the units that no call has reported yet."""
         if limiter.unreported_units and not self.counter.is_paused():
             self._call_counter(limiter, 0.0)
 
     def request_forwarded(self, request: PendingRequest) -> None:
-        """Report the request's units soon, if no call has."""
+        """Schedule the report of the request's units, if no call has reported them."""
         if request.limiter.is_fine_grained and request.reported_units == 0:
             request.reported_units = request.units
             self._report_soon(request.limiter, request.units)
 
     def request_withdrawn(self, request: PendingRequest) -> None:
-        """Take back units that were reported for a request which is not forwarded."""
+        """Correct the units reported for a request that is not forwarded."""
         if request.limiter.is_fine_grained and request.reported_units > 0:
             self._report_soon(request.limiter, -request.reported_units)
             request.reported_units = 0.0
@@ -105,7 +105,7 @@
             self.context.set_timer(delay, ReportDemandTimer(limiter.customer))
 
     def apply_reply(self, limiter: Limiter, reply: CounterReply) -> bool:
-        """Take over a reading, or the failure of its call; False where no call is known."""
+        """Apply a reading, or the failure of its call; return False if no such call is in flight."""
         call = next((call for call in limiter.counter_calls if call.name == reply.name), None)
         if call is None:
             return False
--- a/quota_gateway/policy/forwarding.py
+++ b/quota_gateway/policy/forwarding.py
@@ -1,4 +1,4 @@
-"""Forwarding: starts the attempts of requests whose quota allows them, and gives all others their answer."""
+"""Forwarding: starts the attempts of requests that their quota allows, and answers all others."""
 
 from dataclasses import dataclass, field
 
@@ -20,7 +20,7 @@
 
 @dataclass(slots=True, eq=False)
 class Forwarder:
-    """Owns the requests that have no answer or attempts in flight, by number."""
+    """Owns the requests, by id, that have no final answer or have attempts in flight."""
 
     context: EngineContext
     admission: AdmissionController
@@ -66,13 +66,13 @@
         self.peer.report(request.limiter, 0.0 if request.over_quota else request.units)
 
     def watch_lateness(self, request: PendingRequest, attempt_index: int) -> None:
-        """Set the timer for a late attempt; while the request's body comes its time has not begun."""
+        """Set the timer for a late attempt, unless the request's body is still being received."""
         if not request.request.body_incomplete:
             delay = max(LATE_FRACTION * request.latency_objective, EPSILON)
             self.context.set_timer(delay, LateAttemptTimer(request.id, attempt_index))
 
     def _timeout(self, request: PendingRequest) -> float:
-        """Return the seconds until an attempt's answer is worth little; 0 while the request's body comes."""
+        """Return the attempt's timeout in seconds; 0, for none, while the request's body is received."""
         if request.request.body_incomplete:
             return 0.0
         now = self.context.now
@@ -80,7 +80,7 @@
         return min(request.request.deadline, until) - now
 
     def answer(self, request: PendingRequest, retry_after: float) -> None:
-        """End a request that is not served: the one place for this; `retry_after` is seconds."""
+        """Reject or fail a request that is not served; `retry_after` is in seconds."""
         if request.answered or request.streaming:
             return
         request.answered = True
@@ -94,16 +94,16 @@
         self.forget_if_finished(request)
 
     def answer_for_quota(self, request: PendingRequest, wait: float) -> None:
-        """End a request for want of quota: its client may come back once there is some, if that is in time.
+        """Reject a request without quota; Retry-After is the wait for it, if a retry is in time then.
 
-        If not, soon: another gateway of the customer's may have quota, or an endpoint a free slot.
+        If not, it is short: another gateway may have quota, or an endpoint a free slot.
         """
         remaining = useful_until(request) - self.context.now - self.latency.expected(request)
         soon = SOON_FRACTION * request.latency_objective
         self.answer(request, wait if wait <= remaining else soon)
 
     def cancel_attempts(self, request: PendingRequest) -> None:
-        """Cancel what is in flight, where this is allowed and no response is being passed on."""
+        """Cancel the attempts in flight, if the settings allow it and no response is being streamed."""
         if not self.context.settings.cancellation_allowed or request.streaming:
             return
         for index, attempt in enumerate(request.attempts):
@@ -111,7 +111,7 @@
                 self.context.emit(CancelAttempt(request.id, index))
 
     def forget_if_finished(self, request: PendingRequest) -> None:
-        """Drop an answered request without attempts; units that no attempt was sent with go back."""
+        """Forget an answered request without attempts in flight; refund its units if none was sent."""
         if request.in_flight or not request.answered:
             return
         known = self.requests.pop(request.id, None) is not None
--- a/quota_gateway/policy/latency_estimates.py
+++ b/quota_gateway/policy/latency_estimates.py
@@ -1,4 +1,4 @@
-"""Learned response times, and how long an answer keeps its value."""
+"""Estimates of response times and of clients' timeouts, and how long an answer has value."""
 
 from dataclasses import dataclass, field
 
@@ -16,7 +16,7 @@
 
 @dataclass(slots=True, eq=False)
 class LatencyEstimates:
-    """Moving averages of response times, in seconds, and of the timeouts that clients show."""
+    """Moving averages of response times and of clients' timeouts, both in seconds."""
 
     context: EngineContext
     # by request class and whole units, which keeps the keys few; 0 units: of the whole class
@@ -45,7 +45,7 @@
         self.machine_type_factors[machine_type] = factor + SAMPLE_WEIGHT * (sample - factor)
 
     def retry_age(self, request: RequestReceived, request_class: RequestClass) -> float:
-        """Return the seconds since the client's first send; its answer is wanted as early as the first's.
+        """Return the seconds since the client's first send, on which its objective and deadline depend.
 
         Clients wait equally long for each send of a class, and for all of them until its deadline: a retry
         with less time than first sends have shows by it how old it is. Another is as old as the longest
--- a/quota_gateway/policy/load_balancing.py
+++ b/quota_gateway/policy/load_balancing.py
@@ -13,7 +13,7 @@
 from quota_gateway.state.records import EndpointState, PendingRequest
 
 CHOICES = 2  # candidates compared: two see the load, more would all pick what one gateway sees as idle
-MAX_DRAWS = 8  # for these: with half of the fleet unfit one in 256 fails, and a scan is made
+MAX_DRAWS = 8  # for these: with half of the fleet unusable one in 256 fails, and a scan is made
 
 
 @dataclass(slots=True, eq=False)
@@ -26,7 +26,7 @@
     latency: LatencyEstimates
 
     def choose(self, request: PendingRequest) -> EndpointState | None:
-        """Return the better of two drawn; unfit ones are drawn again, and outliers unless all are."""
+        """Return the better of two draws; unusable ones are redrawn, and outliers while draws are left."""
         pool = self._pool(request)
         self.slow_start.choice = None
         if not pool:
@@ -56,7 +56,7 @@
         return best
 
     def may_send(self, request: PendingRequest, endpoint: EndpointState) -> bool:
-        """Return whether one more attempt may go there: each rule is checked here and nowhere else."""
+        """Return whether another attempt may be sent there; this is the only place for these rules."""
         settings = self.context.settings
         past_deadline = self.context.now >= request.request.deadline and not request.request.body_incomplete
         if request.answered or request.streaming or request.not_resendable or past_deadline:
@@ -94,7 +94,7 @@
         return next((endpoint for endpoint in everywhere if self.may_send(request, endpoint)), None)
 
     def _cost(self, request: PendingRequest, endpoint: EndpointState) -> float:
-        """Return the expected seconds of an attempt there, and a penalty for what speaks against it."""
+        """Return the expected seconds of an attempt there, plus penalties for faults and repeats."""
         decay(endpoint, self.context.now)
         repeats = sum(1 for attempt in request.attempts if attempt.endpoint is endpoint)
         repeats += is_rejecting(endpoint, request, self.context.now)
--- a/quota_gateway/policy/outlier_detection.py
+++ b/quota_gateway/policy/outlier_detection.py
@@ -1,4 +1,4 @@
-"""Outlier detection: a failure score for each endpoint, by which load balancing passes it over."""
+"""Outlier detection: a failure score for each endpoint, by which load balancing avoids it."""
 
 from quota_gateway.model.outcomes import Outcome
 from quota_gateway.state.records import EndpointState, PendingRequest
@@ -7,7 +7,7 @@
 OUTLIER_THRESHOLD = 0.5  # score from which an endpoint is an outlier
 MAX_SCORE = 8.0  # it is tried again after four half-lives at the latest
 UNREACHABLE_SCORE = MAX_SCORE / 2  # score at least of one that can't be connected to
-REJECTING_FOR = 15.0  # seconds that an endpoint is taken to reject a class and plan it has rejected
+REJECTING_FOR = 15.0  # seconds that an endpoint is expected to reject a class and plan it has rejected
 
 
 def decay(endpoint: EndpointState, now: float) -> None:
@@ -17,7 +17,7 @@
 
 
 def is_outlier(endpoint: EndpointState) -> bool:
-    """Return whether its score says that it fails."""
+    """Return whether the score has reached the threshold."""
     return endpoint.failure_score >= OUTLIER_THRESHOLD
 
 
@@ -30,16 +30,16 @@
 
 
 def record_success(endpoint: EndpointState, request: PendingRequest) -> None:
-    """Halve the score; the endpoint does not reject such requests."""
+    """Halve the score, and clear the record that the endpoint rejects such requests."""
     endpoint.failure_score /= 2
     endpoint.rejecting_until.pop(request.kind, None)
 
 
 def record_rejection(endpoint: EndpointState, request: PendingRequest, now: float) -> None:
-    """Pass the endpoint over for such requests: it may take others, so this is no sign of a fault."""
+    """Avoid the endpoint for such requests; it may accept others, so this is no sign of a fault."""
     endpoint.rejecting_until[request.kind] = now + REJECTING_FOR
 
 
 def is_rejecting(endpoint: EndpointState, request: PendingRequest, now: float) -> bool:
-    """Return whether it is taken to reject such requests."""
+    """Return whether the endpoint is expected to reject such requests."""
     return endpoint.rejecting_until.get(request.kind, 0.0) > now
--- a/quota_gateway/policy/quota_sync.py
+++ b/quota_gateway/policy/quota_sync.py
@@ -15,16 +15,16 @@
 READING_LIFETIME = 2.5 * PERIOD  # outlives one lost call, not a silent counter
 COUNT_LIFETIME = 4 * PERIOD  # that the counter keeps a period's demand
 DEMAND_WEIGHT = 0.5  # of the last period in the smoothed demand: a few requests a second make it jump
-NEED_FRACTION = 0.8  # of the even part asked for, or of the capacity spent, from which readings are worth it
+NEED_FRACTION = 0.8  # of the even part requested, or of the capacity spent, from which readings are made
 ACTIVE_FRACTION = 0.05  # of the quota, as smoothed demand, from which a customer is still active
-MIN_QUOTA_FRACTION = 0.1  # of the even part: always left, so that a customer that moves here is not shut out
+MIN_QUOTA_FRACTION = 0.1  # of the even part: always left, so that a customer that moves here is not rejected
 REPORT_SLOTS = 997  # customers are spread over so many moments of a period, alike at all gateways
 REPORT_SLOTS_PER_PERIOD = 1250
 
-FULL_SERVICE_GATEWAYS = 100.0  # for fewer a counter is taken to answer every call at first
+FULL_SERVICE_GATEWAYS = 100.0  # for fewer the counter is first assumed to answer every call
 SAMPLING_INCREASE = 1.1  # factor of the sampled part for each prompt reply
 SAMPLING_DECREASE = 0.7  # and for a call that is rejected or late: one call in five fails at most
-MIN_SAMPLING_RATIO = 0.05  # with less nothing would tell that the counter has capacity again
+MIN_SAMPLING_RATIO = 0.05  # with less, recovery of the counter would not be noticed
 PROMPT_FACTOR = 1.25  # times the fastest reply that a prompt one takes: it found next to no queue
 FASTEST_REPLY_GROWTH = 1.001  # of the fastest reply's time with each reply: the counter may have slowed
 SILENT_AFTER = 3  # failed calls in a row from which the counter is unreachable, not only overloaded
@@ -33,7 +33,7 @@
 
 @dataclass(slots=True, eq=False)
 class CounterHealth:
-    """Owns what is known of the counter; times are seconds."""
+    """Tracks the counter's health and sets the sampling ratio; times are seconds."""
 
     context: EngineContext
     fastest_reply: float
@@ -42,11 +42,11 @@
     consecutive_failures: int = 0
 
     def is_paused(self) -> bool:
-        """Return whether the counter is left alone, and the even part of each quota holds."""
+        """Return whether calls to the counter are suspended after failures."""
         return self.context.now < self.paused_until
 
     def record(self, reply: CounterReply) -> None:
-        """Learn from a reply, or from a call that failed."""
+        """Update the estimates by a reply, or by the failure of a call."""
         if reply.outcome is Outcome.SUCCESS:
             self.consecutive_failures = 0
             self.fastest_reply = min(self.fastest_reply * FASTEST_REPLY_GROWTH, reply.elapsed)
@@ -79,7 +79,7 @@
         self.context.set_timer(max(due - now, 1e-6), ReportDemandTimer(limiter.customer))
 
     def report_demand(self, limiter: Limiter) -> None:
-        """Report the last period's demand, but of customers far from their quota, who don't need it."""
+        """Report the last period's demand, unless the customer is far from its quota."""
         now = self.context.now
         limiter.record_demand(0.0, now)
         period = limiter.demand_period - 1
--- a/quota_gateway/policy/request_lifecycle.py
+++ b/quota_gateway/policy/request_lifecycle.py
@@ -1,4 +1,4 @@
-"""The life of a request: its arrival, its body, and the end of its client."""
+"""Request lifecycle: arrival, request body, and disconnects of the client."""
 
 from dataclasses import dataclass, replace
 
@@ -13,12 +13,12 @@
 from quota_gateway.state.limiter_state import PERIOD
 from quota_gateway.state.records import PendingRequest
 
-LATE_RETRY_LIMIT_FRACTION = 0.25  # of the concurrency limit, below which a retry that is too late goes on
+LATE_RETRY_LIMIT_FRACTION = 0.25  # of the concurrency limit, below which late retries are forwarded
 
 
 @dataclass(slots=True, eq=False)
 class RequestLifecycle:
-    """Takes requests in, and ends those that nobody waits for any more."""
+    """Receives requests, and ends those whose client has disconnected."""
 
     context: EngineContext
     limiters: LimiterRegistry
@@ -61,17 +61,17 @@
         self.queue.admit(request, max_wait)
 
     def _is_late_retry(self, request: PendingRequest) -> bool:
-        """Return whether the answer to a retry would come too late: it would take a new request's place."""
+        """Return whether a retry's answer would come too late; forwarding it would displace a new request."""
         finished_at = self.context.now + self.latency.expected(request)
         return request.request.is_retry and finished_at > useful_until(request)
 
     def _has_spare_quota(self, request: PendingRequest) -> bool:
-        """Return whether a request that earns nothing takes nothing from those that do."""
+        """Return whether capacity and quota suffice for a request that earns nothing."""
         spare = self.admission.has_spare_capacity(LATE_RETRY_LIMIT_FRACTION)
         return spare and request.limiter.is_half_full()
 
     def body_received(self, request: PendingRequest, deadline: float) -> None:
-        """Start the time of a request whose body came while it was forwarded."""
+        """Start the deadline and latency objective of a request whose body was streamed."""
         if not request.request.body_incomplete:
             return
         request.request = replace(request.request, body_incomplete=False, deadline=deadline)
@@ -81,7 +81,7 @@
                 self.queue.forwarder.watch_lateness(request, index)
 
     def client_disconnected(self, request: PendingRequest) -> None:
-        """End a request that nobody waits for."""
+        """Cancel the request's attempts and remove it from the queue."""
         request.answered = True
         self.queue.forwarder.cancel_attempts(request)
         self.queue.remove(request)
@@ -89,7 +89,7 @@
         self.queue.forwarder.forget_if_finished(request)
 
     def client_half_closed(self, request: PendingRequest) -> None:
-        """Send nothing more; an attempt in flight may still serve a client that only ended its sending."""
+        """Start no more attempts; one in flight may still serve a client that only half-closed."""
         if request.answered or request.streaming:
             return
         request.not_resendable = True
--- a/quota_gateway/policy/request_queue.py
+++ b/quota_gateway/policy/request_queue.py
@@ -12,13 +12,13 @@
 from quota_gateway.state.records import Limiter, PendingRequest
 
 MAX_WAIT_FRACTION = 0.4  # of the latency objective that a request may be queued: the endpoint needs the rest
-OVER_QUOTA_LIMIT_FRACTION = 0.5  # of the concurrency limit, below which paid requests over the quota go on
+OVER_QUOTA_LIMIT_FRACTION = 0.5  # of the concurrency limit, to forward paid requests over the quota
 MIN_TIMER = 1e-6  # seconds
 
 
 @dataclass(slots=True, eq=False)
 class RequestQueue:
-    """Charges requests to their limiters, and keeps the order in which they came."""
+    """Charges requests to their limiters, and queues them in order of arrival."""
 
     context: EngineContext
     admission: AdmissionController
@@ -77,14 +77,14 @@
             self.context.set_timer(max(wait, MIN_TIMER), ReleaseQueueTimer(limiter.customer))
 
     def time_out(self, request: PendingRequest) -> None:
-        """End the wait of a request, wherever it stands: its client may have less time than those before."""
+        """End the wait of a request at any place in the queue: its deadline may be before the head's."""
         if request in request.limiter.queue:
             request.limiter.refill(self.context.now)
             self._drop(request)
             self.release(request.limiter)
 
     def remove(self, request: PendingRequest) -> None:
-        """Take a request out if it is queued; its units go to those behind it."""
+        """Remove a request if it is queued, and refund its units."""
         if request in request.limiter.queue:
             request.limiter.dequeue(request)
             request.limiter.balance += request.units
@@ -95,9 +95,9 @@
         self._overflow(request, request.limiter.wait_time(request.units))
 
     def _overflow(self, request: PendingRequest, wait: float) -> None:
-        """Reject what can't be queued, unless the plan pays for it beyond its quota and there is capacity.
+        """Reject a request that can't be queued, unless the plan pays beyond its quota.
 
-        Then it is forwarded uncharged: it takes nothing that is meant for another.
+        With spare capacity such a request is forwarded without being charged to the quota.
         """
         plan = request.plan
         pays = plan.over_quota_value > plan.over_quota_cost and plan.hard_limit_rate <= 0
--- a/quota_gateway/policy/retries.py
+++ b/quota_gateway/policy/retries.py
@@ -5,18 +5,18 @@
 from quota_gateway.model.settings import Idempotency, IdempotencyScope
 from quota_gateway.state.records import EndpointState, PendingRequest
 
-RETRIES_PER_REQUEST = 0.15  # earned by each first attempt: bounds what retries add in a bad hour
+RETRIES_PER_REQUEST = 0.15  # earned by each first attempt: bounds the retry load of an incident
 MAX_SAVED_RETRIES = 10.0  # enough for one endpoint's sudden end
 
 
 @dataclass(slots=True, eq=False)
 class RetryBudget:
-    """Retries that may still be made, beyond those of attempts that took no work."""
+    """Retries that may still be made; after attempts proven not executed one may be free."""
 
     balance: float = MAX_SAVED_RETRIES
 
     def deposit(self) -> None:
-        """Earn part of a retry, for a first attempt."""
+        """Add the fraction of a retry that a first attempt earns."""
         self.balance = min(self.balance + RETRIES_PER_REQUEST, MAX_SAVED_RETRIES)
 
     def is_available(self) -> bool:
@@ -42,7 +42,7 @@
 
 
 def remaining_window(request: PendingRequest, now: float) -> float:
-    """Return the seconds within which a keyed retry must be written; 0 for no bound."""
+    """Return the seconds within which a retry with idempotency key must be sent; 0 for no bound."""
     first = request.first_possibly_executed
     if first is None or not request.has_idempotency_key:
         return 0.0
@@ -50,7 +50,7 @@
 
 
 def client_may_repeat(request: PendingRequest) -> bool:
-    """Return whether the client can send the request again and harm nothing."""
+    """Return whether the client can safely send the request again."""
     if request.first_possibly_executed is None:
         return True
     request_class = request.request_class
--- a/quota_gateway/policy/slow_start.py
+++ b/quota_gateway/policy/slow_start.py
@@ -1,7 +1,7 @@
 """Slow start: endpoints that are warming up get a budget of the fleet, of which each gateway spends its part.
 
 An endpoint with the part s of its capacity fails once it is sent N = overload ratio * s times what a warm
-one does in the window. Each gateway keeps a draw that falls on it with a probability of BUDGET_FRACTION *
+one does in the window. Each gateway accepts a draw of it with a probability of BUDGET_FRACTION *
 overload ratio * s at most: the fleet stays below N whatever its rates are (derived in docs/design.md).
 """
 
@@ -17,14 +17,14 @@
 
 @dataclass(slots=True, eq=False)
 class SlowStart:
-    """Draws by chance which attempts go to endpoints that are warming up."""
+    """Draws at random which attempts go to endpoints that are warming up."""
 
     context: EngineContext
     registry: EndpointRegistry
     choice: EndpointState | None = None  # the endpoint that the last draw allowed
 
     def factor(self, endpoint: EndpointState) -> float:
-        """Return the part of its capacity that an endpoint has at least by now; 1 once it is warm."""
+        """Return the least fraction of its capacity that an endpoint has by now; 1 once it is warm."""
         settings = self.context.settings
         started_at = endpoint.endpoint.started_at
         age = settings.slow_start_window if started_at is None else max(0.0, self.context.now - started_at)
@@ -34,11 +34,11 @@
         return minimum + (1.0 - minimum) * age / settings.slow_start_window
 
     def is_warming_up(self, endpoint: EndpointState) -> bool:
-        """Return whether it may not have its whole capacity yet."""
+        """Return whether the endpoint may have less than its full capacity."""
         return self.factor(endpoint) < 1.0
 
     def budget(self, endpoint: EndpointState) -> float:
-        """Return the probability with which a draw that falls on it may be kept at most."""
+        """Return the highest probability with which a draw of the endpoint may be accepted."""
         if endpoint not in self.registry.assigned_subset:
             return 0.0
         widening = len(self.registry.candidates) / len(self.registry.assigned_subset)
@@ -46,9 +46,9 @@
         return BUDGET_FRACTION * ratio * self.factor(endpoint) * widening
 
     def probability(self, endpoint: EndpointState) -> float:
-        """Return the probability with which it is kept: as much work as warm ones get, within the budget.
+        """Return the probability with which a draw of the endpoint is accepted, within its budget.
 
-        Each gets work by what it can do: where few are healthy and warm, that is more.
+        Work is in proportion to capacity: where few others are healthy and warm, it is more.
         """
         candidates = self.registry.candidates
         capacity = sum(self.factor(candidate) for candidate in candidates if not is_outlier(candidate))
@@ -56,7 +56,7 @@
         return min(even, self.budget(endpoint))
 
     def draw(self, endpoint: EndpointState, warm_ones_are_full: bool) -> bool:
-        """Return whether an attempt drawn for it goes there; the rest of the budget is for full others."""
+        """Draw whether the attempt goes there; the budget's rest is used once the warm ones are full."""
         if not self.is_warming_up(endpoint):
             return False
         probability = self.probability(endpoint)
--- a/quota_gateway/policy/subsetting.py
+++ b/quota_gateway/policy/subsetting.py
@@ -11,13 +11,13 @@
 
 from quota_gateway.state.records import EndpointState
 
-GATEWAYS_PER_ENDPOINT = 10  # the end of one or two of them shifts little load
+GATEWAYS_PER_ENDPOINT = 10  # the loss of one or two gateways shifts little load
 MIN_SIZE = 12  # endpoints that a gateway uses at least: without one zone of three, eight are left
-MIN_HEALTHY = 0.6  # of its usual number: with fewer healthy ones it takes more in
+MIN_HEALTHY = 0.6  # of its usual number: with fewer healthy ones the subset is widened
 
 
 def subset_size(endpoints: int, gateways: int) -> int:
-    """Return how many endpoints a gateway uses: all of a small fleet's."""
+    """Return how many endpoints a gateway uses: in a small fleet, all of them."""
     return min(endpoints, max(MIN_SIZE, math.ceil(GATEWAYS_PER_ENDPOINT * endpoints / gateways)))
 
 
@@ -31,7 +31,7 @@
         self._ring = _positions(endpoints) if self._size < len(endpoints) else []
 
     def select(self, is_healthy: Callable[[EndpointState], bool]) -> Sequence[EndpointState]:
-        """Return this gateway's endpoints, more of them while too few of its own are healthy."""
+        """Return this gateway's endpoints: its subset, widened while too few of it are healthy."""
         if not self._ring:
             return self._endpoints
         begin = self._begin
--- a/quota_gateway/policy/token_bucket.py
+++ b/quota_gateway/policy/token_bucket.py
@@ -12,7 +12,7 @@
 
 
 def is_too_small_to_split(plan: Plan, quota_spread: int, max_units: float) -> bool:
-    """Return whether a gateway's part of the burst may be below one request; `max_units` is the largest."""
+    """Return whether a gateway's part of the burst may be smaller than a request of `max_units`."""
     return quota_spread > 1 and 0 < plan.burst < max_units * quota_spread and plan.rate > 0
 
 
@@ -28,7 +28,7 @@
         self.updated_at = now
 
     def set_quota_fraction(self, fraction: float, now: float) -> None:
-        """Give this gateway another part of the quota, from now on."""
+        """Change this gateway's fraction of the quota from now on."""
         self.refill(now)
         self.quota_fraction = fraction
         self.rate = self.plan.rate * fraction
@@ -36,7 +36,7 @@
         self.balance = min(self.balance, self.capacity - self.queued_units)
 
     def give_back(self, units: float) -> None:
-        """Return units that were charged and not used."""
+        """Refund units that were charged and not used."""
         self.balance = min(self.balance + units, self.capacity - self.queued_units)
 
     def wait_time(self, units: float) -> float:
@@ -74,7 +74,7 @@
         return full and not (self.queue or self.in_flight or waiting)
 
     def merge_balance(self, other: float, now: float) -> None:
-        """Take over another process's balance, less what was spent here: of the two the lower counts."""
+        """Merge another process's balance, less what was spent here; the lower of the two is used."""
         self.refill(now)
         spent = max(self.capacity - self.balance, 0.0)
         self.balance = min(self.balance, other - spent)
--- a/quota_gateway/state/__init__.py
+++ b/quota_gateway/state/__init__.py
@@ -1,1 +1,1 @@
-"""What the decisions keep of requests, attempts, endpoints and limiters: records and their bookkeeping."""
+"""Records of requests, attempts, endpoints and limiters, and their bookkeeping; no decisions."""
--- a/quota_gateway/state/context.py
+++ b/quota_gateway/state/context.py
@@ -1,4 +1,4 @@
-"""What the mechanisms of one engine share; it holds no decision."""
+"""The context that the mechanisms of one engine share; it makes no decision."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(slots=True, eq=False)
 class EngineContext:
-    """Settings, random numbers, the time of the event at hand in seconds, and the actions that it brings."""
+    """Settings, random numbers, and the current event's time in seconds and resulting actions."""
 
     settings: Settings
     random: Random
@@ -28,9 +28,9 @@
         self.request_classes = {each.name: each for each in self.settings.request_classes}
 
     def emit(self, action: Action) -> None:
-        """Add an action, behind those that the event has brought so far."""
+        """Append an action to those of the current event."""
         self.actions.append(action)
 
     def set_timer(self, delay: float, timer: Timer) -> None:
-        """Have `timer` fire in so many seconds."""
+        """Set `timer` to fire after `delay` seconds."""
         self.actions.append(SetTimer(delay, timer))
--- a/quota_gateway/state/limiter_registry.py
+++ b/quota_gateway/state/limiter_registry.py
@@ -1,4 +1,4 @@
-"""The rate limiters of all customers that this gateway has requests of."""
+"""The rate limiters of all customers whose requests this gateway receives."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from quota_gateway.state.limiter_state import PERIOD
 from quota_gateway.state.records import Limiter
 
-EVICTION_CHECKS = 2  # limiters that are looked at for each new one, so that idle ones go without a scan
+EVICTION_CHECKS = 2  # limiters checked for each new one, so that idle ones are evicted without a scan
 
 
 @dataclass(slots=True, eq=False)
 class LimiterRegistry:
-    """Makes a customer's limiter with its first request, and drops idle ones."""
+    """Creates a customer's limiter with its first request, and evicts idle ones."""
 
     context: EngineContext
     limiters: dict[str, Limiter] = field(default_factory=dict)
--- a/quota_gateway/state/limiter_state.py
+++ b/quota_gateway/state/limiter_state.py
@@ -1,4 +1,4 @@
-"""The state of one customer's rate limiter at this gateway, and its bookkeeping; it holds no decision."""
+"""The state of one customer's rate limiter at this gateway, and its bookkeeping; it makes no decision."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from quota_gateway.model.settings import Plan
 
-PERIOD = 1.0  # seconds that a demand count covers: the paper's, and short against clients' timeouts
+PERIOD = 1.0  # seconds that a demand count covers: the paper's value, and short against clients' timeouts
 
 
 class Sized(Protocol):
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CounterCall:
-    """A call to the counter that has no reply yet."""
+    """A call to the counter that is in flight."""
 
     name: str
     requested_units: float  # for the request that waits for the reply
@@ -32,7 +32,7 @@
 
 
 class LimiterState(Generic[Queued]):
-    """A customer's token balance, queue, demand, and what the counter knows of it; times are seconds."""
+    """A customer's token balance, queue, demand and calls to the counter; times are seconds."""
 
     def __init__(self, customer: str, plan: Plan, quota_spread: int, now: float, started_at: float) -> None:
         self.customer = customer
@@ -61,9 +61,9 @@
         self.report_scheduled = False
         self.awaiting_reading = False
         self.reported_demand = 0.0
-        self.expected_reading = ""  # the counter's name that is read
+        self.expected_reading = ""  # name of the counter value that is being read
         self.is_fine_grained = False  # the quota is too small to be split among its gateways
-        self.unreported_units = 0.0  # below 0: the counter was told of too many
+        self.unreported_units = 0.0  # below 0: too many were reported
         self.counter_calls: deque[CounterCall] = deque()
 
     def record_demand(self, units: float, now: float) -> None:
--- a/quota_gateway/state/peer_process.py
+++ b/quota_gateway/state/peer_process.py
@@ -1,4 +1,4 @@
-"""The other process of this gateway during a hot restart: a quota is spent once by both."""
+"""The other process of this gateway during a hot restart, with which it shares each quota."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 
 @dataclass(slots=True, eq=False)
 class PeerProcess:
-    """Tells the other process of units that are charged here, and charges its units here."""
+    """Reports units charged here to the other process, and charges here those that it reports."""
 
     context: EngineContext
     present: bool = False
 
     def report(self, limiter: Limiter, units: float) -> None:
-        """Tell it of units that are forwarded here, or given back if below 0."""
+        """Report units that are charged here, or refunded if below 0."""
         if self.present and limiter.plan.rate > 0 and units:
             self.context.emit(UnitsCharged(limiter.customer, limiter.plan.name, limiter.quota_spread, units))
 
     def charge(self, limiter: Limiter, units: float) -> None:
-        """Charge units that it forwarded."""
+        """Charge units that the other process reported."""
         limiter.refill(self.context.now)
         limiter.give_back(-units)
--- a/quota_gateway/state/records.py
+++ b/quota_gateway/state/records.py
@@ -1,4 +1,4 @@
-"""Records of requests, attempts and endpoints, which the mechanisms share; they hold no decision."""
+"""Records of requests, attempts and endpoints, which the mechanisms share; they make no decision."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(slots=True, eq=False)
 class EndpointState:
-    """What this gateway knows of one endpoint."""
+    """The state of one endpoint at this gateway; times are seconds."""
 
     endpoint: Endpoint
     concurrency_limit: float  # attempts that this gateway may have in flight there
@@ -23,7 +23,7 @@
     late_in_flight: int = 0  # of these, attempts that are late already
     failure_score: float = 0.0  # doubles and grows by one with each failure, halves with time and success
     last_used_at: float = 0.0
-    # by request class and plan: until when the endpoint is taken to reject these
+    # by request class and plan: until when the endpoint is expected to reject these
     rejecting_until: dict[tuple[str, str], float] = field(default_factory=dict)
 
     @property
@@ -33,7 +33,7 @@
 
     @property
     def is_serving(self) -> bool:
-        """Whether the list says that it serves."""
+        """Whether the endpoint list has it as serving."""
         return self.endpoint.status is EndpointStatus.SERVING
 
 
@@ -47,35 +47,35 @@
     in_flight: bool = True
     proven_not_executed: bool = False
     is_late: bool = False
-    is_streaming: bool = False  # its response is being passed on
+    is_streaming: bool = False  # its response is being streamed to the client
 
     @property
     def awaits_response(self) -> bool:
-        """Whether nothing of its response has come yet."""
+        """Whether it is in flight and its response has not started."""
         return self.in_flight and not self.is_streaming
 
 
 @dataclass(slots=True, eq=False)
 class PendingRequest:
-    """A request that this gateway owes an answer, or that still has attempts in flight."""
+    """A request without a final answer, or with attempts in flight; times are seconds."""
 
     request: RequestReceived
     request_class: RequestClass
     limiter: TokenBucketLimiter[PendingRequest]
     received_at: float
-    first_sent_at: float  # when its client sent it for the first time, as far as this can be told
+    first_sent_at: float  # when its client sent it for the first time, as estimated
     queue_deadline: float  # until when it may wait in the limiter's queue
     attempts: list[AttemptState] = field(default_factory=list)
     in_flight: int = 0
     answered: bool = False
-    streaming: bool = False  # a response is being passed on
-    units_settled: bool = False  # the units that it really took were charged
+    streaming: bool = False  # a response is being streamed to the client
+    units_settled: bool = False  # its actual units were charged
     over_quota: bool = False  # it is forwarded beyond the quota, uncharged
-    not_resendable: bool = False  # its body is not kept, or its client has gone
+    not_resendable: bool = False  # its body is not buffered, or its client half-closed
     never_sent: bool = True  # no attempt left the gateway
     covered_locally: bool = False  # the gateway's own part of the quota covered it
     admitted_unsampled: bool = False  # it is forwarded without a reading of the counter
-    reported_units: float = 0.0  # units reported to the counter for it; below 0: it stays unreported
+    reported_units: float = 0.0  # units reported to the counter for it; below 0: not sampled, never reported
     first_possibly_executed: AttemptState | None = None  # the first attempt not proven not executed
 
     @property
@@ -105,7 +105,7 @@
 
     @property
     def has_idempotency_key(self) -> bool:
-        """Whether backends drop a repeat of it by its key."""
+        """Whether endpoints deduplicate it by its idempotency key."""
         return self.request_class.idempotency is Idempotency.IDEMPOTENCY_KEY
 
     @property
@@ -115,17 +115,17 @@
 
     @property
     def duration_key(self) -> tuple[str, float]:
-        """Its class and whole units: a fraction is the client's word, and each would need an entry."""
+        """Its class and units, rounded up: fractions are the client's choice, each would need an entry."""
         return self.request_class.name, float(math.ceil(self.request.units))
 
     def attempt_in_flight(self, index: int) -> AttemptState | None:
-        """Return its attempt of this number, if that is in flight."""
+        """Return the attempt with this index if it is in flight, else None."""
         if not 0 <= index < len(self.attempts) or not self.attempts[index].in_flight:
             return None
         return self.attempts[index]
 
     def deduplication_group(self, endpoint: EndpointState) -> str | int:
-        """Return which group of backends drops a repeat together with this one."""
+        """Return the group of endpoints that deduplicates repeats together with this one."""
         scope = self.request_class.idempotency_scope
         if scope is IdempotencyScope.ALL:
             return ""
--- a/quota_gateway/state/saved_state.py
+++ b/quota_gateway/state/saved_state.py
@@ -1,4 +1,4 @@
-"""What one process of a gateway leaves to the next in a hot restart. All times are seconds."""
+"""The state that one process of a gateway saves for the next in a hot restart; times are seconds."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SavedLimiter:
-    """A customer's limiter; queued requests stay with their process and are charged when they are sent."""
+    """A customer's limiter; queued requests stay with their process and are charged when forwarded."""
 
     customer: str
     plan: str
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SavedState:
-    """All that goes over."""
+    """The whole saved state."""
 
     started_at: float
     limiters: list[SavedLimiter]
@@ -48,7 +48,7 @@
     machine_type_factors: dict[str, float]
     client_timeouts: dict[str, float]
     durations: dict[tuple[str, float], float]
-    grant_ratios: dict[tuple[object, ...], float]  # an older process may have shorter keys
+    grant_ratios: dict[tuple[object, ...], float]  # an older version may have saved shorter keys
     fleet_failure_rate: float
     retry_budget: float
     admit_ratio: float
