--- a/tests/test_policy_invariants.py
+++ b/tests/test_policy_invariants.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from collections.abc import Sequence
 from dataclasses import dataclass
 from enum import Enum, auto
 
@@ -117,7 +118,7 @@
         self.harness.tell(backends(changed, kind=EndpointListKind.DELTA))
 
 
-def assert_hard_limit_held(forwarded: list[tuple[float, float]]) -> None:
+def assert_hard_limit_held(forwarded: Sequence[tuple[float, float]]) -> None:
     """Check the gateway's part of the hard limit over every interval of `forwarded` times and units."""
     burst = CAPPED.hard_limit_burst / GATEWAYS
     rate = CAPPED.hard_limit_rate / GATEWAYS
