--- a/tests/faulty_discovery.py
+++ b/tests/faulty_discovery.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from quota_gateway.sockets.addresses import parse_address
-from tests.fakes import FakeDiscovery, message, read_message
+from tests.fakes import FakeDiscovery, http_response, read_message
 
 LISTEN_BACKLOG = 1024
 TRICKLE_INTERVAL = 0.3  # seconds between the bytes of a trickled response
@@ -43,7 +43,7 @@
         if fault in LISTENER_FAULTS:
             assert self.server is not None
             self.server.close()
-            for writer in list(self.open):
+            for writer in list(self.open_writers):
                 writer.transport.abort()
         if fault is DiscoveryFault.CONNECT_HANGS:
             address = parse_address(self.address)
@@ -60,15 +60,17 @@
             self.unresponsive_listener.close()
         if self.fault in LISTENER_FAULTS:
             host, port = parse_address(self.address)
-            self.server = await asyncio.start_server(self.connected, host, port, backlog=LISTEN_BACKLOG)
+            self.server = await asyncio.start_server(
+                self.handle_connection, host, port, backlog=LISTEN_BACKLOG
+            )
         self.fault = None
-        await self.change(*entries)
+        await self.publish(*entries)
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Answer the requests of one connection."""
         while True:
             request_line, _, _ = await read_message(reader)
-            self.asked.append(request_line)
+            self.request_lines.append(request_line)
             if self.fault is not None:
                 await self.respond_with_fault(writer)
                 continue
@@ -76,26 +78,26 @@
             if self.fault is not None:  # it started during this watch
                 await self.respond_with_fault(writer)
                 continue
-            writer.write(message(200, body))
+            writer.write(http_response(200, body))
 
     async def response_body(self, request_line: str) -> bytes:
         """Return the full list, or for a watch the changes that it waited for."""
         since = re.search(r"since=(\d+)", request_line)
         timeout_ms = re.search(r"timeout_ms=(\d+)", request_line)
         if since is None or timeout_ms is None:
-            return self.listing(True, list(self.entries.values()))
-        async with self.changed:
-            return await self.changes_since(int(since[1]), int(timeout_ms[1]) / 1000)
+            return self.list_body(True, list(self.entries.values()))
+        async with self.state_changed:
+            return await self.watch(int(since[1]), int(timeout_ms[1]) / 1000)
 
     async def respond_with_fault(self, writer: asyncio.StreamWriter) -> None:
         """Answer, or don't, as the fault says."""
         match self.fault:
             case DiscoveryFault.UNAVAILABLE:
-                writer.write(message(503, b"", "Retry-After: 3600"))
+                writer.write(http_response(503, b"", "Retry-After: 3600"))
             case DiscoveryFault.MALFORMED:
-                writer.write(message(200, b"rubbish"))
+                writer.write(http_response(200, b"rubbish"))
             case DiscoveryFault.TRUNCATED:
-                writer.write(message(200, self.listing(False, []))[:-9])
+                writer.write(http_response(200, self.list_body(False, []))[:-9])
                 await writer.drain()
                 writer.transport.abort()
                 raise ConnectionResetError
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -26,10 +26,10 @@
     """What one run showed of the backends in slow start."""
 
     starts: int
-    over: int  # starts in which some window had more requests than chance explains
-    used: float  # part of what the settings allow, over all of them
+    exceeded_starts: int  # starts in which some window had more requests than chance explains
+    used_fraction: float  # part of what the settings allow, over all of them
     served: float  # part of the requests since the start
-    worst: float  # requests above the bound in the worst window of all, negative if below it
+    max_excess: float  # requests above the bound in the worst window of all, negative if below it
 
 
 def play(case: Case) -> Result:
@@ -39,10 +39,10 @@
     allowed = sum(backend.allowed for backend in restarted)
     return Result(
         starts=len(restarted),
-        over=sum(backend.max_excess > 0 for backend in restarted),
-        used=sum(backend.arrivals for backend in restarted) / max(allowed, 1e-9),
+        exceeded_starts=sum(backend.max_excess > 0 for backend in restarted),
+        used_fraction=sum(backend.arrivals for backend in restarted) / max(allowed, 1e-9),
         served=simulation.served / max(simulation.requests, 1),
-        worst=max((backend.max_excess for backend in restarted), default=0.0),
+        max_excess=max((backend.max_excess for backend in restarted), default=0.0),
     )
 
 
@@ -76,10 +76,10 @@
 def print_summary(gateways: int, load: Load, multiple: float, results: Sequence[Result]) -> None:
     """Print one line on all runs of a fleet of this size at this load."""
     starts = sum(result.starts for result in results)
-    over = sum(result.over for result in results)
-    used = sum(result.used * result.starts for result in results) / max(starts, 1)
+    over = sum(result.exceeded_starts for result in results)
+    used = sum(result.used_fraction * result.starts for result in results) / max(starts, 1)
     served = sum(result.served for result in results) / max(len(results), 1)
-    worst = max((result.worst for result in results), default=0.0)
+    worst = max((result.max_excess for result in results), default=0.0)
     print(
         f"{gateways:4d} gateways, {load}, multiple {multiple:.0f}: {starts} starts, {over} over, "
         f"used {used:.3f}, served {served:.3f}, worst {worst:+.1f}",
--- a/tests/fleet_simulation.py
+++ b/tests/fleet_simulation.py
@@ -27,7 +27,7 @@
 )
 from quota_gateway.model.outcomes import Outcome
 from quota_gateway.model.settings import Plan, RequestClass, Settings
-from tests.policy_harness import OPEN, SAFE, SETTINGS
+from tests.policy_harness import CONCURRENCY_PLAN, IDEMPOTENT_CLASS, SETTINGS
 
 NETWORK_DELAY = 0.001  # seconds between a gateway and a backend
 CONNECT_TIMEOUT = 0.25  # seconds until a connection attempt to a failed backend ends
@@ -43,8 +43,8 @@
 RATE_SIGMA = 0.8  # of the gateways' lognormal request rates: some see several times the mean
 SEED_STRIDE = 1000  # keeps the seeds of the engines of different runs apart
 
-READ: RequestClass = replace(SAFE, latency_objective=0.75, deadline=2.5)
-UNLIMITED_PLAN: Plan = replace(OPEN, concurrency=0)
+READ: RequestClass = replace(IDEMPOTENT_CLASS, latency_objective=0.75, deadline=2.5)
+UNLIMITED_PLAN: Plan = replace(CONCURRENCY_PLAN, concurrency=0)
 
 
 class Load(StrEnum):
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -21,12 +21,12 @@
     FakeDiscovery,
     FakeServer,
     HttpMessage,
+    example_settings,
     read_message,
-    settings_text,
 )
 
 CUSTOMER = "00000000000000c1"
-READY = b"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n"
+READY_REQUEST = b"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n"
 TEST_TIMEOUT = 3 * EVENT_TIMEOUT  # seconds until a whole test fails
 SOCKET_LIMIT = 1024  # sockets that a gateway may have open, unless a test says otherwise
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: on, for no time at all
@@ -51,12 +51,12 @@
     customer: str = CUSTOMER,
     units: str = "1",
     body: bytes = b"typed text",
-    drop: str = "",
+    omit_header: str = "",
     **headers: str,
 ) -> bytes:
     """Return a client's request as it goes over the wire.
 
-    `budget` is the time in seconds until its deadline. The header named in `drop` is left out.
+    `budget` is the time in seconds until its deadline. The header named in `omit_header` is left out.
     `headers` are added or replace others, with underscores in place of hyphens.
     """
     is_get = request_class == "lookup"
@@ -73,7 +73,7 @@
     if not is_get:
         fields["Content-Length"] = str(len(body))
     fields.update({name.replace("_", "-"): value for name, value in headers.items()})
-    fields.pop(drop, None)
+    fields.pop(omit_header, None)
     lines = [f"{'GET' if is_get else 'POST'} /api?client={customer} HTTP/1.1"]
     lines += [f"{name}: {value}" for name, value in fields.items()]
     head = "\r\n".join([*lines, "", ""]).encode()
@@ -99,16 +99,16 @@
         """Write to the connection without waiting for a response."""
         self.writer.write(text)
 
-    async def answer(self) -> HttpResponse:
+    async def read_response(self) -> HttpResponse:
         """Read the next response; raises TimeoutError after EVENT_TIMEOUT seconds."""
         async with asyncio.timeout(EVENT_TIMEOUT):
             status_line, headers, body = await read_message(self.reader)
         return HttpResponse(int(status_line.split()[1]), headers, body)
 
-    async def ask(self, text: bytes) -> HttpResponse:
+    async def exchange(self, text: bytes) -> HttpResponse:
         """Send a request and read its response."""
         self.send(text)
-        return await self.answer()
+        return await self.read_response()
 
     def reset(self) -> None:
         """Close the connection with a TCP reset, which the gateway can tell from a half-close."""
@@ -116,7 +116,7 @@
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
         self.writer.transport.abort()
 
-    async def closed(self) -> bool:
+    async def wait_closed(self) -> bool:
         """Wait until the gateway closes the connection; False if it sends something more first."""
         async with asyncio.timeout(EVENT_TIMEOUT):
             return await self.reader.read(1) == b""
@@ -150,9 +150,9 @@
             for number, backend in enumerate(self.backends)
         ]
         self.discovery.entries = {entry["instanceId"]: entry for entry in entries}
-        await self.begin(settings, socket_limit)
+        await self.start_gateway(settings, socket_limit)
 
-    async def begin(self, settings: dict[str, Any], socket_limit: int) -> None:
+    async def start_gateway(self, settings: dict[str, Any], socket_limit: int) -> None:
         """Start the gateway alone, where the fake upstreams listen already."""
         configuration = build_configuration(self.configuration(settings, socket_limit), {})
         self.process = GatewayProcess(configuration)
@@ -175,7 +175,7 @@
             "settings": settings,
         }
 
-    async def client(self, receive_buffer: int = 0) -> Client:
+    async def connect_client(self, receive_buffer: int = 0) -> Client:
         """Connect a client; `receive_buffer` is its socket's buffer in bytes, 0 for the system's default."""
         sock = socket.socket()
         if receive_buffer:
@@ -184,31 +184,31 @@
         await asyncio.get_running_loop().sock_connect(sock, (HOST, self.port))
         return Client(*await asyncio.open_connection(sock=sock))
 
-    async def admin_client(self) -> Client:
+    async def connect_admin(self) -> Client:
         """Connect to the admin server."""
         return Client(*await asyncio.open_connection(HOST, self.admin_port))
 
-    async def call(self, method: str, path: str) -> tuple[int, str]:
+    async def call_admin(self, method: str, path: str) -> tuple[int, str]:
         """Make one call of the admin API, after which the gateway must close the connection.
 
         Returns the response's status and text.
         """
-        client = await self.admin_client()
-        status, _, text = await client.ask(f"{method} {path} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
-        assert await client.closed()
+        client = await self.connect_admin()
+        status, _, text = await client.exchange(f"{method} {path} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
+        assert await client.wait_closed()
         client.writer.close()
         return status, text.decode()
 
     async def metrics(self) -> dict[str, int]:
         """Read all metrics from the admin API; their names are without the prefix `svc.`."""
-        status, text = await self.call("GET", "/stats")
+        status, text = await self.call_admin("GET", "/stats")
         assert status == 200
         pairs = (line.partition("=") for line in text.splitlines())
         return {name.removeprefix("svc."): int(value) for name, _, value in pairs}
 
-    def seen(self) -> list[HttpMessage]:
+    def received_requests(self) -> list[HttpMessage]:
         """Return the requests that all backends have received."""
-        return [request for backend in self.backends for request in backend.seen]
+        return [request for backend in self.backends for request in backend.requests]
 
 
 def bound_port(listening: socket.socket | None) -> int:
@@ -218,20 +218,20 @@
     return port
 
 
-def roomy_settings(**limits: Any) -> dict[str, Any]:
+def high_quota_settings(**limits: Any) -> dict[str, Any]:
     """Return settings whose first plan has enough quota to forward its requests at once and uncounted."""
-    settings = settings_text(**limits)
+    settings = example_settings(**limits)
     settings["packages"][0].update(peak_units=400.0, units_per_s=100.0)
     return settings
 
 
 @asynccontextmanager
-async def running(
-    backends: int = 1, env: dict[str, Any] | None = None, sockets: int = SOCKET_LIMIT
+async def running_gateway(
+    backends: int = 1, settings: dict[str, Any] | None = None, socket_limit: int = SOCKET_LIMIT
 ) -> AsyncIterator[GatewayHarness]:
-    """Run a gateway with these settings, by default `roomy_settings`, and so many sockets at most."""
+    """Run a gateway with these settings, by default `high_quota_settings`, and so many sockets at most."""
     harness = GatewayHarness(backends)
-    await harness.start(env or roomy_settings(), sockets)
+    await harness.start(settings or high_quota_settings(), socket_limit)
     try:
         yield harness
     finally:
--- a/tests/policy_harness.py
+++ b/tests/policy_harness.py
@@ -27,7 +27,7 @@
 RESPONSE_DELAY_TOLERANCE = 0.008  # seconds past its deadline by which a request must have its response
 ENGINE_SEED = 1
 
-SAFE = RequestClass(
+IDEMPOTENT_CLASS = RequestClass(
     name="read",
     idempotency=Idempotency.IDEMPOTENT,
     idempotency_scope=IdempotencyScope.ALL,
@@ -38,15 +38,15 @@
     priority_weight=1.0,
     streams_response=False,
 )
-KEYED = replace(
-    SAFE,
+KEYED_CLASS = replace(
+    IDEMPOTENT_CLASS,
     name="keyed",
     idempotency=Idempotency.IDEMPOTENCY_KEY,
     idempotency_scope=IdempotencyScope.CELL,
     idempotency_window=3.0,
 )
-ONCE = replace(
-    SAFE,
+NON_IDEMPOTENT_CLASS = replace(
+    IDEMPOTENT_CLASS,
     name="pay",
     idempotency=Idempotency.NON_IDEMPOTENT,
     latency_objective=2.0,
@@ -54,7 +54,7 @@
     priority_weight=5.0,
 )
 
-PLAN = Plan(
+SMALL_PLAN = Plan(
     name="small",
     rate=4.0,
     burst=8.0,
@@ -65,14 +65,14 @@
     over_quota_value=0.0,
     over_quota_cost=1.0,
 )
-CAPPED = replace(PLAN, name="capped", hard_limit_rate=6.0, hard_limit_burst=12.0)
-OPEN = replace(PLAN, name="open", rate=0.0, burst=0.0, concurrency=2)
+CAPPED_PLAN = replace(SMALL_PLAN, name="capped", hard_limit_rate=6.0, hard_limit_burst=12.0)
+CONCURRENCY_PLAN = replace(SMALL_PLAN, name="open", rate=0.0, burst=0.0, concurrency=2)
 
 SETTINGS = Settings(
     gateway_index=0,
     gateway_count=2,
-    request_classes=(SAFE, KEYED, ONCE),
-    plans=(PLAN, CAPPED, OPEN),
+    request_classes=(IDEMPOTENT_CLASS, KEYED_CLASS, NON_IDEMPOTENT_CLASS),
+    plans=(SMALL_PLAN, CAPPED_PLAN, CONCURRENCY_PLAN),
     zone="z",
     endpoint_list_pushed=True,
     poll_interval=10.0,
@@ -95,61 +95,63 @@
 )
 
 
-def backend(
-    name: str, cell: int = 0, status: EndpointStatus = EndpointStatus.SERVING, started: float | None = None
+def make_endpoint(
+    name: str, cell: int = 0, status: EndpointStatus = EndpointStatus.SERVING, started_at: float | None = None
 ) -> Endpoint:
-    """Return an endpoint; `started` is when its process began, in seconds, None for unknown."""
-    return Endpoint(name, "z", "k", cell, status, 1.0, started)
+    """Return an endpoint; `started_at` is when its process began, in seconds, None for unknown."""
+    return Endpoint(name, "z", "k", cell, status, 1.0, started_at)
 
 
-def backends(*entries: Endpoint, kind: EndpointListKind = EndpointListKind.FULL) -> EndpointListUpdate:
+def endpoint_list_update(
+    *entries: Endpoint, kind: EndpointListKind = EndpointListKind.FULL
+) -> EndpointListUpdate:
     """Return an update of the endpoint list."""
     return EndpointListUpdate(kind, entries)
 
 
-def request(
+def make_request(
     number: int,
-    klass: str = "read",
+    request_class: str = "read",
     plan: str = "small",
     customer: str = "c",
     units: float = 1.0,
     deadline: float = START_TIME + 4.0,
-    width: int = 2,
+    quota_spread: int = 2,
 ) -> RequestReceived:
-    """Return a client's request; `width` is over how many gateways its customer's quota is spread."""
+    """Return a client's request; `quota_spread` is over how many gateways its customer's quota is spread."""
     return RequestReceived(
         request_id=number,
-        request_class=klass,
+        request_class=request_class,
         plan=plan,
         customer=customer,
         deadline=deadline,
         units=units,
-        quota_spread=width,
+        quota_spread=quota_spread,
         first_gateway=0,
         is_retry=False,
     )
 
 
-def ended(
+def make_attempt_ended(
     number: int,
     attempt: int,
     endpoint_id: str,
     outcome: Outcome,
     elapsed: float = 0.1,
-    over: bool | None = None,
-    true_units: float = 0.0,
+    request_answered: bool | None = None,
+    actual_units: float = 0.0,
 ) -> AttemptEnded:
-    """Return the end of an attempt; `over`: it answered its request, by default on success."""
-    request_answered = outcome is Outcome.SUCCESS if over is None else over
-    return AttemptEnded(number, attempt, endpoint_id, outcome, elapsed, request_answered, true_units, ())
+    """Return the end of an attempt; `request_answered`: it answered its request, by default on success."""
+    request_answered = outcome is Outcome.SUCCESS if request_answered is None else request_answered
+    return AttemptEnded(number, attempt, endpoint_id, outcome, elapsed, request_answered, actual_units, ())
 
 
-def gateway(
-    now: float = START_TIME, listed: EndpointListUpdate | None = None, **changes: object
+def make_engine(
+    now: float = START_TIME, endpoint_list: EndpointListUpdate | None = None, **changes: object
 ) -> PolicyEngine:
     """Return an engine that knows two endpoints or those listed, with some settings changed."""
     engine = PolicyEngine(replace(SETTINGS, **changes), ENGINE_SEED, now)  # type: ignore[arg-type]
-    engine.handle(listed or backends(backend("a"), backend("b", 1)), now)
+    engine.handle(endpoint_list or endpoint_list_update(make_endpoint("a"), make_endpoint("b", 1)), now)
     return engine
 
 
@@ -177,25 +179,25 @@
 class EngineHarness:
     """Plays clients, backends and timers around one engine, and asserts its invariants on each action.
 
-    `open` has the requests without a response, `answered` the final actions of the others,
-    `sent` each request's attempts, and `counts` the keys of counter calls without a reply.
+    `open_requests` has the requests without a response, `responses` the final actions of the others,
+    `sent` each request's attempts, and `counter_calls` the keys of counter calls without a reply.
     """
 
     def __init__(self, engine: PolicyEngine, settings: Settings = SETTINGS) -> None:
-        self.gateway = engine
+        self.engine = engine
         self.settings = settings
         self.classes = {request_class.name: request_class for request_class in settings.request_classes}
         self.now = START_TIME
-        self.open: dict[int, RequestReceived] = {}
-        self.answered: dict[int, Action] = {}
+        self.open_requests: dict[int, RequestReceived] = {}
+        self.responses: dict[int, Action] = {}
         self.sent: dict[int, list[SentAttempt]] = {}
         self.outcomes: dict[int, dict[int, Outcome]] = {}
         self.timers: list[ScheduledTimer] = []
-        self.counts: list[str] = []
-        self.listed: dict[str, Endpoint] = {}
-        self.first_units: dict[str, list[SentUnits]] = {}
+        self.counter_calls: list[str] = []
+        self.endpoints: dict[str, Endpoint] = {}
+        self.first_attempts: dict[str, list[SentUnits]] = {}
 
-    def out(self, number: int) -> list[int]:
+    def in_flight(self, number: int) -> list[int]:
         """Return the indices of a request's attempts that are in flight."""
         outcomes = self.outcomes.get(number, {})
         return [index for index in range(len(self.sent.get(number, []))) if index not in outcomes]
@@ -209,10 +211,10 @@
             if index not in outcomes or not outcomes[index].proves_not_executed
         ]
 
-    def tell(self, event: Event) -> list[Action]:
+    def handle(self, event: Event) -> list[Action]:
         """Have the engine handle an event now, and check the actions that it returns."""
         self.record(event)
-        actions = self.gateway.handle(event, self.now)
+        actions = self.engine.handle(event, self.now)
         for action in actions:
             self.check(action)
         return actions
@@ -224,16 +226,16 @@
                 pass
             case EndpointListUpdate(kind=kind, endpoints=endpoints):
                 if kind is not EndpointListKind.DELTA:
-                    self.listed = {}
-                self.listed.update({endpoint.endpoint_id: endpoint for endpoint in endpoints})
+                    self.endpoints = {}
+                self.endpoints.update({endpoint.endpoint_id: endpoint for endpoint in endpoints})
             case RequestReceived(request_id=number):
-                self.open[number] = event
+                self.open_requests[number] = event
             case AttemptEnded(request_id=number, attempt_index=index, outcome=outcome):
                 self.outcomes.setdefault(number, {})[index] = outcome
                 if event.request_answered:
-                    self.open.pop(number, None)
+                    self.open_requests.pop(number, None)
             case ClientDisconnected(request_id=number):
-                self.open.pop(number, None)
+                self.open_requests.pop(number, None)
 
     def check(self, action: Action) -> None:
         """Assert the invariants on one action, and record it."""
@@ -243,7 +245,7 @@
                 timer = ScheduledTimer(self.now + action.delay, encode_timer(action.timer))
                 heapq.heappush(self.timers, timer)
             case IncrementCounter():
-                self.counts.append(action.name)
+                self.counter_calls.append(action.name)
             case StartAttempt():
                 self.check_attempt(action)
             case Reject() | FailRequest():
@@ -251,11 +253,11 @@
 
     def check_attempt(self, action: StartAttempt) -> None:
         """Assert that an attempt has an open request and a serving endpoint, and that settings allow it."""
-        request = self.open[action.request_id]  # KeyError: the request has had its response
+        request = self.open_requests[action.request_id]  # KeyError: the request has had its response
         attempts = self.sent.setdefault(action.request_id, [])
-        endpoint = self.listed[action.endpoint_id]
+        endpoint = self.endpoints[action.endpoint_id]
         assert endpoint.status is EndpointStatus.SERVING
-        assert self.settings.hedging_allowed or not self.out(action.request_id)
+        assert self.settings.hedging_allowed or not self.in_flight(action.request_id)
         assert len(attempts) < self.settings.max_attempts
         possibly_executed = self.possibly_executed(action.request_id)
         if possibly_executed:
@@ -263,20 +265,20 @@
             self.check_idempotency(self.classes[request.request_class], first, endpoint)
         if not attempts:
             sent_units = SentUnits(self.now, request.units)
-            self.first_units.setdefault(request.customer, []).append(sent_units)
+            self.first_attempts.setdefault(request.customer, []).append(sent_units)
         attempts.append(SentAttempt(action.endpoint_id, self.now))
 
     def check_idempotency(self, request_class: RequestClass, first: SentAttempt, endpoint: Endpoint) -> None:
         """Assert that a request which may have been executed is retried only where that does no harm."""
         assert request_class.idempotency is not Idempotency.NON_IDEMPOTENT
         if request_class.idempotency is Idempotency.IDEMPOTENCY_KEY:
-            same_cell = self.listed[first.endpoint_id].cell == endpoint.cell
+            same_cell = self.endpoints[first.endpoint_id].cell == endpoint.cell
             assert same_cell or request_class.idempotency_scope is IdempotencyScope.ALL
             assert self.now - first.sent_at < request_class.idempotency_window
 
     def check_response(self, action: Reject | FailRequest) -> None:
         """Assert one response a request, in time, and that a client may safely retry what is rejected."""
-        request = self.open.pop(action.request_id)  # KeyError: the request has had its response
+        request = self.open_requests.pop(action.request_id)  # KeyError: the request has had its response
         assert self.now <= request.deadline + RESPONSE_DELAY_TOLERANCE
         request_class = self.classes[request.request_class]
         if isinstance(action, Reject) and self.possibly_executed(action.request_id):
@@ -284,22 +286,24 @@
                 request_class.idempotency is Idempotency.IDEMPOTENCY_KEY
                 and request_class.idempotency_scope is IdempotencyScope.ALL
             )
-        self.answered[action.request_id] = action
+        self.responses[action.request_id] = action
 
-    def run_to(self, until: float) -> None:
+    def run_until(self, until: float) -> None:
         """Advance the time: fire due timers, and time out attempts at their requests' deadlines."""
         never = until + 1.0
         while True:
             timer_due_at = self.timers[0].due_at if self.timers else never
             deadlines = (
-                (request.deadline, number) for number, request in self.open.items() if self.out(number)
+                (request.deadline, number)
+                for number, request in self.open_requests.items()
+                if self.in_flight(number)
             )
             deadline, number = min(deadlines, default=(never, 0))
             if min(timer_due_at, deadline) > until:
                 break
             if timer_due_at <= deadline:
                 self.now = max(self.now, timer_due_at)
-                self.tell(TimerFired(decode_timer(heapq.heappop(self.timers).text)))
+                self.handle(TimerFired(decode_timer(heapq.heappop(self.timers).text)))
             else:
                 self.now = max(self.now, deadline)
                 self.time_out_attempts(number)
@@ -307,14 +311,16 @@
 
     def time_out_attempts(self, number: int) -> None:
         """End all attempts of a request that are in flight."""
-        for index in self.out(number):
+        for index in self.in_flight(number):
             attempt = self.sent[number][index]
             elapsed = self.now - attempt.sent_at
-            self.tell(ended(number, index, attempt.endpoint_id, Outcome.TIMED_OUT, elapsed, False))
+            self.handle(
+                make_attempt_ended(number, index, attempt.endpoint_id, Outcome.TIMED_OUT, elapsed, False)
+            )
 
-    def answer_counts(self, total: float, outcome: Outcome = Outcome.SUCCESS) -> None:
+    def reply_to_counter_calls(self, total: float, outcome: Outcome = Outcome.SUCCESS) -> None:
         """Reply to all counter calls that have none yet."""
-        names = self.counts
-        self.counts = []
+        names = self.counter_calls
+        self.counter_calls = []
         for name in names:
-            self.tell(CounterReply(name, outcome, COUNTER_LATENCY, total))
+            self.handle(CounterReply(name, outcome, COUNTER_LATENCY, total))
--- a/tests/random_workload.py
+++ b/tests/random_workload.py
@@ -23,7 +23,7 @@
 )
 from quota_gateway.model.outcomes import Outcome
 from quota_gateway.model.settings import Settings
-from tests.policy_harness import CAPPED, OPEN, PLAN, SETTINGS
+from tests.policy_harness import CAPPED_PLAN, CONCURRENCY_PLAN, SETTINGS, SMALL_PLAN
 from tests.process_pair import ProcessPair, RequestKey
 
 ENDPOINTS = tuple(f"e{number}" for number in range(9))
@@ -48,8 +48,8 @@
     EndpointStatus.DRAINING,
     EndpointStatus.REMOVED,
 )
-WIDE = replace(PLAN, name="wide", rate=40.0, burst=80.0)
-EXTRA = replace(PLAN, name="extra", rate=3.0, burst=6.0, over_quota_value=2.0)
+WIDE = replace(SMALL_PLAN, name="wide", rate=40.0, burst=80.0)
+EXTRA = replace(SMALL_PLAN, name="extra", rate=3.0, burst=6.0, over_quota_value=2.0)
 
 
 def random_settings(chance: random.Random) -> Settings:
@@ -58,7 +58,7 @@
         SETTINGS,
         gateway_index=1,
         gateway_count=chance.choice([2, 2, 6, 40]),
-        plans=(PLAN, CAPPED, OPEN, WIDE, EXTRA),
+        plans=(SMALL_PLAN, CAPPED_PLAN, CONCURRENCY_PLAN, WIDE, EXTRA),
         endpoint_list_pushed=chance.random() < 0.5,
         counter_enabled=chance.random() < 0.8,
         cancellation_allowed=chance.random() < 0.8,
--- a/tests/test_body_streaming.py
+++ b/tests/test_body_streaming.py
@@ -24,10 +24,17 @@
 )
 from quota_gateway.model.outcomes import Outcome
 from quota_gateway.model.timers import LateAttemptTimer, Timer
-from tests.fakes import SOON, Asked, Step, message, read_message, serve, serve_after
-from tests.harness import READY, request, run, running
-from tests.policy_harness import ended, gateway
-from tests.policy_harness import request as request_received
+from tests.fakes import (
+    EVENT_TIMEOUT,
+    HttpMessage,
+    ResponseStep,
+    http_response,
+    read_message,
+    send_success,
+    send_success_after,
+)
+from tests.harness import READY_REQUEST, request, run, running_gateway
+from tests.policy_harness import make_attempt_ended, make_engine, make_request
 
 LONG_BODY = random.Random(5).randbytes(5 * MAX_BUFFERED_BYTES + 17)
 STATUS_LINE = b"HTTP/1.1 200 OK\r\n"
@@ -42,16 +49,16 @@
 
 
 async def until(condition: Callable[[], bool]) -> None:
-    async with asyncio.timeout(SOON):
+    async with asyncio.timeout(EVENT_TIMEOUT):
         while not condition():  # noqa: ASYNC110 - the gateway's state has no event to wait for
             await asyncio.sleep(0)
 
 
-def respond_with(data: bytes) -> Step:
+def respond_with(data: bytes) -> ResponseStep:
     return lambda writer, received: writer.write(data)
 
 
-def respond_until_close(writer: asyncio.StreamWriter, received: Asked) -> None:
+def respond_until_close(writer: asyncio.StreamWriter, received: HttpMessage) -> None:
     writer.write(STATUS_LINE + b"Connection: close\r\n\r\n" + LONG_BODY)
     writer.close()
 
@@ -59,21 +66,21 @@
 @pytest.mark.parametrize(
     "step",
     [
-        respond_with(message(200, LONG_BODY, "Content-Type: text/x")),
+        respond_with(http_response(200, LONG_BODY, "Content-Type: text/x")),
         respond_with(CHUNKED_HEAD + chunked(LONG_BODY)),
         respond_with(CHUNKED_HEAD + chunked(LONG_BODY, 1, b"")),
         respond_until_close,
     ],
     ids=["content length", "chunked", "one-byte chunks", "until close"],
 )
-def test_long_response_is_forwarded_unchanged(step: Step) -> None:
+def test_long_response_is_forwarded_unchanged(step: ResponseStep) -> None:
     async def test() -> None:
-        async with running() as harness:
+        async with running_gateway() as harness:
             harness.backends[0].script = [step]
-            client = await harness.client()
-            status, _, body = await client.ask(request(1))
+            client = await harness.connect_client()
+            status, _, body = await client.exchange(request(1))
             assert status == 200 and body == LONG_BODY
-            assert (await client.ask(request(2)))[0] == 200  # on the same connection
+            assert (await client.exchange(request(2)))[0] == 200  # on the same connection
             metrics = await harness.metrics()
             assert metrics["success.lookup"] == 2 == metrics["dispatches"] and not metrics["concurrent"]
             dispatcher = harness.process.dispatcher
@@ -84,26 +91,26 @@
 
 def test_long_responses_keep_pipeline_order_and_reach_an_http_1_0_client() -> None:
     async def test() -> None:
-        async with running() as harness:
+        async with running_gateway() as harness:
             first_may_answer = asyncio.Event()
 
-            async def answer(writer: asyncio.StreamWriter, received: Asked) -> None:
+            async def answer(writer: asyncio.StreamWriter, received: HttpMessage) -> None:
                 _, headers, _ = received
                 if headers["x-call-id"].endswith("1"):
                     await first_may_answer.wait()
-                    serve(writer, received)
+                    send_success(writer, received)
                     return
                 writer.write(CHUNKED_HEAD + chunked(LONG_BODY))
 
             harness.backends[0].script = [answer] * 3
-            client = await harness.client()
+            client = await harness.connect_client()
             client.send(request(1) + request(2))
             active_requests = harness.process.dispatcher.active_requests
             await until(lambda: any(active.streaming_attempt for active in active_requests.values()))
             first_may_answer.set()
-            assert (await client.answer())[2].startswith(b"served")
-            assert (await client.answer())[2] == LONG_BODY
-            http_1_0_client = await harness.client()
+            assert (await client.read_response())[2].startswith(b"served")
+            assert (await client.read_response())[2] == LONG_BODY
+            http_1_0_client = await harness.connect_client()
             http_1_0_client.send(request(3).replace(b"HTTP/1.1", b"HTTP/1.0"))
             response = await http_1_0_client.reader.read()
             assert response.partition(b"\r\n\r\n")[2] == LONG_BODY and b"chunked" not in response[:200]
@@ -113,10 +120,10 @@
 
 def test_client_that_does_not_read_puts_backpressure_on_its_backend() -> None:
     async def test() -> None:
-        async with running() as harness:
+        async with running_gateway() as harness:
             body = LONG_BODY * 40  # 13 MB: more than the sockets on the way can buffer
-            harness.backends[0].script = [respond_with(message(200, body))]
-            client = await harness.client(receive_buffer=8192)
+            harness.backends[0].script = [respond_with(http_response(200, body))]
+            client = await harness.connect_client(receive_buffer=8192)
             client.writer.transport.pause_reading()  # type: ignore[attr-defined]
             client.send(request(1))
             await until(lambda: any(c.write_paused for c in harness.process.listener.connections))
@@ -127,7 +134,7 @@
             unread_bytes = connection.transport.get_write_buffer_size()
             assert unread_bytes <= 2 * MAX_BUFFERED_BYTES + 2 * READ_BUFFER_BYTES
             client.writer.transport.resume_reading()  # type: ignore[attr-defined]
-            assert (await client.answer())[2] == body
+            assert (await client.read_response())[2] == body
 
     run(test)
 
@@ -142,34 +149,34 @@
 )
 def test_truncated_response_is_aborted_for_its_client_and_not_retried(framing: bytes) -> None:
     async def test() -> None:
-        async with running() as harness:
+        async with running_gateway() as harness:
 
-            def truncate(writer: asyncio.StreamWriter, received: Asked) -> None:
+            def truncate(writer: asyncio.StreamWriter, received: HttpMessage) -> None:
                 writer.write(STATUS_LINE + framing)
                 writer.close()
 
             harness.backends[0].script = [truncate]
-            client = await harness.client()
+            client = await harness.connect_client()
             client.send(request(1))
             with pytest.raises((asyncio.IncompleteReadError, ConnectionResetError)):
-                await client.answer()
+                await client.read_response()
             metrics = await harness.metrics()
             assert metrics["error.lookup"] == 1 and metrics["success.lookup"] == 0
-            assert metrics["concurrent"] == 0 and len(harness.seen()) == 1
+            assert metrics["concurrent"] == 0 and len(harness.received_requests()) == 1
 
     run(test)
 
 
 def test_client_disconnect_during_a_long_response_ends_the_attempt() -> None:
     async def test() -> None:
-        async with running() as harness:
+        async with running_gateway() as harness:
             backend = harness.backends[0]
-            backend.script = [respond_with(message(200, LONG_BODY * 40)[:-9])]
-            client = await harness.client(receive_buffer=8192)
+            backend.script = [respond_with(http_response(200, LONG_BODY * 40)[:-9])]
+            client = await harness.connect_client(receive_buffer=8192)
             client.send(request(1))
             await client.reader.readexactly(100)
             client.reset()
-            await backend.until(lambda: backend.ended == 1)
+            await backend.wait_until(lambda: backend.closed_count == 1)
             dispatcher = harness.process.dispatcher
             assert not dispatcher.active_requests and not dispatcher.engine.forwarder.requests
 
@@ -183,15 +190,15 @@
 @pytest.mark.parametrize("size", [1 << 20, 700, 1])
 def test_long_request_body_is_forwarded_whatever_its_segments(size: int) -> None:
     async def test() -> None:
-        async with running() as harness:
-            client = await harness.client()
+        async with running_gateway() as harness:
+            client = await harness.connect_client()
             data = long_request(1)
             for start in range(0, 3000 * size, size):
                 client.send(data[start : start + size])
                 await asyncio.sleep(0)
             client.send(data[3000 * size :])
-            assert (await client.answer())[0] == 200 and harness.seen()[0][2] == LONG_BODY
-            assert (await client.ask(request(2)))[0] == 200  # on the same connection
+            assert (await client.read_response())[0] == 200 and harness.received_requests()[0][2] == LONG_BODY
+            assert (await client.exchange(request(2)))[0] == 200  # on the same connection
             metrics = await harness.metrics()
             assert metrics["success.extract"] == 1 and metrics["dispatches"] == 2
 
@@ -200,44 +207,47 @@
 
 def test_chunked_request_body_is_forwarded_chunked() -> None:
     async def test() -> None:
-        async with running() as harness:
-            client = await harness.client()
-            head = request(1, "extract", drop="Content-Length", body=b"", Transfer_Encoding="chunked")
-            assert (await client.ask(head + chunked(LONG_BODY)))[0] == 200
-            assert harness.seen()[0][2] == LONG_BODY and float(harness.seen()[0][1]["x-budget"]) <= 5.0
-            assert (await client.ask(head.replace(b"01\r\n", b"02\r\n") + chunked(b"short")))[0] == 200
-            assert harness.seen()[1][2] == b"short"
+        async with running_gateway() as harness:
+            client = await harness.connect_client()
+            head = request(1, "extract", omit_header="Content-Length", body=b"", Transfer_Encoding="chunked")
+            assert (await client.exchange(head + chunked(LONG_BODY)))[0] == 200
+            assert (
+                harness.received_requests()[0][2] == LONG_BODY
+                and float(harness.received_requests()[0][1]["x-budget"]) <= 5.0
+            )
+            assert (await client.exchange(head.replace(b"01\r\n", b"02\r\n") + chunked(b"short")))[0] == 200
+            assert harness.received_requests()[1][2] == b"short"
 
     run(test)
 
 
 def test_expect_100_continue_is_answered_before_the_body_unless_rejected() -> None:
     async def test() -> None:
-        async with running() as harness:
-            client = await harness.client()
+        async with running_gateway() as harness:
+            client = await harness.connect_client()
             head, _, body = long_request(1, Expect="100-continue").partition(b"\r\n\r\n")
             client.send(head + b"\r\n\r\n")
             assert (await client.reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 100 ")
-            assert (await client.ask(body))[0] == 200 and harness.seen()[0][2] == LONG_BODY
+            assert (await client.exchange(body))[0] == 200 and harness.received_requests()[0][2] == LONG_BODY
             invalid = long_request(2, Expect="100-continue", Plan="gold").partition(b"\r\n\r\n")[0]
-            assert (await client.ask(invalid + b"\r\n\r\n"))[0] == 400  # and no 100 before it
+            assert (await client.exchange(invalid + b"\r\n\r\n"))[0] == 400  # and no 100 before it
 
     run(test)
 
 
 def test_backend_that_does_not_read_puts_backpressure_on_its_client() -> None:
     async def test() -> None:
-        async with running() as harness:
+        async with running_gateway() as harness:
             may_read = asyncio.Event()
 
             async def serve_later(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
                 reader._transport.pause_reading()  # type: ignore[attr-defined]
                 await may_read.wait()
                 reader._transport.resume_reading()  # type: ignore[attr-defined]
-                serve(writer, await read_message(reader))
+                send_success(writer, await read_message(reader))
 
             harness.backends[0].serve = serve_later  # type: ignore[method-assign]
-            client = await harness.client()
+            client = await harness.connect_client()
             client.send(long_request(1, LONG_BODY * 40))
             await until(lambda: any(c.read_paused for c in harness.process.listener.connections))
             (connection,) = harness.process.listener.connections
@@ -248,14 +258,14 @@
                 connection.requests, connection.last_read_at, connection.last_read_at + 0.1
             )
             may_read.set()
-            assert (await client.answer())[0] == 200
+            assert (await client.read_response())[0] == 200
 
     run(test)
 
 
 def test_partly_sent_body_counts_as_not_executed_and_is_not_retried() -> None:
     async def test() -> None:
-        async with running(backends=2) as harness:
+        async with running_gateway(backends=2) as harness:
 
             async def abort_early(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
                 await reader.readexactly(1000)
@@ -263,12 +273,12 @@
 
             for backend in harness.backends:
                 backend.serve = abort_early  # type: ignore[method-assign]
-            client = await harness.client()
+            client = await harness.connect_client()
             head, _, body = long_request(1).partition(b"\r\n\r\n")
             client.send(head + b"\r\n\r\n" + body[: 2 * MAX_BUFFERED_BYTES])
-            status, headers, _ = await client.answer()  # while it is still sending
+            status, headers, _ = await client.read_response()  # while it is still sending
             assert status == 429 and headers["connection"] == "close"
-            assert sum(backend.connections for backend in harness.backends) == 1
+            assert sum(backend.connection_count for backend in harness.backends) == 1
             metrics = await harness.metrics()
             assert metrics["overload.extract"] == 1 and metrics["dispatches"] == metrics["concurrent"] == 0
 
@@ -277,17 +287,17 @@
 
 def test_early_response_reaches_a_client_that_is_still_sending() -> None:
     async def test() -> None:
-        async with running() as harness:
+        async with running_gateway() as harness:
 
             async def answer_early(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
                 await reader.readexactly(1000)
-                writer.write(message(200, b"enough"))
+                writer.write(http_response(200, b"enough"))
                 await reader.read()
 
             harness.backends[0].serve = answer_early  # type: ignore[method-assign]
-            client = await harness.client()
+            client = await harness.connect_client()
             client.send(long_request(1)[: 2 * MAX_BUFFERED_BYTES])
-            assert (await client.answer())[2] == b"enough" and await client.closed()
+            assert (await client.read_response())[2] == b"enough" and await client.wait_closed()
 
     run(test)
 
@@ -295,18 +305,18 @@
 @pytest.mark.parametrize("resets", [True, False])
 def test_long_body_is_not_executed_after_its_client_disconnects(resets: bool) -> None:
     async def test() -> None:
-        async with running() as harness:
-            client = await harness.client()
+        async with running_gateway() as harness:
+            client = await harness.connect_client()
             client.send(long_request(1)[: 2 * MAX_BUFFERED_BYTES])
             await until(lambda: any(c.attempt for c in harness.process.pool.connections))
             if resets:
                 client.reset()
             else:
                 client.writer.write_eof()
-                assert (await client.answer())[0] == 400
+                assert (await client.read_response())[0] == 400
             backend = harness.backends[0]
-            await backend.until(lambda: backend.ended == 1)
-            assert not harness.seen() and not harness.process.dispatcher.active_requests
+            await backend.wait_until(lambda: backend.closed_count == 1)
+            assert not harness.received_requests() and not harness.process.dispatcher.active_requests
 
     run(test)
 
@@ -317,9 +327,9 @@
 )
 def test_stalled_request_body_times_out(sent: int, stall_timeout: float) -> None:
     async def test() -> None:
-        async with running() as harness:
+        async with running_gateway() as harness:
             connections = harness.process.listener.connections
-            client = await harness.client()
+            client = await harness.connect_client()
             client.send(long_request(1)[:sent])
             await until(
                 lambda: any(
@@ -330,7 +340,7 @@
             for idle_time, times_out in ((stall_timeout - 0.1, False), (stall_timeout + 0.1, True)):
                 connection.enforce_timeouts(connection.last_read_at + idle_time, 100.0)
                 assert connection.ended == times_out
-            assert (await client.answer())[0] == 408
+            assert (await client.read_response())[0] == 408
 
     run(test)
 
@@ -344,8 +354,8 @@
 
 
 def test_time_budget_of_a_streamed_request_starts_at_its_last_byte() -> None:
-    engine = gateway()
-    actions = engine.handle(replace(request_received(1, "pay", deadline=106.0), body_incomplete=True), 100.0)
+    engine = make_engine()
+    actions = engine.handle(replace(make_request(1, "pay", deadline=106.0), body_incomplete=True), 100.0)
     (attempt,) = started_attempts(actions)
     assert attempt.timeout == 0.0
     assert not any(isinstance(timer, LateAttemptTimer) for timer in timers_set(actions))
@@ -358,35 +368,41 @@
 
 
 def test_request_whose_body_was_consumed_is_not_retried() -> None:
-    engine = gateway()
-    actions = engine.handle(replace(request_received(1), body_incomplete=True), 100.0)
+    engine = make_engine()
+    actions = engine.handle(replace(make_request(1), body_incomplete=True), 100.0)
     (attempt,) = started_attempts(actions)
     engine.handle(RequestBodyConsumed(1), 100.0)
-    actions = engine.handle(ended(1, 0, attempt.endpoint_id, Outcome.CONNECT_FAILED), 100.1)
+    actions = engine.handle(make_attempt_ended(1, 0, attempt.endpoint_id, Outcome.CONNECT_FAILED), 100.1)
     assert [type(action) for action in actions if isinstance(action, StartAttempt | Reject)] == [Reject]
 
 
 def test_streamed_response_is_measured_to_its_first_byte_and_no_longer_in_flight() -> None:
-    engine = gateway()
-    (attempt,) = started_attempts(engine.handle(request_received(1), 100.0))
+    engine = make_engine()
+    (attempt,) = started_attempts(engine.handle(make_request(1), 100.0))
     engine.handle(ResponseStreamStarted(1, 0, 0.05), 100.05)
     assert engine.admission.in_flight == 0 and engine.endpoints[attempt.endpoint_id].in_flight == 0
     engine.handle(TimerFired(LateAttemptTimer(1, 0)), 101.0)
     assert engine.admission.admit_ratio == 1.0 and engine.endpoints[attempt.endpoint_id].failure_score == 0.0
-    assert engine.handle(ended(1, 0, attempt.endpoint_id, Outcome.BROKEN_RESPONSE, over=True), 140.0) == []
+    assert (
+        engine.handle(
+            make_attempt_ended(1, 0, attempt.endpoint_id, Outcome.BROKEN_RESPONSE, request_answered=True),
+            140.0,
+        )
+        == []
+    )
     assert engine.admission.in_flight == 0 and not engine.forwarder.requests
 
 
 def test_readiness_is_answered_beside_a_long_request() -> None:
     async def test() -> None:
-        async with running() as harness:
+        async with running_gateway() as harness:
             may_answer = asyncio.Event()
-            harness.backends[0].script = [serve_after(may_answer)]
-            waiting_client = await harness.client()
+            harness.backends[0].script = [send_success_after(may_answer)]
+            waiting_client = await harness.connect_client()
             waiting_client.send(long_request(1))
-            other_client = await harness.client()
-            assert (await other_client.ask(READY))[0] == 200
+            other_client = await harness.connect_client()
+            assert (await other_client.exchange(READY_REQUEST))[0] == 200
             may_answer.set()
-            assert (await waiting_client.answer())[0] == 200
+            assert (await waiting_client.read_response())[0] == 200
 
     run(test)
--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -12,25 +12,33 @@
 from quota_gateway.downstream.request_handler import MAX_INVALID_REQUESTS
 from quota_gateway.downstream.request_reader import MAX_HEAD_SIZE
 from quota_gateway.upstream.endpoint_connections import MIN_IDLE_BEFORE_REUSE
-from tests.fakes import SOON, Asked, message, serve, serve_after
-from tests.harness import READY, Client, GatewayHarness, request, roomy_settings, run, running
+from tests.fakes import EVENT_TIMEOUT, HttpMessage, http_response, send_success, send_success_after
+from tests.harness import (
+    READY_REQUEST,
+    Client,
+    GatewayHarness,
+    high_quota_settings,
+    request,
+    run,
+    running_gateway,
+)
 
 
 def run_with_client(test: Callable[[GatewayHarness, Client], Awaitable[None]]) -> None:
     """Run a test with a started gateway and a client that is connected to it."""
 
     async def run_test() -> None:
-        async with running() as harness:
-            await test(harness, await harness.client())
+        async with running_gateway() as harness:
+            await test(harness, await harness.connect_client())
 
     run(run_test)
 
 
 def test_request_and_response_are_forwarded_unchanged() -> None:
     async def test(harness: GatewayHarness, client: Client) -> None:
-        status, _, body = await client.ask(request(0xABC, "report", body=b"Vestergade 1"))
+        status, _, body = await client.exchange(request(0xABC, "report", body=b"Vestergade 1"))
         assert (status, body) == (200, b"served 0000000000000abc")
-        first, headers, sent = harness.seen()[0]
+        first, headers, sent = harness.received_requests()[0]
         assert first == "POST /api?client=00000000000000c1 HTTP/1.1" and sent == b"Vestergade 1"
         assert headers["idempotency-key"] == f"key{0xabc:029x}"
         assert 0 < float(headers["x-budget"]) <= 5.0
@@ -42,9 +50,9 @@
     # the parser knows whether a connection persists only inside its callback
     async def test(harness: GatewayHarness, client: Client) -> None:
         for number in range(5):
-            assert (await client.ask(request(number)))[0] == 200
+            assert (await client.exchange(request(number)))[0] == 200
             await asyncio.sleep(2 * MIN_IDLE_BEFORE_REUSE)
-        assert harness.backends[0].connections == 1
+        assert harness.backends[0].connection_count == 1
 
     run_with_client(test)
 
@@ -53,16 +61,16 @@
     async def test(harness: GatewayHarness, client: Client) -> None:
         second_arrived = asyncio.Event()
 
-        async def answer(writer: asyncio.StreamWriter, asked: Asked) -> None:
+        async def answer(writer: asyncio.StreamWriter, asked: HttpMessage) -> None:
             if asked[1]["x-call-id"].endswith("1"):
                 await second_arrived.wait()
-            serve(writer, asked)
+            send_success(writer, asked)
             second_arrived.set()
 
         harness.backends[0].script = [answer, answer]
         client.send(request(1) + request(2))
         for number in (1, 2):
-            assert (await client.answer())[2] == f"served {number:016x}".encode()
+            assert (await client.read_response())[2] == f"served {number:016x}".encode()
 
     run_with_client(test)
 
@@ -72,7 +80,7 @@
     async def test(harness: GatewayHarness, client: Client) -> None:
         client.send(b"".join(request(n, "report", body=b"x" * 5000) for n in range(60)))
         for number in range(60):
-            status, _, body = await client.answer()
+            status, _, body = await client.read_response()
             assert status == 429 or body == f"served {number:016x}".encode()
 
     run_with_client(test)
@@ -80,14 +88,19 @@
 
 def test_split_and_chunked_requests_are_reassembled() -> None:
     async def test(harness: GatewayHarness, client: Client) -> None:
-        message_bytes = request(7, "extract", drop="Content-Length", Transfer_Encoding="chunked", body=b"")
+        message_bytes = request(
+            7, "extract", omit_header="Content-Length", Transfer_Encoding="chunked", body=b""
+        )
         message_bytes += b"3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n"
         for offset in range(len(message_bytes)):
             client.send(message_bytes[offset : offset + 1])
             await client.writer.drain()
             await asyncio.sleep(0)
-        assert (await client.answer())[0] == 200
-        assert harness.seen()[0][2] == b"abcde" and harness.seen()[0][1]["content-length"] == "5"
+        assert (await client.read_response())[0] == 200
+        assert (
+            harness.received_requests()[0][2] == b"abcde"
+            and harness.received_requests()[0][1]["content-length"] == "5"
+        )
 
     run_with_client(test)
 
@@ -96,8 +109,8 @@
     async def test(harness: GatewayHarness, client: Client) -> None:
         client.send(request(1))
         client.writer.write_eof()
-        assert (await client.answer())[0] == 200
-        assert await client.closed()
+        assert (await client.read_response())[0] == 200
+        assert await client.wait_closed()
 
     run_with_client(test)
 
@@ -107,12 +120,12 @@
     [
         (b"rubbish\r\n\r\n", 400),
         (b"GET /api HTTP/1.1\r\nHost: x\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n", 400),
-        (request(1, drop="X-Call-Id"), 400),
-        (request(1, drop="X-Call-Class"), 400),
-        (request(1, drop="Plan"), 400),
-        (request(1, drop="X-Budget"), 400),
-        (request(1, drop="Quota-Info"), 400),
-        (request(1, "report", drop="Idempotency-Key"), 400),
+        (request(1, omit_header="X-Call-Id"), 400),
+        (request(1, omit_header="X-Call-Class"), 400),
+        (request(1, omit_header="Plan"), 400),
+        (request(1, omit_header="X-Budget"), 400),
+        (request(1, omit_header="Quota-Info"), 400),
+        (request(1, "report", omit_header="Idempotency-Key"), 400),
         (request(1, "extract", Idempotency_Key="k"), 400),
         (request(1, X_Budget="soon"), 400),
         (request(1, X_Budget="nan"), 400),
@@ -152,32 +165,34 @@
 )
 def test_invalid_requests_are_rejected_and_not_forwarded(text: bytes, status: int) -> None:
     async def test(harness: GatewayHarness, client: Client) -> None:
-        response_status, _, body = await client.ask(text)
+        response_status, _, body = await client.exchange(text)
         assert response_status == status and len(body.splitlines()) <= 1
-        assert harness.process.dispatcher.submitted_count == 0 and not harness.seen()
-        assert (await (await harness.client()).ask(request(2)))[0] == 200  # the process still serves
+        assert harness.process.dispatcher.submitted_count == 0 and not harness.received_requests()
+        assert (await (await harness.connect_client()).exchange(request(2)))[
+            0
+        ] == 200  # the process still serves
 
     run_with_client(test)
 
 
 def test_largest_buffered_body_is_forwarded() -> None:
     async def test(harness: GatewayHarness, client: Client) -> None:
-        assert (await client.ask(request(1, "extract", body=b"x" * MAX_BUFFERED_BYTES)))[0] == 200
+        assert (await client.exchange(request(1, "extract", body=b"x" * MAX_BUFFERED_BYTES)))[0] == 200
 
     run_with_client(test)
 
 
 def test_client_reset_cancels_the_attempt() -> None:
     async def test() -> None:
-        env = roomy_settings()
+        env = high_quota_settings()
         env["services"][0]["aim"] = env["services"][0]["deadline"] = 1e6  # no timeout ends it during the test
-        async with running(env=env) as harness:
-            client, forwarded = await harness.client(), asyncio.Event()
+        async with running_gateway(settings=env) as harness:
+            client, forwarded = await harness.connect_client(), asyncio.Event()
             harness.backends[0].script = [lambda writer, asked: forwarded.set()]
             client.send(request(1, budget=1000.0))
             await forwarded.wait()  # the backend sends no response
             client.reset()
-            await harness.backends[0].until(lambda: harness.backends[0].ended == 1)
+            await harness.backends[0].wait_until(lambda: harness.backends[0].closed_count == 1)
             assert (
                 not harness.process.dispatcher.unanswered_count
                 and not harness.process.dispatcher.active_requests
@@ -189,16 +204,16 @@
 def test_only_idle_connections_are_evicted_at_capacity() -> None:
     async def test(harness: GatewayHarness, client: Client) -> None:
         release = asyncio.Event()
-        harness.backends[0].script = [serve_after(release)]
+        harness.backends[0].script = [send_success_after(release)]
         harness.process.listener.max_connections = 2
         client.send(request(1))
-        await harness.backends[0].until(lambda: len(harness.backends[0].seen) == 1)
-        idle, third = await harness.client(), await harness.client()
-        assert (await idle.ask(request(2)))[0] == 200
-        assert (await third.ask(request(3)))[0] == 200
-        assert await idle.closed()
+        await harness.backends[0].wait_until(lambda: len(harness.backends[0].requests) == 1)
+        idle, third = await harness.connect_client(), await harness.connect_client()
+        assert (await idle.exchange(request(2)))[0] == 200
+        assert (await third.exchange(request(3)))[0] == 200
+        assert await idle.wait_closed()
         release.set()
-        assert (await client.answer())[0] == 200
+        assert (await client.read_response())[0] == 200
 
     run_with_client(test)
 
@@ -206,20 +221,20 @@
 def test_reading_pauses_while_the_client_reads_no_responses() -> None:
     # its responses would fill the gateway's memory
     async def test(harness: GatewayHarness, client: Client) -> None:
-        large = message(200, b"x" * MAX_BUFFERED_BYTES)
+        large = http_response(200, b"x" * MAX_BUFFERED_BYTES)
         harness.backends[0].script = [lambda writer, asked: writer.write(large)] * 1000
-        client = await harness.client(receive_buffer=8192)
+        client = await harness.connect_client(receive_buffer=8192)
         client.writer.transport.pause_reading()  # type: ignore[attr-defined]
         client.send(b"".join(request(n) for n in range(1000)))
         await until(lambda: any(c.write_paused for c in harness.process.listener.connections))
-        await harness.process.dispatcher.wait_until_answered(SOON)
+        await harness.process.dispatcher.wait_until_answered(EVENT_TIMEOUT)
         assert harness.process.dispatcher.submitted_count < 1000
         connection = next(c for c in harness.process.listener.connections if c.write_paused)
         assert connection.transport is not None
         assert connection.transport.get_write_buffer_size() < 3_000_000
         client.writer.transport.resume_reading()  # type: ignore[attr-defined]
         for _ in range(1000):
-            assert (await client.answer())[0] in (200, 429)
+            assert (await client.read_response())[0] in (200, 429)
 
     run_with_client(test)
 
@@ -228,16 +243,16 @@
     async def test(harness: GatewayHarness, client: Client) -> None:
         listener, now = harness.process.listener, harness.process.listener.clock()
         listener.clock = lambda: now
-        client = await harness.client()
+        client = await harness.connect_client()
         client.send(request(1)[:40])
         await until(lambda: any(c.in_request for c in listener.connections))
         listener.max_connections = len(listener.connections)
         assert not listener.has_capacity()
         assert not any(c.closing for c in listener.connections)
         listener.clock = lambda: now + 2 * UNUSED_AFTER
-        other = await harness.client()
-        assert (await other.ask(READY))[0] == 200
-        assert (await client.answer())[0] == 408 and await client.closed()
+        other = await harness.connect_client()
+        assert (await other.exchange(READY_REQUEST))[0] == 200
+        assert (await client.read_response())[0] == 408 and await client.wait_closed()
 
     run_with_client(test)
 
@@ -247,12 +262,12 @@
     async def test(harness: GatewayHarness, client: Client) -> None:
         listener = harness.process.listener
         listener.max_connections = 40
-        silent = [await harness.client() for _ in range(400)]
-        active = [await harness.client() for _ in range(20)]
+        silent = [await harness.connect_client() for _ in range(400)]
+        active = [await harness.connect_client() for _ in range(20)]
         for number, active_client in enumerate(active):
             active_client.send(request(number))
         for active_client in active:
-            assert (await active_client.answer())[0] in (200, 429)
+            assert (await active_client.read_response())[0] in (200, 429)
         assert sum(silent_client.reader.at_eof() for silent_client in silent) > 300
 
     run_with_client(test)
@@ -260,7 +275,7 @@
 
 async def until(condition: Callable[[], bool]) -> None:
     """Wait for the condition, one round of the loop after the other."""
-    async with asyncio.timeout(SOON):
+    async with asyncio.timeout(EVENT_TIMEOUT):
         while not condition():  # noqa: ASYNC110 (no event marks the gateway's internal state)
             await asyncio.sleep(0)
 
@@ -271,10 +286,10 @@
 )
 def test_incomplete_request_gets_an_error_or_a_close_within_three_seconds(sent: bytes, status: int) -> None:
     async def test() -> None:
-        async with running() as harness:
+        async with running_gateway() as harness:
             listener, now = harness.process.listener, harness.process.listener.clock()
             listener.clock = lambda: now
-            client = await harness.client()
+            client = await harness.connect_client()
             client.send(sent)
             await until(lambda: len(listener.connections) == 1)
             (connection,) = listener.connections
@@ -286,8 +301,8 @@
             listener.clock = lambda: now + 2.7
             listener.sweep()
             if status:
-                assert (await client.answer())[0] == status
-            assert await client.closed()
+                assert (await client.read_response())[0] == status
+            assert await client.wait_closed()
 
     run(test)
 
@@ -295,7 +310,7 @@
 def test_idle_connections_are_closed_not_before_two_seconds() -> None:
     async def test(harness: GatewayHarness, client: Client) -> None:
         listener = harness.process.listener
-        assert (await client.ask(request(1)))[0] == 200
+        assert (await client.exchange(request(1)))[0] == 200
         (connection,) = listener.connections
         listener.max_connections = 2
         idle_since = connection.idle_since
@@ -304,7 +319,7 @@
         assert not connection.closing
         listener.clock = lambda: idle_since + 3.0
         listener.sweep()
-        assert await client.closed() and not listener.connections
+        assert await client.wait_closed() and not listener.connections
 
     run_with_client(test)
 
@@ -312,14 +327,14 @@
 def test_call_id_in_use_is_rejected_for_the_second_request_only() -> None:
     async def test(harness: GatewayHarness, client: Client) -> None:
         release = asyncio.Event()
-        harness.backends[0].script = [serve_after(release)]
+        harness.backends[0].script = [send_success_after(release)]
         client.send(request(1))
-        await harness.backends[0].until(lambda: len(harness.backends[0].seen) == 1)
-        other = await harness.client()
-        assert (await other.ask(request(1)))[0] == 409
+        await harness.backends[0].wait_until(lambda: len(harness.backends[0].requests) == 1)
+        other = await harness.connect_client()
+        assert (await other.exchange(request(1)))[0] == 409
         release.set()
-        assert (await client.answer())[0] == 200
-        assert (await other.ask(request(1)))[0] == 200 and not harness.process.dispatcher.open_call_ids
+        assert (await client.read_response())[0] == 200
+        assert (await other.exchange(request(1)))[0] == 200 and not harness.process.dispatcher.open_call_ids
 
     run_with_client(test)
 
@@ -328,13 +343,13 @@
     # a client may repeat an invalid request as soon as it is rejected: each costs as much as a valid one
     async def test(harness: GatewayHarness, client: Client) -> None:
         invalid = request(1, Plan="gold")
-        assert (await client.ask(invalid))[0] == 400
+        assert (await client.exchange(invalid))[0] == 400
         (connection,) = harness.process.listener.connections
         assert connection.requests.error_pause is not None and connection.read_paused
         client.send(invalid * 300)
         for _ in range(MAX_INVALID_REQUESTS - 1):
-            assert (await client.answer())[0] == 400
-        assert await client.closed()
+            assert (await client.read_response())[0] == 400
+        assert await client.wait_closed()
 
     run_with_client(test)
 
@@ -344,8 +359,8 @@
         client.send(request(1, "extract", body=b"", Content_Length="60000000"))
         for _ in range(100):
             client.send(b"x" * 600_000)
-        assert (await client.answer())[0] == 413
-        assert await client.closed()
+        assert (await client.read_response())[0] == 413
+        assert await client.wait_closed()
 
     run_with_client(test)
 
@@ -354,25 +369,27 @@
     # "Connection: close" on the first response would leave the accepted requests behind it without theirs
     async def test(harness: GatewayHarness, client: Client) -> None:
         release = asyncio.Event()
-        harness.backends[0].script = [serve_after(release)] * 2
+        harness.backends[0].script = [send_success_after(release)] * 2
         client.send(request(1) + request(2))
-        await harness.backends[0].until(lambda: len(harness.backends[0].seen) == 2)
+        await harness.backends[0].wait_until(lambda: len(harness.backends[0].requests) == 2)
         harness.process.listener.stopping = True
         release.set()
-        first, second = await client.answer(), await client.answer()
+        first, second = await client.read_response(), await client.read_response()
         assert (first[0], second[0]) == (200, 200)
         assert "connection" not in first[1] and second[1]["connection"] == "close"
-        assert await client.closed()
+        assert await client.wait_closed()
 
     run_with_client(test)
 
 
 def test_readiness_follows_the_endpoint_list() -> None:
     async def test(harness: GatewayHarness, client: Client) -> None:
-        assert (await client.ask(READY))[0] == 200
-        polls = len(harness.discovery.asked)
-        await harness.discovery.change(harness.discovery.entry("b0", harness.backends[0].address, "DRAINING"))
-        await harness.discovery.until_asked(polls + 1)
-        assert (await client.ask(READY))[0] == 503
+        assert (await client.exchange(READY_REQUEST))[0] == 200
+        polls = len(harness.discovery.request_lines)
+        await harness.discovery.publish(
+            harness.discovery.entry("b0", harness.backends[0].address, "DRAINING")
+        )
+        await harness.discovery.wait_for_requests(polls + 1)
+        assert (await client.exchange(READY_REQUEST))[0] == 503
 
     run_with_client(test)
--- a/tests/test_client_disconnect.py
+++ b/tests/test_client_disconnect.py
@@ -11,8 +11,8 @@
 import pytest
 
 from quota_gateway.downstream.client_connection import MAX_PIPELINED_REQUESTS
-from tests.fakes import HOST, Asked, message, settings_text
-from tests.harness import Client, GatewayHarness, request, roomy_settings, run, running
+from tests.fakes import HOST, HttpMessage, example_settings, http_response
+from tests.harness import Client, GatewayHarness, high_quota_settings, request, run, running_gateway
 
 CONDITION_TIMEOUT = 2.0  # seconds; a request is queued for up to 2.5, within its budget of 5
 
@@ -29,8 +29,8 @@
             await asyncio.sleep(0)
 
 
-def serve_without_units(writer: asyncio.StreamWriter, asked: Asked) -> None:
-    writer.write(message(200))  # without Billed-Units the estimate stays
+def serve_without_units(writer: asyncio.StreamWriter, asked: HttpMessage) -> None:
+    writer.write(http_response(200))  # without Billed-Units the estimate stays
 
 
 class FullListener:
@@ -61,27 +61,27 @@
     """Start a gateway whose client's request 9 waits: queued, for the counter, or for a connection."""
     break_attempt = asyncio.Event()
 
-    async def reset_connection(writer: asyncio.StreamWriter, asked: Asked) -> None:
+    async def reset_connection(writer: asyncio.StreamWriter, asked: HttpMessage) -> None:
         await break_attempt.wait()
         writer.transport.abort()
 
     full_listener = FullListener()
-    env = settings_text() if state in ("queued", "counter") else roomy_settings(dial_timeout=8000.0)
-    async with running(env=with_long_timeouts(env)) as harness:
-        client = await harness.client()
+    env = example_settings() if state in ("queued", "counter") else high_quota_settings(dial_timeout=8000.0)
+    async with running_gateway(settings=with_long_timeouts(env)) as harness:
+        client = await harness.connect_client()
         dispatcher, discovery = harness.process.dispatcher, harness.discovery
         if state == "queued":
             harness.backends[0].script = [serve_without_units, serve_without_units]
             for number, units in enumerate(("8", "4")):  # the whole burst
-                assert (await client.ask(request(number, plan="pro", units=units)))[0] == 200
+                assert (await client.exchange(request(number, plan="pro", units=units)))[0] == 200
             client.send(request(9, plan="pro"))
             await until(lambda: bool(dispatcher.active_requests))
         elif state == "counter":
-            harness.counter.free.clear()
+            harness.counter.replies_enabled.clear()
             client.send(request(9))
-            await until(lambda: bool(harness.counter.calls))
+            await until(lambda: bool(harness.counter.increments))
         elif state == "connecting":
-            await discovery.change(discovery.entry("b0", full_listener.address))
+            await discovery.publish(discovery.entry("b0", full_listener.address))
             await until(
                 lambda: dispatcher.pool.endpoints["b0"].address[1] == int(full_listener.address.split(":")[1])
             )
@@ -90,8 +90,8 @@
         else:
             harness.backends[0].script = [reset_connection]
             client.send(request(9))
-            await harness.backends[0].until(lambda: bool(harness.seen()))
-            await discovery.change(discovery.entry("b1", full_listener.address))
+            await harness.backends[0].wait_until(lambda: bool(harness.received_requests()))
+            await discovery.publish(discovery.entry("b1", full_listener.address))
             await until(lambda: "b1" in dispatcher.pool.endpoints)
             break_attempt.set()
             await until(lambda: bool(dispatcher.pool.connecting))
@@ -108,7 +108,7 @@
     # a close reads as a half-close at first
     async def test() -> None:
         async with waiting_request(state) as (harness, client):
-            dispatcher, seen = harness.process.dispatcher, len(harness.seen())
+            dispatcher, seen = harness.process.dispatcher, len(harness.received_requests())
             throttle = next(iter(dispatcher.engine.limiters.limiters.values()))
             before = throttle.balance
             if how == "closes":
@@ -116,10 +116,10 @@
             else:
                 client.reset()
             await until(lambda: not dispatcher.active_requests and not dispatcher.pool.connecting)
-            harness.counter.free.set()
+            harness.counter.replies_enabled.set()
             await until(lambda: not throttle.awaiting_reading)
             assert (
-                len(harness.seen()) == seen
+                len(harness.received_requests()) == seen
                 and not dispatcher.engine.forwarder.requests
                 and not throttle.queue
             )
@@ -134,11 +134,11 @@
 def test_half_closed_client_is_rejected_with_a_retryable_status(state: str) -> None:
     async def test() -> None:
         async with waiting_request(state) as (harness, client):
-            seen = len(harness.seen())
+            seen = len(harness.received_requests())
             client.writer.write_eof()
-            assert (await client.answer())[0] == 429
-            assert await client.closed()
-            assert len(harness.seen()) == seen
+            assert (await client.read_response())[0] == 429
+            assert await client.wait_closed()
+            assert len(harness.received_requests()) == seen
 
     run(test)
 
@@ -147,9 +147,9 @@
 def test_disconnect_is_detected_while_reading_is_paused(how: str) -> None:
     # the loop reports no disconnect on a connection that it does not read
     async def test() -> None:
-        async with running(env=with_long_timeouts(settings_text())) as harness:
-            harness.counter.free.clear()
-            client, listener = await harness.client(), harness.process.listener
+        async with running_gateway(settings=with_long_timeouts(example_settings())) as harness:
+            harness.counter.replies_enabled.clear()
+            client, listener = await harness.connect_client(), harness.process.listener
             client.send(b"".join(request(number) for number in range(8 * MAX_PIPELINED_REQUESTS)))
             await until(lambda: any(c.read_paused for c in listener.connections))
             assert len(harness.process.dispatcher.active_requests) >= MAX_PIPELINED_REQUESTS
@@ -158,9 +158,11 @@
             else:
                 client.reset()
             await until(lambda: not listener.connections)
-            harness.counter.free.set()
+            harness.counter.replies_enabled.set()
             await until(lambda: not harness.process.dispatcher.active_requests)
-            assert not harness.seen() and not harness.process.dispatcher.engine.forwarder.requests
+            assert (
+                not harness.received_requests() and not harness.process.dispatcher.engine.forwarder.requests
+            )
 
     run(test)
 
@@ -169,21 +171,21 @@
     async def test() -> None:
         break_attempts = asyncio.Event()
 
-        async def reset_connection(writer: asyncio.StreamWriter, asked: Asked) -> None:
+        async def reset_connection(writer: asyncio.StreamWriter, asked: HttpMessage) -> None:
             await break_attempts.wait()
             writer.transport.abort()
 
-        async with running(backends=2) as harness:
+        async with running_gateway(backends=2) as harness:
             for backend in harness.backends:
                 backend.script = [reset_connection]
-            client = await harness.client()
+            client = await harness.connect_client()
             client.send(request(1))
-            await until(lambda: bool(harness.seen()))
+            await until(lambda: bool(harness.received_requests()))
             client.writer.write_eof()
             (job,) = harness.process.dispatcher.engine.forwarder.requests.values()
             await until(lambda: job.not_resendable)
             break_attempts.set()
-            assert (await client.answer())[0] == 429  # retryable: the request is idempotent
-            assert len(harness.seen()) == 1
+            assert (await client.read_response())[0] == 429  # retryable: the request is idempotent
+            assert len(harness.received_requests()) == 1
 
     run(test)
--- a/tests/test_client_retries.py
+++ b/tests/test_client_retries.py
@@ -12,17 +12,17 @@
 from quota_gateway.model.events import Event, RequestReceived
 from quota_gateway.policy.request_lifecycle import LATE_RETRY_LIMIT_FRACTION
 from tests.harness import request as http_request
-from tests.harness import run, running
+from tests.harness import run, running_gateway
 from tests.policy_assertions import first_attempt, limiter_of, started_attempts
-from tests.policy_harness import SAFE, gateway, request
+from tests.policy_harness import IDEMPOTENT_CLASS, make_engine, make_request
 
-DEADLINE = SAFE.deadline  # seconds from a client's first send
-OBJECTIVE = SAFE.latency_objective  # seconds from a client's first send
+DEADLINE = IDEMPOTENT_CLASS.deadline  # seconds from a client's first send
+OBJECTIVE = IDEMPOTENT_CLASS.latency_objective  # seconds from a client's first send
 
 
 def retry(number: int, client_timeout: float) -> RequestReceived:
     """Return a retry at 100 s whose client waits so many seconds more."""
-    received = request(number, customer=f"x{number}", deadline=100.0 + client_timeout)
+    received = make_request(number, customer=f"x{number}", deadline=100.0 + client_timeout)
     return replace(received, is_retry=True, client_timeout=client_timeout)
 
 
@@ -33,8 +33,8 @@
 
 def busy_engine(client_timeout: float = DEADLINE, **changes: Any) -> PolicyEngine:
     """Return an engine that has seen a first send, and has no capacity to spare for a retry too late."""
-    engine = gateway(**changes)
-    engine.handle(replace(request(1, customer="first"), client_timeout=client_timeout), 100.0)
+    engine = make_engine(**changes)
+    engine.handle(replace(make_request(1, customer="first"), client_timeout=client_timeout), 100.0)
     engine.admission.concurrency_limit = engine.admission.in_flight / LATE_RETRY_LIMIT_FRACTION
     return engine
 
@@ -52,7 +52,7 @@
     engine = busy_engine()
     engine.handle(retry_of_age(2, 1.5 * OBJECTIVE), 100.0)
     assert started_attempts(engine.handle(retry_of_age(3, 0.3 * OBJECTIVE), 100.0))
-    assert started_attempts(engine.handle(request(4, customer="new"), 100.0))
+    assert started_attempts(engine.handle(make_request(4, customer="new"), 100.0))
 
 
 def test_retry_that_is_too_late_is_forwarded_where_there_is_spare_capacity() -> None:
@@ -94,7 +94,7 @@
 
 
 def test_retry_is_not_too_late_where_late_responses_keep_their_value() -> None:
-    engine = busy_engine(request_classes=(replace(SAFE, late_value_ratio=0.6),))
+    engine = busy_engine(request_classes=(replace(IDEMPOTENT_CLASS, late_value_ratio=0.6),))
     assert started_attempts(engine.handle(retry_of_age(2, 1.5 * OBJECTIVE), 100.0))
 
 
@@ -111,7 +111,7 @@
     # of its objective of 1 s the retry has 0.2 s left; a new request may be queued for 0.4 s
     old_retry = replace(retry_of_age(3, 0.8 * OBJECTIVE), customer="x2")
     assert any(isinstance(action, Reject) for action in engine.handle(old_retry, 100.0))
-    new_request = request(4, customer="x2")
+    new_request = make_request(4, customer="x2")
     assert not any(isinstance(action, Reject) for action in engine.handle(new_request, 100.0))
 
 
@@ -126,9 +126,9 @@
 
     async def test() -> None:
         monkeypatch.setattr(PolicyEngine, "handle", recording_handle)
-        async with running() as harness:
-            client = await harness.client()
-            status, _, _ = await client.ask(http_request(1, budget=3.25, X_Again="1"))
+        async with running_gateway() as harness:
+            client = await harness.connect_client()
+            status, _, _ = await client.exchange(http_request(1, budget=3.25, X_Again="1"))
             assert status == 200
         assert [(event.client_timeout, event.is_retry) for event in received] == [(3.25, True)]
 
@@ -143,31 +143,31 @@
 
 def engine_with_empty_bucket() -> PolicyEngine:
     """Return an engine whose token bucket, 4 units that refill by 2 a second, has just been emptied."""
-    engine = gateway()
-    engine.handle(request(1, units=4.0), 100.0)
+    engine = make_engine()
+    engine.handle(make_request(1, units=4.0), 100.0)
     return engine
 
 
 def test_retry_after_is_the_wait_for_quota_if_that_is_in_time() -> None:
-    assert retry_after(engine_with_empty_bucket(), request(2)) == pytest.approx(0.5)
+    assert retry_after(engine_with_empty_bucket(), make_request(2)) == pytest.approx(0.5)
 
 
 def test_retry_after_is_short_where_quota_comes_too_late() -> None:
     # with half a second or more a client came back too late to be served in time by any gateway
     engine = engine_with_empty_bucket()
     soon = 0.15 * OBJECTIVE
-    assert retry_after(engine, request(2, units=3.0)) == pytest.approx(
+    assert retry_after(engine, make_request(2, units=3.0)) == pytest.approx(
         soon
     )  # 1.5 s until there is quota here
 
 
 def test_retry_after_is_short_while_load_is_shed() -> None:
-    engine = gateway()
+    engine = make_engine()
     engine.admission.concurrency_limit = -1.0
-    assert retry_after(engine, request(3)) == pytest.approx(0.15 * OBJECTIVE)
+    assert retry_after(engine, make_request(3)) == pytest.approx(0.15 * OBJECTIVE)
 
 
 def test_retry_after_is_zero_where_the_settings_do_not_allow_it() -> None:
-    engine = gateway(retry_after_allowed=False)
+    engine = make_engine(retry_after_allowed=False)
     engine.admission.concurrency_limit = -1.0
-    assert retry_after(engine, request(4)) == 0.0
+    assert retry_after(engine, make_request(4)) == 0.0
--- a/tests/test_connection_pool.py
+++ b/tests/test_connection_pool.py
@@ -8,8 +8,7 @@
 
 from quota_gateway.model.outcomes import Outcome
 from quota_gateway.upstream.attempt import AttemptResult
-from tests.fakes import Asked as HttpMessage
-from tests.fakes import FakeBackend, message
+from tests.fakes import FakeBackend, HttpMessage, http_response
 from tests.harness import run
 from tests.upstream_harness import (
     abort_connection,
@@ -60,7 +59,7 @@
             pool.start(started.attempt)
             connect_time = 2.0
             assert (await started.result).outcome is outcome
-            assert len(endpoint.seen) == (outcome is Outcome.SUCCESS)
+            assert len(endpoint.requests) == (outcome is Outcome.SUCCESS)
 
     run(test)
 
@@ -81,12 +80,12 @@
             sender.pool.clock = lambda: now
             assert await sender.outcome() is Outcome.SUCCESS
             now = 4.9
-            assert await sender.outcome() is Outcome.SUCCESS and endpoint.connections == 1
+            assert await sender.outcome() is Outcome.SUCCESS and endpoint.connection_count == 1
             now = 10.0
-            assert await sender.outcome() is Outcome.SUCCESS and endpoint.connections == 2
+            assert await sender.outcome() is Outcome.SUCCESS and endpoint.connection_count == 2
             now = 16.0
             sender.pool.sweep()
-            await endpoint.until(lambda: endpoint.ended == 2)
+            await endpoint.wait_until(lambda: endpoint.closed_count == 2)
 
     run(test)
 
@@ -95,22 +94,22 @@
     # A machine that is cut off leaves its connections open and silent. What is sent on a pooled one may have
     # been executed; a connect that fails proves the opposite.
     async def test() -> None:
-        success = respond_with(message(200))
+        success = respond_with(http_response(200))
         no_response = respond_with(b"")
         async with sending(no_response, no_response, success, success, success) as (sender, peer):
             first = sender.start()
-            await peer.until(lambda: len(peer.seen) == 1)
+            await peer.wait_until(lambda: len(peer.requests) == 1)
             second = sender.start()
-            await peer.until(lambda: len(peer.seen) == 2)
+            await peer.wait_until(lambda: len(peer.requests) == 2)
             assert await sender.outcome() is Outcome.SUCCESS  # on a third connection, idle from now on
             endpoint = sender.pool.endpoints["b"]
             assert len(endpoint.idle) == 1
             attempt = next(c.attempt for c in sender.pool.connections if c.attempt is not None)
             attempt.time_out()
             assert not endpoint.idle and (first.result.done() or second.result.done())
-            assert await sender.outcome() is Outcome.SUCCESS and peer.connections == 4
+            assert await sender.outcome() is Outcome.SUCCESS and peer.connection_count == 4
             sender.pool.set_address("b", sender.pool.endpoints["b"].address, 7.0)
-            assert await sender.outcome() is Outcome.SUCCESS and peer.connections == 5
+            assert await sender.outcome() is Outcome.SUCCESS and peer.connection_count == 5
 
     run(test)
 
@@ -123,13 +122,13 @@
             first = sender.start()
             sender.start()
             assert await sender.outcome() is Outcome.CONNECT_FAILED
-            await endpoint.until(lambda: len(endpoint.seen) == 2)
+            await endpoint.wait_until(lambda: len(endpoint.requests) == 2)
             first.attempt.end(AttemptResult(Outcome.CANCELLED))
-            await endpoint.until(lambda: endpoint.ended == 1)
+            await endpoint.wait_until(lambda: endpoint.closed_count == 1)
             assert await sender.outcome() is Outcome.SUCCESS
             sender.pool.set_address("c", sender.pool.endpoints["b"].address)
             sender.pool.start(new_attempt(sender.pool, "c").attempt)
-            await endpoint.until(lambda: endpoint.ended >= 2)
+            await endpoint.wait_until(lambda: endpoint.closed_count >= 2)
 
     run(test)
 
@@ -141,18 +140,18 @@
 
         async def respond_when_released(writer: asyncio.StreamWriter, request: HttpMessage) -> None:
             await released.wait()
-            writer.write(message(200, b"old"))
+            writer.write(http_response(200, b"old"))
 
         async with sending(respond_when_released) as (sender, former):
             successor = FakeBackend()
             await successor.start()
-            successor.script = [respond_with(message(200, b"new"))]
+            successor.script = [respond_with(http_response(200, b"new"))]
             started = sender.start()
-            await former.until(lambda: len(former.seen) == 1)
+            await former.wait_until(lambda: len(former.requests) == 1)
             sender.pool.set_address("b", address_of(successor))
             released.set()
             assert (await started.result).body == b"old"
-            await former.until(lambda: former.ended == 1)
+            await former.wait_until(lambda: former.closed_count == 1)
             assert (await sender.result()).body == b"new"
             await successor.stop()
 
@@ -163,18 +162,18 @@
     # Each costs the request that is sent on it, which may have been executed.
     async def test() -> None:
         now = 0.0
-        script = (respond_with(message(200)), abort_connection)
+        script = (respond_with(http_response(200)), abort_connection)
         async with sending(*script, keepalive=60.0) as (sender, endpoint):
             sender.pool.clock = lambda: now
             assert await sender.outcome() is Outcome.SUCCESS
             now = 5.0
-            assert await sender.outcome() is Outcome.BROKEN_RESPONSE and endpoint.connections == 1
-            assert await sender.outcome() is Outcome.SUCCESS and endpoint.connections == 2
+            assert await sender.outcome() is Outcome.BROKEN_RESPONSE and endpoint.connection_count == 1
+            assert await sender.outcome() is Outcome.SUCCESS and endpoint.connection_count == 2
             now = 9.0  # idle for less time than the stale connection was, but over the new timeout
-            assert await sender.outcome() is Outcome.SUCCESS and endpoint.connections == 3
+            assert await sender.outcome() is Outcome.SUCCESS and endpoint.connection_count == 3
             now = 11.0
             before = sender.pool.idle_timeout.seconds
-            assert await sender.outcome() is Outcome.SUCCESS and endpoint.connections == 3
+            assert await sender.outcome() is Outcome.SUCCESS and endpoint.connection_count == 3
             assert before < sender.pool.idle_timeout.seconds < 30.0  # a live connection raises it again
 
     run(test)
--- a/tests/test_counter_client.py
+++ b/tests/test_counter_client.py
@@ -13,7 +13,7 @@
 from quota_gateway.model.events import CounterReply
 from quota_gateway.model.outcomes import Outcome
 from quota_gateway.sockets.addresses import parse_address
-from tests.fakes import HOST, SOON, FakeCounter
+from tests.fakes import EVENT_TIMEOUT, HOST, FakeCounter
 from tests.harness import run
 from tests.virtual_clock import run_on_virtual_clock
 
@@ -44,7 +44,7 @@
 
 
 async def until(condition: Callable[[], object]) -> None:
-    async with asyncio.timeout(SOON):
+    async with asyncio.timeout(EVENT_TIMEOUT):
         while not condition():  # noqa: ASYNC110  # the fake server has no event for these conditions
             await asyncio.sleep(0.001)
 
@@ -52,12 +52,12 @@
 def test_calls_are_pipelined_and_replied_to_in_order() -> None:
     async def test() -> None:
         async with connected_client() as (client, replies, server):
-            server.free.clear()
+            server.replies_enabled.clear()
             for amount in (1.5, 2.0, -0.5):
                 client.add("c1.7", amount, 4.0)
-            server.free.set()
+            server.replies_enabled.set()
             assert [(await replies.next())[2] for _ in range(3)] == [1.5, 3.5, 3.0]
-            assert server.connections == 1
+            assert server.connection_count == 1
 
     run(test)
 
@@ -66,14 +66,14 @@
     # without its place in the order its total would be taken for the next call's
     async def test() -> None:
         async with connected_client(0.02) as (client, replies, server):
-            server.free.clear()
+            server.replies_enabled.clear()
             client.add("c1.7", 40.0, 4.0)
             assert await replies.next() == ("c1.7", Outcome.TIMED_OUT, 0.0)
             client.timeout = 5.0
             client.add("c1.7", 2.0, 4.0)
-            server.free.set()
+            server.replies_enabled.set()
             assert await replies.next() == ("c1.7", Outcome.SUCCESS, 42.0)
-            assert replies.queue.empty() and server.connections == 1
+            assert replies.queue.empty() and server.connection_count == 1
 
     run(test)
 
@@ -81,17 +81,17 @@
 def test_a_stalled_connection_is_replaced_for_later_calls() -> None:
     async def test() -> None:
         async with connected_client(0.02) as (client, replies, server):
-            server.free.clear()
+            server.replies_enabled.clear()
             client.add("c1.7", 1.0, 4.0)
             assert (await replies.next())[1] is Outcome.TIMED_OUT
             replies.now += 1.1 * STALL_FACTOR * client.timeout
-            server.free = asyncio.Event()  # the first connection gets no reply
-            server.free.set()
+            server.replies_enabled = asyncio.Event()  # the first connection gets no reply
+            server.replies_enabled.set()
             client.timeout = 5.0
             replies.now += STALL_FACTOR * client.timeout
             client.add("c1.7", 2.0, 4.0)
             assert await replies.next() == ("c1.7", Outcome.SUCCESS, 3.0)
-            assert server.connections == 2
+            assert server.connection_count == 2
 
     run(test)
 
@@ -108,7 +108,7 @@
 def test_error_and_unknown_replies_have_their_outcome(reply: bytes, outcome: Outcome) -> None:
     async def test() -> None:
         async with connected_client() as (client, replies, server):
-            server.say = [reply]
+            server.scripted_replies = [reply]
             client.add("c1.7", 1.0, 4.0)
             assert (await replies.next())[1] is outcome
             client.add("c1.7", 1.0, 4.0)
@@ -120,10 +120,10 @@
 def test_a_written_call_on_a_connection_that_breaks_times_out_as_it_may_have_been_added() -> None:
     async def test() -> None:
         async with connected_client() as (client, replies, server):
-            server.free.clear()
+            server.replies_enabled.clear()
             client.add("c1.7", 1.0, 4.0)
-            await until(lambda: server.calls)
-            for writer in list(server.open):
+            await until(lambda: server.increments)
+            for writer in list(server.open_writers):
                 writer.transport.abort()
             assert (await replies.next())[1] is Outcome.TIMED_OUT
 
@@ -151,7 +151,7 @@
             client.timeout = 5.0
             client.add("c1.7", 2.0, 4.0)
             assert (await replies.next())[2] == 2.0
-            assert server.calls == [("c1.7", 2.0)]
+            assert server.increments == [("c1.7", 2.0)]
 
     run(test)
 
@@ -164,7 +164,7 @@
             await replies.next()
             replies.now += IDLE_TIMEOUT + 0.1
             client.add("c1.7", 1.0, 4.0)
-            assert (await replies.next())[2] == 2.0 and server.connections == 2
+            assert (await replies.next())[2] == 2.0 and server.connection_count == 2
 
     run(test)
 
@@ -206,13 +206,13 @@
     # later replies may belong to other calls; nan once passed for a total and corrupted a quota level
     async def test() -> None:
         async with connected_client() as (client, replies, server):
-            server.say = [reply]
+            server.scripted_replies = [reply]
             client.add("c1.7", 3.0, 4.0)
             client.add("c1.7", 4.0, 4.0)
             assert await replies.next() == ("c1.7", Outcome.TIMED_OUT, 0.0)
             assert await replies.next() == ("c1.7", Outcome.TIMED_OUT, 0.0)
             client.add("c1.8", 5.0, 4.0)
-            assert await replies.next() == ("c1.8", Outcome.SUCCESS, 5.0) and server.connections == 2
+            assert await replies.next() == ("c1.8", Outcome.SUCCESS, 5.0) and server.connection_count == 2
 
     run(test)
 
@@ -222,17 +222,17 @@
         async with connected_client() as (client, replies, server):
             new_server = FakeCounter()
             await new_server.start()
-            server.free.clear()
+            server.replies_enabled.clear()
             client.add("c1.7", 3.0, 4.0)
-            await until(lambda: server.calls)
+            await until(lambda: server.increments)
             client.move(parse_address(new_server.address))
             client.add("c1.7", 4.0, 4.0)
             assert await replies.next() == ("c1.7", Outcome.SUCCESS, 4.0)
-            server.free.set()
+            server.replies_enabled.set()
             assert await replies.next() == ("c1.7", Outcome.SUCCESS, 3.0)
-            assert server.calls == [("c1.7", 3.0)] and new_server.calls == [("c1.7", 4.0)]
+            assert server.increments == [("c1.7", 3.0)] and new_server.increments == [("c1.7", 4.0)]
             # the former connection is closed when its last call has its reply
-            await until(lambda: not client.closing and not server.open)
+            await until(lambda: not client.closing and not server.open_writers)
             await new_server.stop()
 
     run(test)
@@ -244,16 +244,16 @@
     def __init__(self, *delays: float) -> None:
         super().__init__()
         self.delays = list(delays)
-        self.say = [b"$1\r\n1\r\n"] * len(delays)
+        self.scripted_replies = [b"$1\r\n1\r\n"] * len(delays)
         self.delay_tasks: list[asyncio.Task[None]] = []
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         async def release_later(seconds: float) -> None:
             await asyncio.sleep(seconds)
-            self.free.set()
+            self.replies_enabled.set()
 
         while self.delays:
-            self.free.clear()
+            self.replies_enabled.clear()
             await reader.readexactly(1)
             reader._buffer[:0] = b"*"  # type: ignore[attr-defined]  # put back: serve_one reads the complete call
             self.delay_tasks.append(asyncio.create_task(release_later(self.delays.pop(0))))
@@ -263,8 +263,8 @@
         for _ in range(int((await reader.readuntil(b"\r\n"))[1:])):
             size = int((await reader.readuntil(b"\r\n"))[1:])
             await reader.readexactly(size + 2)
-        await self.free.wait()
-        writer.write(self.say.pop(0))
+        await self.replies_enabled.wait()
+        writer.write(self.scripted_replies.pop(0))
 
 
 @pytest.mark.parametrize(
--- a/tests/test_descriptor_exhaustion.py
+++ b/tests/test_descriptor_exhaustion.py
@@ -10,10 +10,8 @@
 
 import pytest
 
-from tests.fakes import HOST, message
-from tests.fakes import SOON as EVENT_TIMEOUT
-from tests.fakes import Asked as HttpMessage
-from tests.harness import READY, GatewayHarness, request, run
+from tests.fakes import EVENT_TIMEOUT, HOST, HttpMessage, http_response
+from tests.harness import READY_REQUEST, GatewayHarness, request, run
 from tests.test_gateway_process import process
 
 DESCRIPTOR_LIMITS = [256, 1024]
@@ -46,7 +44,7 @@
 
 
 def respond_without_billed_units(writer: asyncio.StreamWriter, request: HttpMessage) -> None:
-    writer.write(message(200))
+    writer.write(http_response(200))
 
 
 def open_descriptors(child: Process) -> int:
@@ -64,23 +62,23 @@
     for service in (gateway.discovery, gateway.counter):
         assert service.server is not None
         service.server.close()
-        for writer in list(service.open):
+        for writer in list(service.open_writers):
             writer.transport.abort()
 
 
 async def restart_discovery_and_counter(gateway: GatewayHarness) -> None:
     for service in (gateway.discovery, gateway.counter):
         host, _, port = service.address.rpartition(":")
-        service.server = await asyncio.start_server(service.connected, host, int(port))
+        service.server = await asyncio.start_server(service.handle_connection, host, int(port))
 
 
 async def request_status(gateway: GatewayHarness, number: int) -> int:
     """Return the status of a new client's request; a full gateway may close connections unread at first."""
     async with asyncio.timeout(EVENT_TIMEOUT):
         while True:
-            client = await gateway.client()
+            client = await gateway.connect_client()
             try:
-                return (await client.ask(request(number)))[0]
+                return (await client.exchange(request(number)))[0]
             except (OSError, asyncio.IncompleteReadError):
                 await asyncio.sleep(POLL_INTERVAL)
             finally:
@@ -93,9 +91,9 @@
     discovery = gateway.discovery
     second.script = [respond_without_billed_units] * 1000
     discovery.entries["b1"] = discovery.entry("b1", second.address)
-    await discovery.change(discovery.entries["b1"], discovery.entry("b0", first.address, "DRAINING"))
+    await discovery.publish(discovery.entries["b1"], discovery.entry("b0", first.address, "DRAINING"))
     async with asyncio.timeout(EVENT_TIMEOUT):
-        while not second.seen:
+        while not second.requests:
             number += 1
             assert await request_status(gateway, number) in (200, 429)
     return number
@@ -103,12 +101,12 @@
 
 async def assert_counter_is_called(gateway: GatewayHarness, number: int) -> None:
     """Send requests near their customer's quota, which are counted."""
-    client = await gateway.client()
-    assert (await client.ask(READY))[0] == 200
+    client = await gateway.connect_client()
+    assert (await client.exchange(READY_REQUEST))[0] == 200
     async with asyncio.timeout(EVENT_TIMEOUT):
-        while not gateway.counter.calls:
+        while not gateway.counter.increments:
             number += 1
-            await client.ask(request(number, plan="pro", units="8"))
+            await client.exchange(request(number, plan="pro", units="8"))
             await asyncio.sleep(POLL_INTERVAL)
 
 
@@ -140,7 +138,7 @@
             assert open_count <= limit
             # A new client and a new upstream connection are served, and so is the admin API.
             assert await request_status(gateway, 1) == 200
-            status, text = await gateway.call("GET", "/stats")
+            status, text = await gateway.call_admin("GET", "/stats")
             assert status == 200 and "svc.success.lookup=" in text
             await restart_discovery_and_counter(gateway)
             number = await assert_endpoint_change_arrives(gateway, 1)
--- a/tests/test_endpoint_poller.py
+++ b/tests/test_endpoint_poller.py
@@ -14,7 +14,7 @@
 from quota_gateway.errors import DiscoveryUnavailableError, EndpointListError
 from quota_gateway.model.endpoints import EndpointStatus
 from tests.discovery_harness import first_id, first_status, following
-from tests.fakes import FakeDiscovery, message, read_message
+from tests.fakes import FakeDiscovery, http_response, read_message
 from tests.harness import run
 
 DRAIN_TIMEOUT = 2.0  # seconds
@@ -26,10 +26,10 @@
 
 
 BAD_RESPONSES = {
-    "unavailable": message(503),
-    "rejected": message(410),
-    "malformed": message(200, b"rubbish"),
-    "older generation": message(200, b'{"generation": 0, "reset": false, "instances": []}'),
+    "unavailable": http_response(503),
+    "rejected": http_response(410),
+    "malformed": http_response(200, b"rubbish"),
+    "older generation": http_response(200, b'{"generation": 0, "reset": false, "instances": []}'),
 }
 
 
@@ -51,20 +51,20 @@
         peer = FakeDiscovery()
         async with following(peer) as (_, updates):
             await updates.get()
-            await peer.until_asked(2)
-            (writer,) = peer.open
+            await peer.wait_for_requests(2)
+            (writer,) = peer.open_writers
             if fault == "reset":
                 writer.transport.abort()
             else:
                 writer.write(BAD_RESPONSES[fault])
             if keeps_generation:
-                await peer.change(peer.entry("b", "127.0.0.1:9"))
+                await peer.publish(peer.entry("b", "127.0.0.1:9"))
             assert (await updates.get()).is_full != keeps_generation
-            is_immediate_watch = peer.asked[2].startswith("GET /v1/endpoints?since=1&timeout_ms=0 ")
+            is_immediate_watch = peer.request_lines[2].startswith("GET /v1/endpoints?since=1&timeout_ms=0 ")
             assert is_immediate_watch == keeps_generation
-            await peer.until_asked(4)
-            assert "timeout_ms=2000 " in peer.asked[3]
-            await peer.change({"instanceId": "a", "lifecycle": "DELETED"})
+            await peer.wait_for_requests(4)
+            assert "timeout_ms=2000 " in peer.request_lines[3]
+            await peer.publish({"instanceId": "a", "lifecycle": "DELETED"})
             assert first_status(await updates.get()) is EndpointStatus.REMOVED
 
     run(test)
@@ -142,17 +142,17 @@
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
             request_line, _, _ = await read_message(reader)
-            async with self.changed:
-                self.asked.append(request_line)
-                self.changed.notify_all()
+            async with self.state_changed:
+                self.request_lines.append(request_line)
+                self.state_changed.notify_all()
             if self.stalls:
                 if self.trickles:
                     writer.write(b"HTTP/1.1 200 X\r\nContent-Length: 99\r\n\r\n{")
                 await asyncio.Event().wait()
             if "since" not in request_line:
-                writer.write(message(200, self.listing(True, list(self.entries.values()))))
+                writer.write(http_response(200, self.list_body(True, list(self.entries.values()))))
             elif "timeout_ms=0 " in request_line:
-                writer.write(message(200, self.listing(False, self.changes)))
+                writer.write(http_response(200, self.list_body(False, self.last_delta)))
 
 
 @pytest.mark.parametrize("trickles", [False, True])
@@ -172,12 +172,12 @@
         )
         async with following(peer, None, schedule, VIRTUAL_CONNECT_TIMEOUT) as (_, updates):
             await updates.get()
-            await peer.until_asked(2)
+            await peer.wait_for_requests(2)
             peer.stalls = True
             time.expire_last_timeout()  # of the watch
-            await peer.until_asked(3)
+            await peer.wait_for_requests(3)
             peer.stalls = False
-            await peer.change(peer.entry("a", "127.0.0.1:9", "DRAINING"))
+            await peer.publish(peer.entry("a", "127.0.0.1:9", "DRAINING"))
             time.expire_last_timeout()  # of the poll after it
             assert first_status(await updates.get()) is EndpointStatus.DRAINING
             assert time.elapsed <= MAX_PROPAGATION_DELAY
@@ -192,9 +192,9 @@
             await updates.get()
             bodies = (b"[" * 200_000, b'{"generation": 1e999, "reset": true, "instances": []}')
             for number, body in enumerate(bodies):
-                await peer.until_asked(2 + 2 * number)
-                for writer in list(peer.open):
-                    writer.write(message(200, body))
+                await peer.wait_for_requests(2 + 2 * number)
+                for writer in list(peer.open_writers):
+                    writer.write(http_response(200, body))
                 assert (await updates.get()).is_full
 
     run(test)
@@ -221,10 +221,10 @@
         async with following(peer) as (_, updates):
             await updates.get()
             for body in (b'{"generation": 2,\n "instances": 7}', b"rubbish" * 99):
-                await peer.until_asked(len(peer.asked))
-                for writer in list(peer.open):
-                    writer.write(message(200, body))
-                await peer.change(peer.entry("a", "127.0.0.1:9"))
+                await peer.wait_for_requests(len(peer.request_lines))
+                for writer in list(peer.open_writers):
+                    writer.write(http_response(200, body))
+                await peer.publish(peer.entry("a", "127.0.0.1:9"))
                 assert first_id(await updates.get()) == "a"
 
     run(test)
--- a/tests/test_endpoint_updates.py
+++ b/tests/test_endpoint_updates.py
@@ -16,10 +16,10 @@
 from quota_gateway.discovery.poll_schedule import MAX_PROPAGATION_DELAY, PollSchedule, poll_schedule_for
 from quota_gateway.model.endpoints import EndpointStatus
 from quota_gateway.sockets.addresses import parse_address
-from tests.fakes import HOST, message, read_message
+from tests.fakes import HOST, http_response, read_message
 from tests.faulty_discovery import DiscoveryFault, FaultyDiscovery
-from tests.harness import GatewayHarness, request, roomy_settings
-from tests.virtual_clock import run_on_virtual_clock, start_clock
+from tests.harness import GatewayHarness, high_quota_settings, request
+from tests.virtual_clock import run_on_virtual_clock, virtual_unix_clock
 
 DRAIN_TIMEOUT = 2.0  # seconds
 CONNECT_TIMEOUT = 0.25  # seconds
@@ -109,7 +109,7 @@
     reset_after: int | None = None
 
     def full_response(self) -> bytes:
-        return message(200, self.listing(True, list(self.entries.values())))
+        return http_response(200, self.list_body(True, list(self.entries.values())))
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
@@ -196,18 +196,18 @@
         loop = asyncio.get_running_loop()
         while True:
             request_line, _, _ = await read_message(reader)
-            self.asked.append(request_line)
+            self.request_lines.append(request_line)
             if self.fault is not None:
                 await self.respond_with_fault(writer)
                 continue
             now = loop.time()
             self.free_at = max(self.free_at, now)
             if self.free_at - now > self.max_queueing_delay:
-                writer.write(message(503, b"", "Retry-After: 5"))
+                writer.write(http_response(503, b"", "Retry-After: 5"))
                 continue
             self.free_at += 1.0 / self.rate  # this capacity is used even if the caller times out
             await asyncio.sleep(self.free_at - now)
-            writer.write(message(200, await self.response_body(request_line)))
+            writer.write(http_response(200, await self.response_body(request_line)))
 
 
 @pytest.mark.parametrize("fault", [DiscoveryFault.UNAVAILABLE, DiscoveryFault.SILENT, DiscoveryFault.REFUSED])
@@ -242,27 +242,27 @@
         loop = asyncio.get_running_loop()
         harness = GatewayHarness(2)
         peer = harness.discovery = FaultyDiscovery()
-        settings = roomy_settings(dial_timeout=250.0)
+        settings = high_quota_settings(dial_timeout=250.0)
         settings["membership_mode"] = "on_request"
         settings["balancers"] = LARGE_FLEET
         with pytest.MonkeyPatch.context() as patch:
-            patch.setattr("quota_gateway.gateway_process.start_clock", start_clock)
+            patch.setattr("quota_gateway.gateway_process.start_clock", virtual_unix_clock)
             await harness.start(settings, 1024)
         draining, serving = harness.backends
         await peer.start_fault(DiscoveryFault.UNAVAILABLE)
         await asyncio.sleep(9.0)
         reachable_at = loop.time()
         await peer.end_fault(peer.entry("b0", draining.address, "DRAINING"))
-        client = await harness.client()
+        client = await harness.connect_client()
         number = 0
         while loop.time() < reachable_at + MAX_PROPAGATION_DELAY + DRAIN_TIMEOUT:
             number += 1
-            received_before = len(draining.seen)
-            assert (await client.ask(request(number)))[0] == 200
-            if len(draining.seen) > received_before:
+            received_before = len(draining.requests)
+            assert (await client.exchange(request(number)))[0] == 200
+            if len(draining.requests) > received_before:
                 late_requests.append(loop.time() - reachable_at)
             await asyncio.sleep(0.05)
-        assert len(serving.seen) > number / 2
+        assert len(serving.requests) > number / 2
         client.writer.close()
         await harness.process.stop(0.0, 0.0)
         for server in (*harness.backends, peer, harness.counter):
--- a/tests/test_fleet_of_engines.py
+++ b/tests/test_fleet_of_engines.py
@@ -17,7 +17,16 @@
 from quota_gateway.model.settings import Plan
 from quota_gateway.model.timers import decode_timer, encode_timer
 from tests.policy_assertions import limiter_of
-from tests.policy_harness import CAPPED, PLAN, SETTINGS, backend, backends, ended, gateway, request
+from tests.policy_harness import (
+    CAPPED_PLAN,
+    SETTINGS,
+    SMALL_PLAN,
+    endpoint_list_update,
+    make_attempt_ended,
+    make_endpoint,
+    make_engine,
+    make_request,
+)
 
 RETRY_DELAY = 0.3  # seconds until a rejected client sends its request again
 MAX_SENDS = 3  # of one request by its client, each to another gateway
@@ -28,7 +37,7 @@
     """A timer that an engine has set; ordered by the time when it is due."""
 
     due_at: float
-    gateway: int
+    gateway_index: int
     encoded_timer: str
 
 
@@ -61,12 +70,12 @@
 
     def new_engine(self, index: int) -> PolicyEngine:
         engine = PolicyEngine(self.settings, index, self.now)
-        engine.handle(backends(backend("a"), backend("b", 1)), self.now)
+        engine.handle(endpoint_list_update(make_endpoint("a"), make_endpoint("b", 1)), self.now)
         return engine
 
     def restart(self, index: int) -> None:
         """Replace a gateway by one that knows nothing of what it did."""
-        self.timers = [timer for timer in self.timers if timer.gateway != index]
+        self.timers = [timer for timer in self.timers if timer.gateway_index != index]
         self.engines[index] = self.new_engine(index)
 
     def execute(self, index: int, actions: list[Action]) -> None:
@@ -89,7 +98,7 @@
     def respond(self, index: int, action: StartAttempt) -> None:
         pending = self.engines[index].forwarder.requests[action.request_id]
         self.forwarded.append(Forwarded(self.now, pending.request.units))
-        response = ended(action.request_id, 0, action.endpoint_id, Outcome.SUCCESS)
+        response = make_attempt_ended(action.request_id, 0, action.endpoint_id, Outcome.SUCCESS)
         self.execute(index, self.engines[index].handle(response, self.now))
 
     def run_until(self, until: float) -> None:
@@ -99,7 +108,7 @@
             self.timers.remove(timer)
             self.now = max(self.now, timer.due_at)
             fired = TimerFired(decode_timer(timer.encoded_timer))
-            self.execute(timer.gateway, self.engines[timer.gateway].handle(fired, self.now))
+            self.execute(timer.gateway_index, self.engines[timer.gateway_index].handle(fired, self.now))
         self.now = until
 
     def send(self, index: int, number: int, units: float, is_retry: bool = False) -> None:
@@ -147,14 +156,14 @@
 def test_gateways_keep_the_hard_limit_together_also_through_restarts(
     steps: list[Step], gateway_count: int
 ) -> None:
-    fleet = Fleet(gateway_count, CAPPED)
+    fleet = Fleet(gateway_count, CAPPED_PLAN)
     fleet.run_until(110.0)
     for number, (pick, seconds) in enumerate(steps):
         if pick % 11 == 0:
             fleet.restart(pick // 11 % gateway_count)
         fleet.send(pick // 7 % gateway_count, number, 1.0 + pick % 2)
         fleet.run_until(fleet.now + seconds)
-    bucket = Bucket(CAPPED.hard_limit_rate, CAPPED.hard_limit_burst, 100.0)
+    bucket = Bucket(CAPPED_PLAN.hard_limit_rate, CAPPED_PLAN.hard_limit_burst, 100.0)
     for at, units in fleet.forwarded:
         bucket.refill(at)
         bucket.balance -= units
@@ -174,7 +183,7 @@
     gateway_count: int, rate: float, min_ratio: float, max_ratio: float
 ) -> None:
     """Found at full size: buckets of 0.03 units each forwarded one request, then rejected all."""
-    fleet = Fleet(gateway_count, PLAN)
+    fleet = Fleet(gateway_count, SMALL_PLAN)
     fleet.now = 120.0
     for number in range(400):
         fleet.send(number * 37 % 40, number, 1.0)
@@ -184,25 +193,27 @@
 
 
 def test_quota_stays_evenly_split_while_the_counter_is_silent() -> None:
-    engine = gateway(gateway_count=100)
+    engine = make_engine(gateway_count=100)
     for number in range(3):
-        for action in engine.handle(request(number, width=100), 100.0 + number):
+        for action in engine.handle(make_request(number, quota_spread=100), 100.0 + number):
             if isinstance(action, IncrementCounter):
                 timeout = CounterReply(action.name, Outcome.TIMED_OUT, 0.05, 0.0)
                 engine.handle(timeout, 100.05 + number)
     limiter = limiter_of(engine)
     assert limiter.quota_fraction == 1 / 100
-    assert limiter.capacity == PLAN.burst / 100
+    assert limiter.capacity == SMALL_PLAN.burst / 100
 
 
 def test_corrections_of_a_counter_total_do_not_amplify_each_other() -> None:
     """Found on a quiet day: gateways corrected one total at once, and each the others' corrections."""
-    fleet = Fleet(60, PLAN)
+    fleet = Fleet(60, SMALL_PLAN)
     fleet.now = 115.0
     for number in range(120):
         fleet.send(number % 60, number, 1.0)
         fleet.run_until(fleet.now + 0.01)
-    assert all(abs(total) <= PLAN.rate * 60 + 2 * PLAN.burst for total in fleet.counter_totals.values())
+    assert all(
+        abs(total) <= SMALL_PLAN.rate * 60 + 2 * SMALL_PLAN.burst for total in fleet.counter_totals.values()
+    )
 
 
 def over_quota_units(forwarded: list[Forwarded], plan: Plan) -> float:
@@ -262,11 +273,11 @@
     served = 0.0
     for rate in (1.0, 1.0, 1.0, 1.0, 3.6, 3.6, 3.6, 6.0, 10.0):  # customers, most of them within a quota of 4
         arrivals = [120.0 + number / rate for number in range(int(60 * rate))]
-        forwarded = forwarded_by_fleet(arrivals, PLAN)
-        over_quota = over_quota_units(forwarded, PLAN)
-        reference = over_quota_units(forwarded_with_delayed_balance(arrivals, PLAN, 0.5), PLAN)
-        extra_cost += PLAN.over_quota_cost * (over_quota - reference)
-        requested += min(rate * 60.0, PLAN.rate * 60.0 + PLAN.burst)
+        forwarded = forwarded_by_fleet(arrivals, SMALL_PLAN)
+        over_quota = over_quota_units(forwarded, SMALL_PLAN)
+        reference = over_quota_units(forwarded_with_delayed_balance(arrivals, SMALL_PLAN, 0.5), SMALL_PLAN)
+        extra_cost += SMALL_PLAN.over_quota_cost * (over_quota - reference)
+        requested += min(rate * 60.0, SMALL_PLAN.rate * 60.0 + SMALL_PLAN.burst)
         served += len(forwarded) - over_quota
     assert extra_cost <= 0.1 * requested
     assert served >= 0.95 * requested
--- a/tests/test_gateway_process.py
+++ b/tests/test_gateway_process.py
@@ -21,8 +21,8 @@
 
 import pytest
 
-from tests.fakes import HOST, SOON, FakeCounter, FakeDiscovery, serve_after
-from tests.harness import READY, Client, GatewayHarness, request, roomy_settings, run
+from tests.fakes import EVENT_TIMEOUT, HOST, FakeCounter, FakeDiscovery, send_success_after
+from tests.harness import READY_REQUEST, Client, GatewayHarness, high_quota_settings, request, run
 
 ROOT = pathlib.Path(__file__).parent.parent
 # the deploy file's command where .ci/run names it, so that what is deployed is what is tested
@@ -54,7 +54,7 @@
         "seed": "8c1f",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
         "known": {"generation": 1, "reset": True, "instances": []},
-        "settings": roomy_settings(),
+        "settings": high_quota_settings(),
     }
 
 
@@ -116,7 +116,7 @@
     if console:
         environment["RELAY_CONSOLE"] = f"{HOST}:{harness.admin_port}"
     path = tmp_path / "config.json"
-    content = {**harness.configuration(roomy_settings(), 1024), "listen": f"{HOST}:{harness.port}"}
+    content = {**harness.configuration(high_quota_settings(), 1024), "listen": f"{HOST}:{harness.port}"}
     path.write_text(json.dumps(content))
 
     def limit_descriptors() -> None:
@@ -153,11 +153,11 @@
 
 async def until_ready(harness: GatewayHarness) -> None:
     """Wait until the gateway says that it is ready."""
-    async with asyncio.timeout(SOON):
+    async with asyncio.timeout(EVENT_TIMEOUT):
         while True:
             with contextlib.suppress(OSError, asyncio.IncompleteReadError):
-                client = await harness.client()
-                if (await client.ask(READY))[0] == 200:
+                client = await harness.connect_client()
+                if (await client.exchange(READY_REQUEST))[0] == 200:
                     client.writer.close()
                     return
             await asyncio.sleep(0.01)
@@ -166,8 +166,8 @@
 async def until_draining(harness: GatewayHarness) -> None:
     """Wait until SIGTERM has reached the gateway, which then says that it is not ready."""
     while True:
-        client = await harness.client()
-        status, headers, _ = await client.ask(READY)
+        client = await harness.connect_client()
+        status, headers, _ = await client.exchange(READY_REQUEST)
         if status != 200:
             assert status == 503
             assert headers["connection"] == "close"
@@ -178,25 +178,25 @@
     async def test() -> None:
         async with process(tmp_path) as (harness, child):
             backend_released = asyncio.Event()
-            harness.backends[0].script = [serve_after(backend_released)]
-            waiting_client = await harness.client()
-            idle_client = await harness.client()
-            assert (await idle_client.ask(READY))[0] == 200
+            harness.backends[0].script = [send_success_after(backend_released)]
+            waiting_client = await harness.connect_client()
+            idle_client = await harness.connect_client()
+            assert (await idle_client.exchange(READY_REQUEST))[0] == 200
             waiting_client.send(request(1))
-            await harness.backends[0].until(lambda: len(harness.backends[0].seen) == 1)
+            await harness.backends[0].wait_until(lambda: len(harness.backends[0].requests) == 1)
             child.send_signal(signal.SIGTERM)
             await until_draining(harness)
-            new_client = await harness.client()  # new and idle connections are still served
-            status, headers, _ = await new_client.ask(request(2))
+            new_client = await harness.connect_client()  # new and idle connections are still served
+            status, headers, _ = await new_client.exchange(request(2))
             assert status == 200
             assert headers["connection"] == "close"
-            assert await new_client.closed()
-            assert (await idle_client.ask(request(3)))[0] == 200
-            assert await idle_client.closed()
+            assert await new_client.wait_closed()
+            assert (await idle_client.exchange(request(3)))[0] == 200
+            assert await idle_client.wait_closed()
             backend_released.set()
-            assert (await waiting_client.answer())[0] == 200
-            assert await waiting_client.closed()
-            async with asyncio.timeout(SOON):
+            assert (await waiting_client.read_response())[0] == 200
+            assert await waiting_client.wait_closed()
+            async with asyncio.timeout(EVENT_TIMEOUT):
                 assert await child.wait() == 0
             assert await child.stderr.read() == b""
 
@@ -207,17 +207,17 @@
     # asyncio's own server closes a connection that it has no descriptor for, with the request on it
     async def test() -> None:
         async with process(tmp_path, descriptors=40) as (harness, child):
-            clients = [await harness.client() for _ in range(60)]
+            clients = [await harness.connect_client() for _ in range(60)]
             for client in clients:
-                client.send(READY)
+                client.send(READY_REQUEST)
 
             async def status_of(client: Client) -> int:
-                status, _, _ = await client.answer()
+                status, _, _ = await client.read_response()
                 client.writer.close()
                 return status
 
             assert await asyncio.gather(*(status_of(client) for client in clients)) == [200] * 60
-            assert (await (await harness.client()).ask(request(1)))[0] == 200
+            assert (await (await harness.connect_client()).exchange(request(1)))[0] == 200
             assert child.returncode is None
 
     run(test)
@@ -232,12 +232,12 @@
         async with process(tmp_path, override_discovery=override_discovery) as (harness, child):
             path = tmp_path / "config.json"
             content = json.loads(path.read_text())
-            client = await harness.client()
+            client = await harness.connect_client()
             path.write_text("{")
             child.send_signal(signal.SIGHUP)
-            async with asyncio.timeout(SOON):
+            async with asyncio.timeout(EVENT_TIMEOUT):
                 assert b"keeping the current configuration" in await child.stderr.readline()
-            assert (await client.ask(request(1)))[0] == 200
+            assert (await client.exchange(request(1)))[0] == 200
             discovery = FakeDiscovery()
             counter = FakeCounter()
             await discovery.start()
@@ -246,11 +246,11 @@
             content |= {"discovery": discovery.address, "counter": counter.address}
             path.write_text(json.dumps(content))
             child.send_signal(signal.SIGHUP)
-            await discovery.until_asked(2)  # its full list was applied
+            await discovery.wait_for_requests(2)  # its full list was applied
             await until_counted(client, counter)
             assert child.returncode is None
             child.terminate()
-            async with asyncio.timeout(SOON):
+            async with asyncio.timeout(EVENT_TIMEOUT):
                 assert await child.wait() == 0
             assert await child.stderr.read() == b""
             await discovery.stop()
@@ -262,10 +262,10 @@
 async def until_counted(client: Client, counter: FakeCounter) -> None:
     """Send requests until the counter is called, which is once the customer is near its quota."""
     number = 1
-    async with asyncio.timeout(SOON):
-        while not counter.calls:
+    async with asyncio.timeout(EVENT_TIMEOUT):
+        while not counter.increments:
             number += 1
-            await client.ask(request(number, plan="pro", units="8"))
+            await client.exchange(request(number, plan="pro", units="8"))
 
 
 def test_the_build_compiles_every_module(tmp_path: pathlib.Path) -> None:
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -20,16 +20,23 @@
 from quota_gateway.model.charges import UnitsCharged
 from quota_gateway.model.events import PeerProcessChanged, SetDraining, SetMaintenance, StateSnapshot
 from quota_gateway.model.outcomes import Outcome
-from tests.fakes import HOST, SOON, serve_after
-from tests.harness import READY, Client, GatewayHarness, request, roomy_settings, run, running
-from tests.policy_harness import ended, gateway
-from tests.policy_harness import request as engine_request
+from tests.fakes import EVENT_TIMEOUT, HOST, send_success_after
+from tests.harness import (
+    READY_REQUEST,
+    Client,
+    GatewayHarness,
+    high_quota_settings,
+    request,
+    run,
+    running_gateway,
+)
+from tests.policy_harness import make_attempt_ended, make_engine, make_request
 from tests.test_gateway_process import ROOT, RUN
 
 
 def forwarded(engine: PolicyEngine, number: int, units: float) -> list[StartAttempt | UnitsCharged]:
     """Return the attempt that a request at 100 s starts, and the charge that is reported for it."""
-    actions = engine.handle(engine_request(number, units=units), 100.0)
+    actions = engine.handle(make_request(number, units=units), 100.0)
     return [action for action in actions if isinstance(action, StartAttempt | UnitsCharged)]
 
 
@@ -39,7 +46,7 @@
 
 
 def test_units_charged_by_the_older_process_are_charged_in_the_newer() -> None:
-    old, new = gateway(), gateway()
+    old, new = make_engine(), make_engine()
     capacity = 4.0  # half of the plan's burst, for one of two gateways
     assert len(forwarded(old, 1, capacity)) == 1
     new.handle(transferred_state(old), 100.0)
@@ -47,7 +54,7 @@
 
 
 def test_units_reserved_by_queued_requests_of_the_older_process_are_charged_in_the_newer() -> None:
-    old, new = gateway(), gateway()
+    old, new = make_engine(), make_engine()
     forwarded(old, 1, 4.0)
     assert not forwarded(old, 2, 0.5) and old.limiters.limiters["c"].queued_units == 0.5
     new.handle(transferred_state(old), 100.0)
@@ -55,7 +62,7 @@
 
 
 def test_units_charged_by_either_process_are_charged_in_the_other() -> None:
-    old, new = gateway(settles_actual_units=True), gateway(settles_actual_units=True)
+    old, new = make_engine(settles_actual_units=True), make_engine(settles_actual_units=True)
     new.handle(transferred_state(old), 100.0)
     # without a peer nothing is reported
     assert not [a for a in forwarded(old, 1, 1.0) if isinstance(a, UnitsCharged)]
@@ -67,13 +74,13 @@
     new.handle(charge, 100.0)
     assert new.limiters.limiters["c"].balance == 2.0
     endpoint_id = next(a.endpoint_id for a in actions if isinstance(a, StartAttempt))
-    settled = old.handle(ended(2, 0, endpoint_id, Outcome.SUCCESS, true_units=3.0), 100.0)
+    settled = old.handle(make_attempt_ended(2, 0, endpoint_id, Outcome.SUCCESS, actual_units=3.0), 100.0)
     new.handle(next(a for a in settled if isinstance(a, UnitsCharged)), 100.0)
     assert new.limiters.limiters["c"].balance == 1.0
 
 
 def test_maintenance_its_end_and_draining_are_restored() -> None:
-    old, new = gateway(), gateway(now=101.0)
+    old, new = make_engine(), make_engine(now=101.0)
     old.handle(SetMaintenance("a", True), 100.0)
     old.handle(SetMaintenance("b", True), 100.0)
     old.handle(SetMaintenance("b", False), 100.5)
@@ -101,7 +108,7 @@
             unused.bind((HOST, 0))
             admin_port = unused.getsockname()[1]
         path = self.folder / "config.json"
-        env = roomy_settings()
+        env = high_quota_settings()
         env["services"][0]["aim"] = env["services"][0]["deadline"] = 1e6  # no timeout ends a request
         path.write_text(json.dumps(self.harness.configuration(env, 1024)))
         descriptor = self.listener.fileno()
@@ -121,7 +128,7 @@
             },
         )
         self.children.append(child)
-        async with asyncio.timeout(SOON):
+        async with asyncio.timeout(EVENT_TIMEOUT):
             # a child process sets no event of this loop
             while (await self.call(admin_port, "GET", "/healthcheck")) != 200:  # noqa: ASYNC110
                 await asyncio.sleep(0.01)
@@ -130,7 +137,7 @@
     async def call(self, admin_port: int, method: str, path: str) -> int:
         self.harness.admin_port = admin_port
         try:
-            return (await self.harness.call(method, path))[0]
+            return (await self.harness.call_admin(method, path))[0]
         except (OSError, asyncio.IncompleteReadError):
             return 0  # not listening yet
 
@@ -139,8 +146,8 @@
         return await self.harness.metrics()
 
     async def request_status(self, number: int) -> int:
-        client = await self.harness.client()
-        status, _, _ = await client.ask(request(number, customer=f"{number:016x}"))
+        client = await self.harness.connect_client()
+        status, _, _ = await client.exchange(request(number, customer=f"{number:016x}"))
         client.writer.close()
         return status
 
@@ -172,15 +179,15 @@
         async with process_group(tmp_path) as processes:
             harness = processes.harness
             old, old_admin_port = await processes.start()
-            idle, waiting = await harness.client(), await harness.client()
-            assert (await idle.ask(READY))[0] == 200
+            idle, waiting = await harness.connect_client(), await harness.connect_client()
+            assert (await idle.exchange(READY_REQUEST))[0] == 200
             assert await processes.call(old_admin_port, "POST", "/backends/b0/maint") == 200
             released = asyncio.Event()
-            harness.backends[1].script = [serve_after(released)]
+            harness.backends[1].script = [send_success_after(released)]
             waiting.send(request(1, budget=900.0))
-            await harness.backends[1].until(lambda: len(harness.backends[1].seen) == 1)
+            await harness.backends[1].wait_until(lambda: len(harness.backends[1].requests) == 1)
             _, new_admin_port = await processes.start()
-            async with asyncio.timeout(SOON):  # until the older process stops accepting
+            async with asyncio.timeout(EVENT_TIMEOUT):  # until the older process stops accepting
                 number = 10
                 while (await processes.metrics(new_admin_port))["success.lookup"] == 0:
                     number += 1
@@ -188,16 +195,16 @@
             before = await processes.metrics(old_admin_port)
             assert [await processes.request_status(n) for n in range(50, 60)] == [200] * 10
             assert (await processes.metrics(old_admin_port))["success.lookup"] == before["success.lookup"]
-            status, headers, _ = await idle.ask(READY)
-            assert status == 200 and headers["connection"] == "close" and await idle.closed()
+            status, headers, _ = await idle.exchange(READY_REQUEST)
+            assert status == 200 and headers["connection"] == "close" and await idle.wait_closed()
             old.send_signal(signal.SIGTERM)
             released.set()
-            assert (await waiting.answer())[0] == 200 and await waiting.closed()
-            async with asyncio.timeout(SOON):
+            assert (await waiting.read_response())[0] == 200 and await waiting.wait_closed()
+            async with asyncio.timeout(EVENT_TIMEOUT):
                 assert await old.wait() == 0
             assert [await processes.request_status(n) for n in range(60, 70)] == [200] * 10
             metrics = await processes.metrics(new_admin_port)
-            assert not harness.backends[0].seen and metrics["targets_disabled"] == 1
+            assert not harness.backends[0].requests and metrics["targets_disabled"] == 1
 
     run(test)
 
@@ -210,7 +217,7 @@
             for commanded, other in ((old, new), (new, old)):
                 for command, disabled in (("maint", 1), ("ready", 0)):
                     assert await processes.call(commanded, "POST", f"/backends/b0/{command}") == 200
-                    async with asyncio.timeout(SOON):
+                    async with asyncio.timeout(EVENT_TIMEOUT):
                         while (await processes.metrics(other))["targets_disabled"] != disabled:
                             pass
 
@@ -224,9 +231,11 @@
             child, _ = await processes.start()
             child.kill()
             await child.wait()
-            waiting = await processes.harness.client()  # queued at the descriptor, whichever process accepts
-            assert (await waiting.ask(request(1)))[0] == 200
-            assert (await waiting.ask(request(2)))[0] == 200  # the connection is kept alive
+            waiting = (
+                await processes.harness.connect_client()
+            )  # queued at the descriptor, whichever process accepts
+            assert (await waiting.exchange(request(1)))[0] == 200
+            assert (await waiting.exchange(request(2)))[0] == 200  # the connection is kept alive
             assert (await processes.metrics(old))["success.lookup"] >= 2
             _, new = await processes.start()
             assert await processes.call(new, "GET", "/healthcheck") == 200
@@ -261,7 +270,7 @@
         with socket.socket(socket.AF_UNIX) as hanging:
             hanging.bind(str(tmp_path / SOCKET_NAME))
             hanging.listen()
-            async with running() as harness:
+            async with running_gateway() as harness:
                 process = harness.process
                 superseded: list[bool] = []
                 restarting = coordinator.HotRestartCoordinator(
@@ -280,7 +289,7 @@
                 link.data_received(b"[nonsense\n")
                 restarting.close()
                 older.close()
-                client: Client = await harness.client()
-                assert (await client.ask(READY))[0] == 503  # its one backend is in maintenance
+                client: Client = await harness.connect_client()
+                assert (await client.exchange(READY_REQUEST))[0] == 503  # its one backend is in maintenance
 
     run(test)
--- a/tests/test_no_attempt_after_disconnect.py
+++ b/tests/test_no_attempt_after_disconnect.py
@@ -19,9 +19,9 @@
 from quota_gateway.downstream.client_connection import MAX_PIPELINED_REQUESTS
 from quota_gateway.downstream.half_close import HalfClose
 from quota_gateway.model.timers import ReleaseQueueTimer
-from tests.fakes import Asked, FakeBackend, message, settings_text
-from tests.harness import Client, GatewayHarness, request, roomy_settings, running
-from tests.virtual_clock import run_on_virtual_clock, start_clock, this_loop
+from tests.fakes import FakeBackend, HttpMessage, example_settings, http_response
+from tests.harness import Client, GatewayHarness, high_quota_settings, request, running_gateway
+from tests.virtual_clock import run_on_virtual_clock, virtual_clock_loop, virtual_unix_clock
 
 MAX_START_DELAY = 0.1  # seconds after the disconnect: the protocol's limit
 RELEASE_DELAYS = [0.02, 0.105, 0.125, 0.15, 0.4]  # seconds from the disconnect to what the request waits for
@@ -43,18 +43,18 @@
 
 @pytest.fixture(autouse=True)
 def virtual_clock(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("quota_gateway.gateway_process.start_clock", start_clock)
+    monkeypatch.setattr("quota_gateway.gateway_process.start_clock", virtual_unix_clock)
 
 
-class TimedRequests(list[Asked]):
+class TimedRequests(list[HttpMessage]):
     """Requests with the time at which each was complete, for short ones that of its first byte."""
 
     def __init__(self, times: list[float]) -> None:
         super().__init__()
         self.times = times
 
-    def append(self, asked: Asked) -> None:
-        self.times.append(this_loop().now)
+    def append(self, asked: HttpMessage) -> None:
+        self.times.append(virtual_clock_loop().now)
         super().append(asked)
 
 
@@ -64,11 +64,11 @@
     def __init__(self) -> None:
         super().__init__()
         self.started_at: list[float] = []
-        self.seen = TimedRequests(self.started_at)
+        self.requests = TimedRequests(self.started_at)
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         first = await reader.readexactly(1)
-        self.started_at.append(this_loop().now)
+        self.started_at.append(virtual_clock_loop().now)
         reader._buffer[:0] = first  # type: ignore[attr-defined]  # put back, so that the whole message is read
         await super().serve(reader, writer)
 
@@ -89,8 +89,8 @@
             await asyncio.sleep(0.0005)
 
 
-def serve_without_units(writer: asyncio.StreamWriter, asked: Asked) -> None:
-    writer.write(message(200))  # without Billed-Units the estimate stays
+def serve_without_units(writer: asyncio.StreamWriter, asked: HttpMessage) -> None:
+    writer.write(http_response(200))  # without Billed-Units the estimate stays
 
 
 def disconnect(client: Client, how: str) -> None:
@@ -120,7 +120,7 @@
 async def recording(backends: int, env: dict[str, Any]) -> AsyncIterator[GatewayHarness]:
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr("tests.harness.FakeBackend", RecordingBackend)
-        async with running(backends, with_long_timeouts(env)) as harness:
+        async with running_gateway(backends, with_long_timeouts(env)) as harness:
             yield harness
 
 
@@ -130,13 +130,13 @@
 
 def answer_after(
     event: asyncio.Event, state: str
-) -> Callable[[asyncio.StreamWriter, Asked], Awaitable[None]]:
+) -> Callable[[asyncio.StreamWriter, HttpMessage], Awaitable[None]]:
     """Make a backend that rejects its request, or resets the connection, at the event."""
 
-    async def answer(writer: asyncio.StreamWriter, asked: Asked) -> None:
+    async def answer(writer: asyncio.StreamWriter, asked: HttpMessage) -> None:
         await event.wait()
         if state == "rejected":
-            writer.write(message(503, b"", "X-Rejected: 1"))
+            writer.write(http_response(503, b"", "X-Rejected: 1"))
         else:
             writer.transport.abort()
 
@@ -145,14 +145,14 @@
 
 async def wait_for_counter(harness: GatewayHarness, client: Client, state: str) -> Callable[[], None]:
     """Send requests that wait for the counter, up to a number at which reading pauses."""
-    harness.counter.free.clear()
+    harness.counter.replies_enabled.clear()
     number = {"counter": 1, "pipelined": 2, "paused": 8 * MAX_PIPELINED_REQUESTS}[state]
     client.send(b"".join(request(n) for n in range(number)))
     active_requests = harness.process.dispatcher.active_requests
     await until(lambda: len(active_requests) >= min(number, MAX_PIPELINED_REQUESTS))
     if state == "paused":
         await until(lambda: any(c.read_paused for c in harness.process.listener.connections))
-    return harness.counter.free.set
+    return harness.counter.replies_enabled.set
 
 
 async def wait_in_queue(harness: GatewayHarness, client: Client) -> Callable[[], None]:
@@ -161,7 +161,7 @@
     for backend in harness.backends:
         backend.script = [serve_without_units, serve_without_units]
     for number, units in enumerate(("8", "4")):  # the whole burst
-        assert (await client.ask(request(number, plan="pro", units=units)))[0] == 200
+        assert (await client.exchange(request(number, plan="pro", units=units)))[0] == 200
     client.send(request(9, plan="pro"))
     (throttle,) = dispatcher.engine.limiters.limiters.values()
     await until(lambda: bool(throttle.queue))
@@ -178,7 +178,7 @@
     harness: GatewayHarness, client: Client, connect_time: float, text: bytes
 ) -> None:
     """Send a request whose first attempt waits for a connection."""
-    this_loop().late = {port_of(b): connect_time for b in harness.backends}
+    virtual_clock_loop().connect_delays = {port_of(b): connect_time for b in harness.backends}
     client.send(text)
     await until(lambda: bool(harness.process.pool.connecting))
 
@@ -191,9 +191,9 @@
     for backend in harness.backends:
         backend.script = [answer_after(event, state)]
     client.send(request(9))
-    await until(lambda: any(b.seen for b in harness.backends))
+    await until(lambda: any(b.requests for b in harness.backends))
     if state == "reconnecting":
-        this_loop().late = {port_of(b): connect_time for b in harness.backends}
+        virtual_clock_loop().connect_delays = {port_of(b): connect_time for b in harness.backends}
         event.set()
         await until(lambda: bool(harness.process.pool.connecting))
     return event.set
@@ -207,8 +207,8 @@
     client disconnects a moment after this yields, so that it counts from there.
     """
     counted = state in ("counter", "queued", "pipelined", "paused")
-    async with recording(2, settings_text() if counted else roomy_settings()) as harness:
-        client = await harness.client()
+    async with recording(2, example_settings() if counted else high_quota_settings()) as harness:
+        client = await harness.connect_client()
         release: Callable[[], None] = asyncio.Event().set  # with no effect: the connect time passes by itself
         match state:
             case "counter" | "pipelined" | "paused":
@@ -235,7 +235,7 @@
     async def test() -> None:
         for release_delay in RELEASE_DELAYS:
             async with waiting_request(state, release_delay) as case:
-                disconnected_at = this_loop().now
+                disconnected_at = virtual_clock_loop().now
                 disconnect(case.client, how)
                 await asyncio.sleep(release_delay)
                 case.release()
@@ -246,7 +246,7 @@
                 assert not case.harness.process.pool.connecting
                 for throttle in dispatcher.engine.limiters.limiters.values():
                     assert throttle.queued_units == 0 and not throttle.queue and not throttle.in_flight
-            this_loop().late = {}
+            virtual_clock_loop().connect_delays = {}
 
     run_on_virtual_clock(test)
     print(f"{state}, {how}: latest attempt {max(delays, default=-1.0):.3f} s after the disconnect")
@@ -268,11 +268,11 @@
                 throttle.rate = 0.0
                 if state == "connecting":
                     assert throttle.balance == pytest.approx(before)
-                counted = sum(amount for _, amount in case.harness.counter.calls)
+                counted = sum(amount for _, amount in case.harness.counter.increments)
                 assert counted + throttle.unreported_units == pytest.approx(
                     0.0
                 )  # reported, and yet to be reported
-            this_loop().late = {}
+            virtual_clock_loop().connect_delays = {}
 
     run_on_virtual_clock(test)
 
@@ -289,13 +289,13 @@
 
     def handle_slowly(dispatcher: RequestDispatcher, event: Any, due: float) -> None:
         if busy:
-            this_loop().now += EVENT_COST
+            virtual_clock_loop().now += EVENT_COST
         handle(dispatcher, event, due)
 
     def begin_slowly(half_close: HalfClose) -> None:
         if busy:
-            this_loop().now += EVENT_COST
-        detected_at.append(this_loop().now)
+            virtual_clock_loop().now += EVENT_COST
+        detected_at.append(virtual_clock_loop().now)
         begin_grace_period(half_close)
 
     monkeypatch.setattr(RequestDispatcher, "handle", handle_slowly)
@@ -303,13 +303,15 @@
 
     async def test() -> None:
         nonlocal busy
-        loop = this_loop()
-        async with recording(2, settings_text() if state == "counter" else roomy_settings()) as harness:
+        loop = virtual_clock_loop()
+        async with recording(
+            2, example_settings() if state == "counter" else high_quota_settings()
+        ) as harness:
             dispatcher = harness.process.dispatcher
-            clients = [await harness.client() for _ in range(BURST_SIZE)]
-            harness.counter.free.clear()
+            clients = [await harness.connect_client() for _ in range(BURST_SIZE)]
+            harness.counter.replies_enabled.clear()
             if state == "connecting":
-                loop.late = {port_of(b): 0.12 for b in harness.backends}
+                loop.connect_delays = {port_of(b): 0.12 for b in harness.backends}
                 for endpoint in dispatcher.engine.endpoints.values():
                     endpoint.concurrency_limit = BURST_SIZE
             for number, client in enumerate(clients):
@@ -319,7 +321,7 @@
             for client in clients:
                 disconnect(client, how)
             if state == "counter":
-                harness.counter.free.set()
+                harness.counter.replies_enabled.set()
             await asyncio.sleep(2.0)
             busy = False
             delays = [t - disconnected_at for t in attempt_starts(harness)]
--- a/tests/test_overload_protection.py
+++ b/tests/test_overload_protection.py
@@ -9,23 +9,31 @@
 from quota_gateway.model.outcomes import Outcome
 from quota_gateway.model.timers import LateAttemptTimer
 from tests.policy_assertions import first_attempt, first_timer, started_attempts
-from tests.policy_harness import backend, backends, ended, gateway, request
+from tests.policy_harness import (
+    endpoint_list_update,
+    make_attempt_ended,
+    make_endpoint,
+    make_engine,
+    make_request,
+)
 
 REJECTING = {"b0", "b1", "b2"}  # endpoints that reject one request class and plan
 
 
 def test_slow_responses_do_not_shed_load_for_longer_than_they_last() -> None:
     """Found in incidents: after slow responses all was rejected for good, or for as long as they lasted."""
-    engine = gateway(gateway_count=1)
+    engine = make_engine(gateway_count=1)
     admitted: list[bool] = []
     for number in range(160):
         now = 100.0 + number / 2
-        actions = engine.handle(request(number, customer=f"x{number}", deadline=now + 4, width=1), now)
+        actions = engine.handle(
+            make_request(number, customer=f"x{number}", deadline=now + 4, quota_spread=1), now
+        )
         attempts = started_attempts(actions)
         admitted.append(bool(attempts))
         if attempts:
             elapsed = 0.9 if number < 60 else 0.1
-            success = ended(number, 0, attempts[0].endpoint_id, Outcome.SUCCESS, elapsed)
+            success = make_attempt_ended(number, 0, attempts[0].endpoint_id, Outcome.SUCCESS, elapsed)
             engine.handle(success, now + 0.4)
     assert sum(admitted[40:60]) <= 10  # most are rejected, a few show when responses are fast again
     assert all(admitted[140:])
@@ -34,47 +42,56 @@
 @pytest.mark.parametrize("gateway_count", [2, 300])
 def test_overload_is_seen_alike_by_one_of_few_and_by_one_of_many_gateways(gateway_count: int) -> None:
     """Found in incidents: each of many gateways sends an endpoint too little to see that all overload it."""
-    listed = backends(*(backend(f"b{number}") for number in range(60)))
-    engine = gateway(gateway_count=gateway_count, listed=listed)
+    listed = endpoint_list_update(*(make_endpoint(f"b{number}") for number in range(60)))
+    engine = make_engine(gateway_count=gateway_count, endpoint_list=listed)
     admitted = 0
     for number in range(60):
         now = 100.0 + number / 2
-        actions = engine.handle(request(number, customer=f"x{number}", width=1, deadline=now + 4), now)
+        actions = engine.handle(
+            make_request(number, customer=f"x{number}", quota_spread=1, deadline=now + 4), now
+        )
         for attempt in started_attempts(actions):
             admitted += number >= 40
-            engine.handle(ended(number, 0, attempt.endpoint_id, Outcome.SUCCESS, 0.9), now + 0.4)
+            engine.handle(make_attempt_ended(number, 0, attempt.endpoint_id, Outcome.SUCCESS, 0.9), now + 0.4)
     assert 0 < admitted <= 10
 
 
 def test_stuck_attempts_fill_the_concurrency_limit_of_their_endpoint_only() -> None:
     """Found in an incident: very slow endpoints filled a limit that all endpoints shared."""
-    engine = gateway(gateway_count=1, listed=backends(backend("a"), backend("b")))
+    engine = make_engine(
+        gateway_count=1, endpoint_list=endpoint_list_update(make_endpoint("a"), make_endpoint("b"))
+    )
     stuck = 0
     for number in range(40):
         now = 100.0 + number
-        actions = engine.handle(request(number, customer=f"x{number}", deadline=now + 90, width=1), now)
+        actions = engine.handle(
+            make_request(number, customer=f"x{number}", deadline=now + 90, quota_spread=1), now
+        )
         endpoint_id = first_attempt(actions).endpoint_id
         late = first_timer(actions, LateAttemptTimer)
         if endpoint_id == "a":
             stuck += 1
             engine.handle(TimerFired(late.timer), now + late.delay)
         else:
-            engine.handle(ended(number, 0, endpoint_id, Outcome.SUCCESS, 0.1), now + 0.1)
+            engine.handle(make_attempt_ended(number, 0, endpoint_id, Outcome.SUCCESS, 0.1), now + 0.1)
     assert stuck <= 9  # its concurrency limit is reached
 
 
 def test_endpoint_that_refuses_a_connection_is_ejected_at_once() -> None:
     """Found in an incident: dead endpoints that the list still named took a third of the attempts."""
-    engine = gateway(gateway_count=1, listed=backends(backend("a"), backend("b"), backend("c")))
+    engine = make_engine(
+        gateway_count=1,
+        endpoint_list=endpoint_list_update(make_endpoint("a"), make_endpoint("b"), make_endpoint("c")),
+    )
     number = 0
     endpoint_id = ""
     while endpoint_id != "a":
         number += 1
-        actions = engine.handle(request(number, customer=f"x{number}", width=1), 100.0)
+        actions = engine.handle(make_request(number, customer=f"x{number}", quota_spread=1), 100.0)
         endpoint_id = first_attempt(actions).endpoint_id
-    engine.handle(ended(number, 0, "a", Outcome.CONNECT_FAILED), 100.1)
+    engine.handle(make_attempt_ended(number, 0, "a", Outcome.CONNECT_FAILED), 100.1)
     for later in range(100, 110):
-        actions = engine.handle(request(later, customer=f"x{later}", width=1), 100.2)
+        actions = engine.handle(make_request(later, customer=f"x{later}", quota_spread=1), 100.2)
         assert first_attempt(actions).endpoint_id != "a"
 
 
@@ -83,25 +100,27 @@
     rejections = 0
     for number in range(200):
         now = 100.0 + number / 10
-        actions = engine.handle(request(number, customer=f"x{number}", width=1, deadline=now + 4), now)
+        actions = engine.handle(
+            make_request(number, customer=f"x{number}", quota_spread=1, deadline=now + 4), now
+        )
         endpoint_id: str | None = first_attempt(actions).endpoint_id
         attempt_index = 0
         while endpoint_id in REJECTING:
             rejections += 1
-            rejected = ended(number, attempt_index, endpoint_id, Outcome.REJECTED)
+            rejected = make_attempt_ended(number, attempt_index, endpoint_id, Outcome.REJECTED)
             retries = started_attempts(engine.handle(rejected, now + 0.01))
             endpoint_id = retries[0].endpoint_id if retries else None
             attempt_index += 1
         if endpoint_id is not None:
-            engine.handle(ended(number, attempt_index, endpoint_id, Outcome.SUCCESS), now + 0.05)
+            engine.handle(make_attempt_ended(number, attempt_index, endpoint_id, Outcome.SUCCESS), now + 0.05)
     return rejections
 
 
 def test_rejection_is_remembered_for_its_class_and_plan_only_and_is_no_fault() -> None:
     """Found in incident i9ba5ae: endpoints that rejected only one plan were tried again and again."""
-    listed = backends(*(backend(f"b{number}") for number in range(6)))
-    engine = gateway(gateway_count=1, listed=listed)
+    listed = endpoint_list_update(*(make_endpoint(f"b{number}") for number in range(6)))
+    engine = make_engine(gateway_count=1, endpoint_list=listed)
     assert count_rejections(engine) <= 15
     assert engine.endpoints["b0"].failure_score == 0
-    others = [request(500 + n, "pay", "capped", f"y{n}", 1.0, 190.0, 1) for n in range(9)]
+    others = [make_request(500 + n, "pay", "capped", f"y{n}", 1.0, 190.0, 1) for n in range(9)]
     assert REJECTING & {first_attempt(engine.handle(other, 180.0)).endpoint_id for other in others}
--- a/tests/test_policy_invariants.py
+++ b/tests/test_policy_invariants.py
@@ -15,7 +15,15 @@
 from quota_gateway.model.events import ClientDisconnected
 from quota_gateway.model.outcomes import Outcome
 from tests.policy_assertions import first_attempt, started_attempts
-from tests.policy_harness import CAPPED, EngineHarness, backend, backends, ended, gateway, request
+from tests.policy_harness import (
+    CAPPED_PLAN,
+    EngineHarness,
+    endpoint_list_update,
+    make_attempt_ended,
+    make_endpoint,
+    make_engine,
+    make_request,
+)
 
 ENDPOINT_IDS = ("a", "b", "c", "d")
 REQUEST_CLASSES = ("read", "keyed", "pay")
@@ -65,10 +73,10 @@
     """Plays steps against an engine whose harness asserts the rules on each action."""
 
     def __init__(self) -> None:
-        self.harness = EngineHarness(gateway())
+        self.harness = EngineHarness(make_engine())
         self.requests = 0
-        listed = (backend(name, index // 2) for index, name in enumerate(ENDPOINT_IDS))
-        self.harness.tell(backends(*listed))
+        listed = (make_endpoint(name, index // 2) for index, name in enumerate(ENDPOINT_IDS))
+        self.harness.handle(endpoint_list_update(*listed))
 
     def play(self, step: Step) -> None:
         harness = self.harness
@@ -78,16 +86,16 @@
             case StepKind.ATTEMPT_END:
                 self.end_attempt(step)
             case StepKind.WAIT:
-                harness.run_to(harness.now + step.seconds)
-            case StepKind.CLIENT_DISCONNECT if harness.open:
-                request_ids = sorted(harness.open)
-                harness.tell(ClientDisconnected(request_ids[step.pick % len(request_ids)]))
+                harness.run_until(harness.now + step.seconds)
+            case StepKind.CLIENT_DISCONNECT if harness.open_requests:
+                request_ids = sorted(harness.open_requests)
+                harness.handle(ClientDisconnected(request_ids[step.pick % len(request_ids)]))
             case StepKind.ENDPOINT_STATUS:
                 self.change_endpoint(step)
             case StepKind.COUNTER_REPLY:
-                harness.answer_counts(float(step.pick % 20))
+                harness.reply_to_counter_calls(float(step.pick % 20))
             case StepKind.COUNTER_TIMEOUT:
-                harness.answer_counts(0.0, Outcome.TIMED_OUT)
+                harness.reply_to_counter_calls(0.0, Outcome.TIMED_OUT)
 
     def send_request(self, step: Step) -> None:
         self.requests += 1
@@ -96,32 +104,34 @@
         customer = plan + str(step.pick // 9 % 2)
         units = 1.0 + step.pick % 3
         deadline = self.harness.now + 0.2 + 3 * step.seconds
-        self.harness.tell(request(self.requests, request_class, plan, customer, units, deadline))
+        self.harness.handle(make_request(self.requests, request_class, plan, customer, units, deadline))
 
     def end_attempt(self, step: Step) -> None:
         harness = self.harness
-        in_flight = [(number, index) for number in harness.sent for index in harness.out(number)]
+        in_flight = [(number, index) for number in harness.sent for index in harness.in_flight(number)]
         if not in_flight:
             return
         number, index = in_flight[step.pick % len(in_flight)]
         outcome = OUTCOMES[step.pick // 7 % len(OUTCOMES)]
-        answered = number not in harness.open or outcome is Outcome.SUCCESS
+        answered = number not in harness.open_requests or outcome is Outcome.SUCCESS
         endpoint_id, sent_at = harness.sent[number][index]
         elapsed = harness.now - sent_at
         actual_units = 1.0 + step.pick % 5
-        harness.tell(ended(number, index, endpoint_id, outcome, elapsed, answered, actual_units))
+        harness.handle(
+            make_attempt_ended(number, index, endpoint_id, outcome, elapsed, answered, actual_units)
+        )
 
     def change_endpoint(self, step: Step) -> None:
         status = STATUSES[step.pick % 3]
         index = step.pick // 3 % 4
-        changed = backend(ENDPOINT_IDS[index], index // 2, status)
-        self.harness.tell(backends(changed, kind=EndpointListKind.DELTA))
+        changed = make_endpoint(ENDPOINT_IDS[index], index // 2, status)
+        self.harness.handle(endpoint_list_update(changed, kind=EndpointListKind.DELTA))
 
 
 def assert_hard_limit_held(forwarded: Sequence[tuple[float, float]]) -> None:
     """Check the gateway's part of the hard limit over every interval of `forwarded` times and units."""
-    burst = CAPPED.hard_limit_burst / GATEWAYS
-    rate = CAPPED.hard_limit_rate / GATEWAYS
+    burst = CAPPED_PLAN.hard_limit_burst / GATEWAYS
+    rate = CAPPED_PLAN.hard_limit_rate / GATEWAYS
     for index, (start, _) in enumerate(forwarded):
         for end, _ in forwarded[index:]:
             total = sum(units for at, units in forwarded[index:] if at <= end)
@@ -135,35 +145,39 @@
     for step in steps:
         events.play(step)
     harness = events.harness
-    harness.run_to(harness.now + 20)
-    assert not harness.open  # every request has had its one answer
-    for customer, forwarded in harness.first_units.items():
+    harness.run_until(harness.now + 20)
+    assert not harness.open_requests  # every request has had its one answer
+    for customer, forwarded in harness.first_attempts.items():
         if customer.startswith("capped"):
             assert_hard_limit_held(forwarded)
-    for limiter in harness.gateway.limiters.limiters.values():
+    for limiter in harness.engine.limiters.limiters.values():
         assert limiter.balance <= limiter.capacity + TOLERANCE
         assert not limiter.queue
         assert abs(limiter.queued_units) < TOLERANCE
         assert limiter.in_flight >= 0
-    assert all(pending.in_flight for pending in harness.gateway.forwarder.requests.values())
+    assert all(pending.in_flight for pending in harness.engine.forwarder.requests.values())
 
 
 def test_non_idempotent_request_is_rejected_if_it_was_proven_not_executed() -> None:
-    engine = gateway(listed=backends(backend("a")), max_attempts=1)
-    engine.handle(request(1, "pay"), 100.0)
-    assert isinstance(engine.handle(ended(1, 0, "a", Outcome.REJECTED), 100.1)[-1], Reject)
+    engine = make_engine(endpoint_list=endpoint_list_update(make_endpoint("a")), max_attempts=1)
+    engine.handle(make_request(1, "pay"), 100.0)
+    assert isinstance(engine.handle(make_attempt_ended(1, 0, "a", Outcome.REJECTED), 100.1)[-1], Reject)
 
 
 def test_non_idempotent_request_fails_if_it_may_have_been_executed() -> None:
-    engine = gateway(listed=backends(backend("a")), max_attempts=1)
-    engine.handle(request(1, "pay"), 100.2)
-    assert isinstance(engine.handle(ended(1, 0, "a", Outcome.BROKEN_RESPONSE), 100.3)[-1], FailRequest)
+    engine = make_engine(endpoint_list=endpoint_list_update(make_endpoint("a")), max_attempts=1)
+    engine.handle(make_request(1, "pay"), 100.2)
+    assert isinstance(
+        engine.handle(make_attempt_ended(1, 0, "a", Outcome.BROKEN_RESPONSE), 100.3)[-1], FailRequest
+    )
 
 
 def test_request_with_idempotency_key_is_retried_only_within_its_deduplication_group() -> None:
-    engine = gateway(listed=backends(backend("a", 0), backend("b", 1)))
-    first = first_attempt(engine.handle(request(1, "keyed"), 100.0))
-    retries = started_attempts(engine.handle(ended(1, 0, first.endpoint_id, Outcome.ERROR), 100.1))
+    engine = make_engine(endpoint_list=endpoint_list_update(make_endpoint("a", 0), make_endpoint("b", 1)))
+    first = first_attempt(engine.handle(make_request(1, "keyed"), 100.0))
+    retries = started_attempts(
+        engine.handle(make_attempt_ended(1, 0, first.endpoint_id, Outcome.ERROR), 100.1)
+    )
     assert [retry.endpoint_id for retry in retries] in ([], [first.endpoint_id])
 
 
@@ -171,30 +185,36 @@
 def test_retry_with_idempotency_key_must_be_sent_within_the_idempotency_window(
     request_class: str, send_within: float
 ) -> None:
-    engine = gateway(listed=backends(backend("a", 0), backend("b", 0)))
-    first = first_attempt(engine.handle(request(1, request_class), 100.0))
+    engine = make_engine(endpoint_list=endpoint_list_update(make_endpoint("a", 0), make_endpoint("b", 0)))
+    first = first_attempt(engine.handle(make_request(1, request_class), 100.0))
     assert first.send_within == 0.0
-    retry = first_attempt(engine.handle(ended(1, 0, first.endpoint_id, Outcome.ERROR), 100.5))
+    retry = first_attempt(engine.handle(make_attempt_ended(1, 0, first.endpoint_id, Outcome.ERROR), 100.5))
     assert retry.send_within == pytest.approx(send_within)  # the window is 3 s; 0 is no bound
 
 
 def test_draining_endpoint_gets_no_requests() -> None:
-    engine = gateway(listed=backends(backend("a"), backend("b", status=EndpointStatus.DRAINING)))
+    engine = make_engine(
+        endpoint_list=endpoint_list_update(
+            make_endpoint("a"), make_endpoint("b", status=EndpointStatus.DRAINING)
+        )
+    )
     for number in range(3):
-        assert first_attempt(engine.handle(request(number), 100.0)).endpoint_id == "a"
+        assert first_attempt(engine.handle(make_request(number), 100.0)).endpoint_id == "a"
 
 
 def test_attempt_times_out_once_its_response_has_no_value() -> None:
     """Found on overloaded days: work whose result came too late occupied backends for seconds."""
-    attempt = first_attempt(gateway().handle(request(1, deadline=104.0), 100.0))
+    attempt = first_attempt(make_engine().handle(make_request(1, deadline=104.0), 100.0))
     assert attempt.timeout == 1.0  # the latency objective; late responses of this class have no value
 
 
 def test_learned_durations_are_bounded_whatever_units_clients_name() -> None:
-    engine = gateway()
+    engine = make_engine()
     for number in range(200):
         units = 1.0 + number / 1000
-        attempts = started_attempts(engine.handle(request(number, customer=str(number), units=units), 100.0))
+        attempts = started_attempts(
+            engine.handle(make_request(number, customer=str(number), units=units), 100.0)
+        )
         for attempt in attempts:
-            engine.handle(ended(number, 0, attempt.endpoint_id, Outcome.SUCCESS), 100.0)
+            engine.handle(make_attempt_ended(number, 0, attempt.endpoint_id, Outcome.SUCCESS), 100.0)
     assert 0 < len(engine.latency.durations) <= 3
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -11,11 +11,11 @@
 
 import pytest
 
-from tests.fakes import HOST, FakeBackend, settings_text
+from tests.fakes import HOST, FakeBackend, example_settings
 from tests.faulty_discovery import DiscoveryFault, FaultyDiscovery
-from tests.harness import READY, GatewayHarness, request, roomy_settings, run
+from tests.harness import READY_REQUEST, GatewayHarness, high_quota_settings, request, run
 from tests.test_gateway_process import ROOT, RUN
-from tests.virtual_clock import run_on_virtual_clock, start_clock
+from tests.virtual_clock import run_on_virtual_clock, virtual_unix_clock
 
 MAX_STARTUP_TIME = 10.0  # seconds, for nine gateways in ten
 MAX_DISCOVERY_WAIT = 1.5  # seconds on the virtual clock: one connect timeout, and a margin
@@ -37,16 +37,16 @@
         self.startup_time = asyncio.get_running_loop().time() - started_at
 
     async def is_serving(self) -> bool:
-        return await self.status(READY) == 200 and await self.status(request(self.number)) == 200
+        return await self.status(READY_REQUEST) == 200 and await self.status(request(self.number)) == 200
 
     async def status(self, text: bytes) -> int:
         """Return the status of the response to a request on a new connection; 0 without a response."""
         try:
-            client = await self.harness.client()
+            client = await self.harness.connect_client()
         except OSError:
             return 0
         try:
-            return (await client.ask(text))[0]
+            return (await client.exchange(text))[0]
         except (OSError, asyncio.IncompleteReadError):
             return 0
         finally:
@@ -82,7 +82,7 @@
 
 def fleet_settings(gateway_count: int) -> dict[str, Any]:
     """Return settings with small quotas: each request needs the counter, or its fallback where it is down."""
-    settings = settings_text()
+    settings = example_settings()
     settings["balancers"] = gateway_count
     settings["limits"]["dial_timeout"] = 250.0
     return settings
@@ -95,14 +95,14 @@
 
     async def start(gateway: RestartedGateway) -> None:
         started_at = asyncio.get_running_loop().time()
-        await gateway.harness.begin(fleet_settings(FLEET_SIZE), MAX_DESCRIPTORS)
+        await gateway.harness.start_gateway(fleet_settings(FLEET_SIZE), MAX_DESCRIPTORS)
         await gateway.wait_until_serving(started_at)
         startup_times.append(gateway.startup_time)
 
     async def test() -> None:
         fleet, discovery = await start_peers(FLEET_SIZE, fault)
         with pytest.MonkeyPatch.context() as patch:
-            patch.setattr("quota_gateway.gateway_process.start_clock", start_clock)
+            patch.setattr("quota_gateway.gateway_process.start_clock", virtual_unix_clock)
             await asyncio.gather(*(start(gateway) for gateway in fleet))
         for gateway in fleet:
             await gateway.harness.process.stop(0.0, 0.0)
@@ -166,17 +166,17 @@
         peer = harness.discovery = FaultyDiscovery()
         servers = (*harness.backends, peer, harness.counter)
         with pytest.MonkeyPatch.context() as patch:
-            patch.setattr("quota_gateway.gateway_process.start_clock", start_clock)
+            patch.setattr("quota_gateway.gateway_process.start_clock", virtual_unix_clock)
             for server in servers:
                 await server.start()
             await peer.start_fault(DiscoveryFault.UNAVAILABLE)
-            await harness.begin(roomy_settings(), MAX_DESCRIPTORS)
-        client = await harness.client()
-        assert (await client.ask(READY))[0] == 503
+            await harness.start_gateway(high_quota_settings(), MAX_DESCRIPTORS)
+        client = await harness.connect_client()
+        assert (await client.exchange(READY_REQUEST))[0] == 503
         await peer.end_fault(peer.entry("b0", harness.backends[0].address))
         await asyncio.sleep(1.5)
-        assert (await client.ask(READY))[0] == 200
-        assert (await client.ask(request(1)))[0] == 200
+        assert (await client.exchange(READY_REQUEST))[0] == 200
+        assert (await client.exchange(request(1)))[0] == 200
         client.writer.close()
         await harness.process.stop(0.0, 0.0)
         for server in servers:
--- a/tests/test_recorded_messages.py
+++ b/tests/test_recorded_messages.py
@@ -15,8 +15,8 @@
 from quota_gateway.hot_restart.process_link import ProcessLink
 from quota_gateway.model.charges import UnitsCharged
 from quota_gateway.model.events import SetDraining, SetMaintenance, StateSnapshot
-from tests.harness import GatewayHarness, run, running
-from tests.policy_harness import gateway
+from tests.harness import GatewayHarness, run, running_gateway
+from tests.policy_harness import make_engine
 
 RECORDED = json.loads((pathlib.Path(__file__).parent / "recorded/hot_restart_messages.json").read_text())
 FROM_OLDER: list[str] = RECORDED["older"]
@@ -65,7 +65,7 @@
 
 def test_recorded_messages_of_an_older_process_are_applied(tmp_path: pathlib.Path) -> None:
     async def test() -> None:
-        async with running(2) as harness:
+        async with running_gateway(2) as harness:
             engine = harness.process.dispatcher.engine
             coordinator, link, _ = open_link(harness, tmp_path)
             recorded = json.loads(FROM_OLDER[0])
@@ -89,7 +89,7 @@
 
 def test_recorded_messages_of_a_newer_process_are_applied(tmp_path: pathlib.Path) -> None:
     async def test() -> None:
-        async with running(2) as harness:
+        async with running_gateway(2) as harness:
             engine = harness.process.dispatcher.engine
             coordinator, link, transport = open_link(harness, tmp_path)
             for line in FROM_NEWER:
@@ -123,7 +123,7 @@
         row[1] = "small"
     now = max(row[REFILLED_AT] for row in state["throttles"])  # nothing is refilled in between
     state["granted"] = [["small", *row[1:]] for row in state["granted"] if row[0] == "basis"]
-    engine = gateway(now=now)
+    engine = make_engine(now=now)
     engine.handle(StateSnapshot(json.loads(json.dumps(state))), now)
     again = json.loads(json.dumps(engine.snapshot().state))
     assert list(again) == list(state)
@@ -157,7 +157,7 @@
 ) -> None:
     async def test() -> None:
         assert recorded in FROM_OLDER + FROM_NEWER
-        async with running(2) as harness:
+        async with running_gateway(2) as harness:
             coordinator, link, transport = open_link(harness, tmp_path)
             link.send(message)
             assert transport.data == recorded.encode() + b"\n"
@@ -169,7 +169,7 @@
 
 def test_charged_units_and_commands_are_sent_as_recorded(tmp_path: pathlib.Path) -> None:
     async def test() -> None:
-        async with running(2) as harness:
+        async with running_gateway(2) as harness:
             coordinator, _, transport = open_link(harness, tmp_path)
             harness.process.hot_restart = coordinator
             harness.process.forward_units(UnitsCharged("0000000000000006", "basis", 2, 1.0))
--- a/tests/test_request_dispatcher.py
+++ b/tests/test_request_dispatcher.py
@@ -9,29 +9,29 @@
 from quota_gateway.engine.policy_engine import PolicyEngine
 from quota_gateway.model.actions import Action, FailRequest, StartAttempt
 from quota_gateway.model.events import Event, RequestReceived
-from tests.fakes import Asked, Step, message, serve
-from tests.harness import GatewayHarness, request, roomy_settings, run, running
+from tests.fakes import HttpMessage, ResponseStep, http_response, send_success
+from tests.harness import GatewayHarness, high_quota_settings, request, run, running_gateway
 
 
-def respond_with(data: bytes) -> Step:
+def respond_with(data: bytes) -> ResponseStep:
     return lambda writer, received: writer.write(data)
 
 
-def abort_connection(writer: asyncio.StreamWriter, received: Asked) -> None:
+def abort_connection(writer: asyncio.StreamWriter, received: HttpMessage) -> None:
     writer.transport.abort()
 
 
-def script_first_attempt(harness: GatewayHarness, step: Step) -> None:
+def script_first_attempt(harness: GatewayHarness, step: ResponseStep) -> None:
     """Answer the first attempt by `step`, whichever backend the engine picks, and serve the later ones."""
     is_first = True
 
-    def answer(writer: asyncio.StreamWriter, received: Asked) -> None:
+    def answer(writer: asyncio.StreamWriter, received: HttpMessage) -> None:
         nonlocal is_first
         if is_first:
             is_first = False
             step(writer, received)
         else:
-            serve(writer, received)
+            send_success(writer, received)
 
     for backend in harness.backends:
         backend.script = [answer, answer, answer]
@@ -40,9 +40,9 @@
 @pytest.mark.parametrize(
     ("step", "request_class", "status", "attempts"),
     [
-        (respond_with(message(503, b"", "X-Rejected: 1")), "extract", 200, 2),
-        (respond_with(message(503)), "extract", 502, 1),
-        (respond_with(message(500)), "extract", 502, 1),
+        (respond_with(http_response(503, b"", "X-Rejected: 1")), "extract", 200, 2),
+        (respond_with(http_response(503)), "extract", 502, 1),
+        (respond_with(http_response(500)), "extract", 502, 1),
         (respond_with(b"rubbish\r\n\r\n"), "extract", 502, 1),
         (abort_connection, "extract", 502, 1),
         (abort_connection, "lookup", 200, 2),
@@ -50,57 +50,57 @@
     ],
 )
 def test_non_idempotent_request_is_retried_only_if_it_was_not_executed(
-    step: Step, request_class: str, status: int, attempts: int
+    step: ResponseStep, request_class: str, status: int, attempts: int
 ) -> None:
     async def test() -> None:
-        async with running(backends=2) as harness:
+        async with running_gateway(backends=2) as harness:
             script_first_attempt(harness, step)
-            client = await harness.client()
-            assert (await client.ask(request(1, request_class)))[0] == status
-            assert len(harness.seen()) == attempts
+            client = await harness.connect_client()
+            assert (await client.exchange(request(1, request_class)))[0] == status
+            assert len(harness.received_requests()) == attempts
 
     run(test)
 
 
 def test_non_idempotent_requests_succeed_beside_a_backend_that_refuses_connections() -> None:
     async def test() -> None:
-        async with running(backends=2) as harness:
+        async with running_gateway(backends=2) as harness:
             await harness.backends[0].stop()
-            client = await harness.client()
+            client = await harness.connect_client()
             for number in range(6):
-                assert (await client.ask(request(number, "extract")))[0] == 200
+                assert (await client.exchange(request(number, "extract")))[0] == 200
 
     run(test)
 
 
 def test_endpoint_moves_to_another_address() -> None:
     async def test() -> None:
-        async with running(backends=2) as harness:
-            client = await harness.client()
+        async with running_gateway(backends=2) as harness:
+            client = await harness.connect_client()
             discovery = harness.discovery
-            await discovery.change(discovery.entry("b1", harness.backends[1].address, "DELETED"))
-            await discovery.until_asked(3)
-            assert (await client.ask(request(1)))[0] == 200
-            await discovery.change(discovery.entry("b0", harness.backends[1].address))
-            await discovery.until_asked(4)
-            assert (await client.ask(request(2)))[0] == 200
-            assert [len(backend.seen) for backend in harness.backends] == [1, 1]
+            await discovery.publish(discovery.entry("b1", harness.backends[1].address, "DELETED"))
+            await discovery.wait_for_requests(3)
+            assert (await client.exchange(request(1)))[0] == 200
+            await discovery.publish(discovery.entry("b0", harness.backends[1].address))
+            await discovery.wait_for_requests(4)
+            assert (await client.exchange(request(2)))[0] == 200
+            assert [len(backend.requests) for backend in harness.backends] == [1, 1]
 
     run(test)
 
 
 def test_unresponsive_backend_fails_the_request_before_the_client_times_out() -> None:
     async def test() -> None:
-        async with running() as harness:
+        async with running_gateway() as harness:
             backend = harness.backends[0]
             backend.script = [respond_with(b"")]
-            client = await harness.client()
+            client = await harness.connect_client()
             client.send(request(1, "extract", budget=0.4))
             client_timeout = asyncio.get_running_loop().create_future()
             asyncio.get_running_loop().call_later(0.4, client_timeout.set_result, None)
-            status, _, _ = await client.answer()
+            status, _, _ = await client.read_response()
             assert status == 502 and not client_timeout.done()
-            await backend.until(lambda: backend.ended == 1)
+            await backend.wait_until(lambda: backend.closed_count == 1)
 
     run(test)
 
@@ -115,10 +115,10 @@
         return []
 
     async def test() -> None:
-        async with running() as harness:
-            client = await harness.client()
+        async with running_gateway() as harness:
+            client = await harness.connect_client()
             monkeypatch.setattr(PolicyEngine, "handle", handle)
-            status, _, _ = await client.ask(request(1, budget=0.3))
+            status, _, _ = await client.exchange(request(1, budget=0.3))
             assert status == 504 and not harness.process.dispatcher.active_requests
 
     run(test)
@@ -135,12 +135,14 @@
         return []
 
     async def test() -> None:
-        async with running() as harness:
-            client = await harness.client()
+        async with running_gateway() as harness:
+            client = await harness.connect_client()
             monkeypatch.setattr(PolicyEngine, "handle", handle)
-            assert (await client.ask(request(1)))[0] == 502
-            assert (await client.ask(request(2)))[0] == 502  # its own response, not the first one's second
-            assert not harness.seen()
+            assert (await client.exchange(request(1)))[0] == 502
+            assert (await client.exchange(request(2)))[
+                0
+            ] == 502  # its own response, not the first one's second
+            assert not harness.received_requests()
 
     run(test)
 
@@ -148,11 +150,11 @@
 @pytest.mark.parametrize("allowed", [True, False])
 def test_rejected_requests_get_a_retry_after_only_where_it_is_allowed(allowed: bool) -> None:
     async def test() -> None:
-        settings = roomy_settings(retry_after=allowed)
+        settings = high_quota_settings(retry_after=allowed)
         settings["packages"][0].update(peak_units=16.0, units_per_s=0.001)
-        async with running(env=settings) as harness:
-            client = await harness.client()
-            answers = [await client.ask(request(number, units="8")) for number in range(3)]
+        async with running_gateway(settings=settings) as harness:
+            client = await harness.connect_client()
+            answers = [await client.exchange(request(number, units="8")) for number in range(3)]
             assert [status for status, _, _ in answers] == [200, 429, 429]
             _, headers, _ = answers[1]
             assert ("retry-after" in headers) == allowed
@@ -162,12 +164,12 @@
 
 def test_units_of_a_customer_with_a_small_quota_are_added_at_the_counter() -> None:
     async def test() -> None:
-        settings = roomy_settings()
+        settings = high_quota_settings()
         settings["packages"][0].update(peak_units=8.0, units_per_s=2.0)
         settings["domain"]["count_limit"] = 5000.0
-        async with running(env=settings) as harness:
-            client = await harness.client()
-            assert (await client.ask(request(1, units="3")))[0] == 200
-            assert harness.counter.calls[0][1] == 3.0
+        async with running_gateway(settings=settings) as harness:
+            client = await harness.connect_client()
+            assert (await client.exchange(request(1, units="3")))[0] == 200
+            assert harness.counter.increments[0][1] == 3.0
 
     run(test)
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -13,7 +13,14 @@
 from quota_gateway.policy.slow_start import BUDGET_FRACTION
 from tests.fleet import Result, cases, play
 from tests.policy_assertions import first_attempt, started_attempts
-from tests.policy_harness import SETTINGS, backend, backends, ended, gateway, request
+from tests.policy_harness import (
+    SETTINGS,
+    endpoint_list_update,
+    make_attempt_ended,
+    make_endpoint,
+    make_engine,
+    make_request,
+)
 
 WARMING_UP = "c"  # id of the endpoint that is warming up
 
@@ -23,9 +30,9 @@
     outliers: int, warming_up: int
 ) -> None:
     # with a fraction of an even share each, those warming up were idle while the few healthy ones overloaded
-    warm_endpoints = [backend(f"w{number}") for number in range(5 - warming_up)]
-    new_endpoints = [backend(f"c{number}", started=95.0) for number in range(warming_up)]
-    engine = gateway(now=100.0, listed=backends(*warm_endpoints, *new_endpoints))
+    warm_endpoints = [make_endpoint(f"w{number}") for number in range(5 - warming_up)]
+    new_endpoints = [make_endpoint(f"c{number}", started_at=95.0) for number in range(warming_up)]
+    engine = make_engine(now=100.0, endpoint_list=endpoint_list_update(*warm_endpoints, *new_endpoints))
     endpoint = engine.endpoints["c0"]
     factor = engine.slow_start.factor(endpoint)
     for number in range(outliers):
@@ -40,7 +47,9 @@
 
 def test_endpoint_keeps_its_work_while_the_others_are_late() -> None:
     # reduced by each late response of the others, it was idle just when half a fleet had restarted
-    engine = gateway(listed=backends(backend("a"), replace(backend("b"), started_at=98.0)))
+    engine = make_engine(
+        endpoint_list=endpoint_list_update(make_endpoint("a"), replace(make_endpoint("b"), started_at=98.0))
+    )
     endpoint = engine.endpoints["b"]
     factor = engine.slow_start.factor(endpoint)
     assert 0.2 < factor < 1.0
@@ -52,23 +61,29 @@
 def test_new_endpoint_gets_its_work_from_all_gateways_together(gateway_count: int) -> None:
     """Found in incidents: each of hundreds of gateways sent a request as soon as the endpoint was listed."""
     received = 0
-    warm_endpoints = [backend(f"w{number}") for number in range(5)]
+    warm_endpoints = [make_endpoint(f"w{number}") for number in range(5)]
     for seed in range(gateway_count):
         engine = PolicyEngine(replace(SETTINGS, gateway_count=gateway_count), seed, 100.0)
-        engine.handle(backends(backend(WARMING_UP, started=100.0), *warm_endpoints), 100.0)
+        engine.handle(
+            endpoint_list_update(make_endpoint(WARMING_UP, started_at=100.0), *warm_endpoints), 100.0
+        )
         for number in range(1200 // gateway_count):
-            actions = engine.handle(request(number, customer=f"x{number}", deadline=110.0), 100.1)
+            actions = engine.handle(make_request(number, customer=f"x{number}", deadline=110.0), 100.1)
             endpoint_id = first_attempt(actions).endpoint_id
             received += endpoint_id == WARMING_UP
-            engine.handle(ended(number, 0, endpoint_id, Outcome.SUCCESS), 100.2)
+            engine.handle(make_attempt_ended(number, 0, endpoint_id, Outcome.SUCCESS), 100.2)
     assert 10 <= received <= 70  # a warm one gets over 200; this one can do a quarter of that, 50, at least
 
 
 def test_fleet_of_new_endpoints_only_is_used() -> None:
-    engine = gateway(listed=backends(backend("a", started=99.0), backend("b", started=99.0)))
+    engine = make_engine(
+        endpoint_list=endpoint_list_update(
+            make_endpoint("a", started_at=99.0), make_endpoint("b", started_at=99.0)
+        )
+    )
     attempts = 0
     for number in range(40):
-        received = request(number, customer=f"x{number}", deadline=110.0)
+        received = make_request(number, customer=f"x{number}", deadline=110.0)
         attempts += len(started_attempts(engine.handle(received, 100.0 + number / 10)))
     assert 1 <= attempts <= 20
 
@@ -131,8 +146,8 @@
     gateway_count: int, endpoint_count: int, overload_ratio: float
 ) -> None:
     # gateways that saw others fail, or had widened their subsets, raised their part by what they alone saw
-    warm_endpoints = [backend(f"w{number}") for number in range(endpoint_count - 1)]
-    listed = backends(backend(WARMING_UP, started=99.0), *warm_endpoints)
+    warm_endpoints = [make_endpoint(f"w{number}") for number in range(endpoint_count - 1)]
+    listed = endpoint_list_update(make_endpoint(WARMING_UP, started_at=99.0), *warm_endpoints)
     fleet = [member_of_fleet(index, gateway_count, overload_ratio, listed) for index in range(gateway_count)]
     first = fleet[0].engine
     factor = first.slow_start.factor(first.endpoints[WARMING_UP])
@@ -147,19 +162,27 @@
 @pytest.mark.parametrize(
     "events",
     [
-        pytest.param([backends(backend("a"), backend("c", started=100.0))], id="new"),
-        pytest.param([backends(backend("a"), backend("b", started=100.0))], id="restarted"),
+        pytest.param(
+            [endpoint_list_update(make_endpoint("a"), make_endpoint("c", started_at=100.0))], id="new"
+        ),
+        pytest.param(
+            [endpoint_list_update(make_endpoint("a"), make_endpoint("b", started_at=100.0))], id="restarted"
+        ),
         pytest.param([SetMaintenance("b", True), SetMaintenance("b", False)], id="after maintenance"),
     ],
 )
 def test_endpoint_warms_up_however_it_came_back(events: list[Event]) -> None:
-    engine = gateway(now=100.0, listed=backends(backend("a"), backend("b")), slow_start_overload_ratio=0.0)
+    engine = make_engine(
+        now=100.0,
+        endpoint_list=endpoint_list_update(make_endpoint("a"), make_endpoint("b")),
+        slow_start_overload_ratio=0.0,
+    )
     for event in events:
         engine.handle(event, 100.0)
     used = {
         attempt.endpoint_id
         for number in range(100)
-        for attempt in started_attempts(engine.handle(request(number, customer=f"c{number}"), 100.0))
+        for attempt in started_attempts(engine.handle(make_request(number, customer=f"c{number}"), 100.0))
     }
     assert used == {"a"}  # a ratio of 0 leaves no budget for the other one
 
@@ -175,12 +198,12 @@
 @pytest.mark.parametrize(("gateways", "starts"), [(1, 30), (3, 30), (20, 120), (30, 60), (200, 80)])
 def test_fleet_sends_no_new_endpoint_more_than_chance_explains(gateways: int, starts: int) -> None:
     for (load, overload_ratio), results in results_by_load(gateways, starts).items():
-        used = sum(result.used for result in results) / len(results)
-        worst = max(result.worst for result in results)
+        used = sum(result.used_fraction for result in results) / len(results)
+        worst = max(result.max_excess for result in results)
         print(
             f"slow start: {gateways} gateways, {load}, overload ratio {overload_ratio:.0f}: "
             f"worst {worst:+.1f}, used {used:.2f}"
         )
-        assert sum(result.over for result in results) == 0
+        assert sum(result.exceeded_starts for result in results) == 0
         if load == "pressed":  # 0.16 to 0.18 and 0.21 to 0.25 were used while the others were late
             assert used > (0.2 if overload_ratio > 2.0 else 0.3)
--- a/tests/test_subsetting.py
+++ b/tests/test_subsetting.py
@@ -12,7 +12,7 @@
 from quota_gateway.policy.subsetting import MIN_SIZE, SubsetRing, subset_size
 from quota_gateway.state.records import EndpointState
 from tests.policy_assertions import started_attempts
-from tests.policy_harness import backends, gateway, request
+from tests.policy_harness import endpoint_list_update, make_engine, make_request
 
 ZONES = ("a", "b", "c")
 GATEWAYS = 40
@@ -103,19 +103,19 @@
 
 def test_gateway_of_a_large_fleet_sends_to_its_subset_and_beyond_it_once_that_drains() -> None:
     listed = [endpoint(number) for number in range(ENDPOINTS)]
-    engine = gateway(listed=backends(*listed), gateway_count=GATEWAYS, gateway_index=3)
+    engine = make_engine(endpoint_list=endpoint_list_update(*listed), gateway_count=GATEWAYS, gateway_index=3)
     subset = ids(engine.registry.candidates)
     assert len(subset) == subset_size(ENDPOINTS, GATEWAYS)
     used = {
         attempt.endpoint_id
         for number in range(10)
-        for attempt in started_attempts(engine.handle(request(number, customer=f"c{number}"), 100.1))
+        for attempt in started_attempts(engine.handle(make_request(number, customer=f"c{number}"), 100.1))
     }
     assert used and used <= subset
     draining = [
         replace(each, status=EndpointStatus.DRAINING) for each in listed if each.endpoint_id in subset
     ]
-    engine.handle(backends(*draining, kind=EndpointListKind.DELTA), 100.2)
+    engine.handle(endpoint_list_update(*draining, kind=EndpointListKind.DELTA), 100.2)
     candidates = ids(engine.registry.candidates)
     assert len(candidates) >= MIN_SIZE
     assert not candidates & subset
