--- a/tests/test_upstream_connections.py
+++ b/tests/test_upstream_connections.py
@@ -14,10 +14,7 @@
 from quota_gateway.upstream.attempt import AttemptResult
 from quota_gateway.upstream.endpoint_connections import MIN_IDLE_BEFORE_REUSE
 from quota_gateway.upstream.response_parser import MAX_HEAD_BYTES
-from tests.fakes import HOST, message
-from tests.fakes import SOON as EVENT_TIMEOUT
-from tests.fakes import Asked as HttpMessage
-from tests.fakes import Step as ResponseStep
+from tests.fakes import EVENT_TIMEOUT, HOST, HttpMessage, ResponseStep, http_response
 from tests.harness import run
 from tests.upstream_harness import ManualTimerLoop, abort_connection, respond_with, sending
 
@@ -25,20 +22,20 @@
 @pytest.mark.parametrize(
     ("response", "outcome"),
     [
-        (message(200, b"x"), Outcome.SUCCESS),
-        (b"HTTP/1.1 100 Continue\r\n\r\n" + message(200, b"x"), Outcome.SUCCESS),
-        (message(200, b"x", "Connection: close"), Outcome.SUCCESS),
-        (message(200, b"x") + message(200, b"y"), Outcome.SUCCESS),
-        (message(500), Outcome.ERROR),
-        (message(204), Outcome.ERROR),
-        (message(503), Outcome.ERROR),
-        (message(500, b"", "X-Rejected: 1"), Outcome.ERROR),
-        (message(503, b"", "X-Rejected: 1"), Outcome.REJECTED),
-        (message(504, b"", "X-Rejected: 1"), Outcome.REJECTED),
-        (message(504, b"", "X-Rejected: 0"), Outcome.ERROR),
+        (http_response(200, b"x"), Outcome.SUCCESS),
+        (b"HTTP/1.1 100 Continue\r\n\r\n" + http_response(200, b"x"), Outcome.SUCCESS),
+        (http_response(200, b"x", "Connection: close"), Outcome.SUCCESS),
+        (http_response(200, b"x") + http_response(200, b"y"), Outcome.SUCCESS),
+        (http_response(500), Outcome.ERROR),
+        (http_response(204), Outcome.ERROR),
+        (http_response(503), Outcome.ERROR),
+        (http_response(500, b"", "X-Rejected: 1"), Outcome.ERROR),
+        (http_response(503, b"", "X-Rejected: 1"), Outcome.REJECTED),
+        (http_response(504, b"", "X-Rejected: 1"), Outcome.REJECTED),
+        (http_response(504, b"", "X-Rejected: 0"), Outcome.ERROR),
         (b"rubbish\r\n\r\n", Outcome.BROKEN_RESPONSE),
-        (message(200, b"x" * MAX_BUFFERED_BYTES), Outcome.SUCCESS),
-        (message(200, b"x" * (MAX_BUFFERED_BYTES + 1)), Outcome.BROKEN_RESPONSE),
+        (http_response(200, b"x" * MAX_BUFFERED_BYTES), Outcome.SUCCESS),
+        (http_response(200, b"x" * (MAX_BUFFERED_BYTES + 1)), Outcome.BROKEN_RESPONSE),
     ],
 )
 def test_response_determines_the_outcome(response: bytes, outcome: Outcome) -> None:
@@ -46,7 +43,7 @@
         async with sending(respond_with(response)) as (sender, endpoint):
             assert await sender.outcome() is outcome
             assert await sender.outcome() is Outcome.SUCCESS  # no response affects the next attempt
-            assert len(endpoint.seen) == 2
+            assert len(endpoint.requests) == 2
 
     run(test)
 
@@ -67,7 +64,7 @@
     async def test() -> None:
         async with sending(lambda writer, request: None) as (sender, endpoint):
             started = sender.start()
-            await endpoint.until(lambda: len(endpoint.seen) == 1)
+            await endpoint.wait_until(lambda: len(endpoint.requests) == 1)
             (upstream,) = sender.pool.connections
             for byte in response:
                 upstream.data_received(bytes((byte,)))
@@ -95,11 +92,11 @@
 
 def test_attempt_on_a_stale_pooled_connection_may_have_been_executed() -> None:
     async def test() -> None:
-        async with sending(respond_with(message(200)), abort_connection) as (sender, endpoint):
+        async with sending(respond_with(http_response(200)), abort_connection) as (sender, endpoint):
             assert await sender.outcome() is Outcome.SUCCESS
             await asyncio.sleep(2 * MIN_IDLE_BEFORE_REUSE)
             assert await sender.outcome() is Outcome.BROKEN_RESPONSE
-            assert len(endpoint.seen) == 2 and endpoint.connections == 1
+            assert len(endpoint.requests) == 2 and endpoint.connection_count == 1
 
     run(test)
 
@@ -137,20 +134,20 @@
         async with sending(no_response, no_response) as (sender, endpoint):
             assert await sender.outcome(0.05) is Outcome.TIMED_OUT
             started = sender.start()
-            await endpoint.until(lambda: len(endpoint.seen) == 2)
+            await endpoint.wait_until(lambda: len(endpoint.requests) == 2)
             started.attempt.end(AttemptResult(Outcome.CANCELLED))
             assert (await started.result).outcome is Outcome.CANCELLED
-            await endpoint.until(lambda: endpoint.ended == 2)
+            await endpoint.wait_until(lambda: endpoint.closed_count == 2)
             assert not sender.pool.connections or await sender.outcome() is Outcome.SUCCESS
 
     run(test)
 
 
-OTHER_RESPONSE = message(500, b"another's body", "Billed-Units: 7", "X-Rejected: 1")
+OTHER_RESPONSE = http_response(500, b"another's body", "Billed-Units: 7", "X-Rejected: 1")
 
 
 @pytest.mark.parametrize(
-    "surplus", [OTHER_RESPONSE, message(200, b"mine", "Billed-Units: 2"), b"\x00noise\r\n\r\n"]
+    "surplus", [OTHER_RESPONSE, http_response(200, b"mine", "Billed-Units: 2"), b"\x00noise\r\n\r\n"]
 )
 @pytest.mark.parametrize("in_same_read", [True, False])
 def test_bytes_behind_a_response_affect_neither_it_nor_the_next(surplus: bytes, in_same_read: bool) -> None:
@@ -158,32 +155,35 @@
     # one that came later was taken for the response to the next request on the connection.
     async def test() -> None:
         async def respond_with_surplus(writer: asyncio.StreamWriter, request: HttpMessage) -> None:
-            writer.write(message(200, b"mine", "Billed-Units: 2") + (surplus if in_same_read else b""))
+            writer.write(http_response(200, b"mine", "Billed-Units: 2") + (surplus if in_same_read else b""))
             if not in_same_read:
                 await writer.drain()
                 await started.result
                 writer.write(surplus)
 
-        async with sending(respond_with_surplus, respond_with(message(200, b"next"))) as (sender, endpoint):
+        async with sending(respond_with_surplus, respond_with(http_response(200, b"next"))) as (
+            sender,
+            endpoint,
+        ):
             started = sender.start()
             result = await started.result
             assert (result.outcome, result.body, result.units) == (Outcome.SUCCESS, b"mine", 2.0)
             await asyncio.sleep(2 * MIN_IDLE_BEFORE_REUSE)
             assert (await sender.result()).body == b"next"
-            assert endpoint.connections == 2  # the first one isn't reused
+            assert endpoint.connection_count == 2  # the first one isn't reused
 
     run(test)
 
 
 def test_unread_bytes_on_an_idle_connection_are_seen_before_it_is_reused() -> None:
     async def test() -> None:
-        async with sending(respond_with(message(200, b"mine"))) as (sender, endpoint):
+        async with sending(respond_with(http_response(200, b"mine"))) as (sender, endpoint):
             await sender.outcome()
             await asyncio.sleep(2 * MIN_IDLE_BEFORE_REUSE)
             (upstream,) = sender.pool.connections
             assert not upstream.has_unread_input()
-            endpoint_socket = next(iter(endpoint.open)).get_extra_info("socket")
-            os.write(endpoint_socket.fileno(), message(200, b"late"))
+            endpoint_socket = next(iter(endpoint.open_writers)).get_extra_info("socket")
+            os.write(endpoint_socket.fileno(), http_response(200, b"late"))
             assert upstream.transport is not None
             upstream_socket = upstream.transport.get_extra_info("socket")
             select.select([upstream_socket], [], [], EVENT_TIMEOUT)  # arrived, with no turn for the loop yet
@@ -203,7 +203,7 @@
 @pytest.mark.parametrize("status", [200, 503])
 def test_interim_responses_are_ignored(interim: bytes, status: int) -> None:
     async def test() -> None:
-        responses = (respond_with(interim + message(status, b"real")), respond_with(message(200)))
+        responses = (respond_with(interim + http_response(status, b"real")), respond_with(http_response(200)))
         async with sending(*responses) as (sender, endpoint):
             result = await sender.result()
             if status == 200:
@@ -211,7 +211,7 @@
             else:
                 assert result.outcome is Outcome.ERROR  # X-Rejected came with the interim response only
             await asyncio.sleep(2 * MIN_IDLE_BEFORE_REUSE)
-            assert await sender.outcome() is Outcome.SUCCESS and endpoint.connections == 1
+            assert await sender.outcome() is Outcome.SUCCESS and endpoint.connection_count == 1
 
     run(test)
 
@@ -246,7 +246,7 @@
     async def test() -> None:
         async with sending(respond_with(response)) as (sender, endpoint):
             assert await sender.outcome(1000.0) is Outcome.BROKEN_RESPONSE
-            await endpoint.until(lambda: endpoint.ended == 1)
+            await endpoint.wait_until(lambda: endpoint.closed_count == 1)
 
     run(test)
 
--- a/tests/upstream_harness.py
+++ b/tests/upstream_harness.py
@@ -11,9 +11,7 @@
 from quota_gateway.model.outcomes import Outcome
 from quota_gateway.upstream.attempt import AttemptResult, UpstreamAttempt
 from quota_gateway.upstream.connection_pool import ConnectionPool
-from tests.fakes import HOST, FakeBackend
-from tests.fakes import Asked as HttpMessage
-from tests.fakes import Step as ResponseStep
+from tests.fakes import HOST, FakeBackend, HttpMessage, ResponseStep
 
 ENDPOINT_ID = "b"
 REQUEST_BODY = b"ab"
--- a/tests/virtual_clock.py
+++ b/tests/virtual_clock.py
@@ -51,12 +51,12 @@
 class VirtualClockLoop(asyncio.SelectorEventLoop):
     """An event loop whose timers, sleeps and timeouts go by `now`, its time in seconds.
 
-    A connection to a port in `late` takes so many seconds to come up. A test that adds to `now`
+    A connection to a port in `connect_delays` takes so many seconds to come up. A test that adds to `now`
     simulates a loop that was busy for that time.
     """
 
     def __init__(self) -> None:
-        self.late: dict[int, float] = {}
+        self.connect_delays: dict[int, float] = {}
         self.now = START_TIME
         selector = VirtualClockSelector()
         selector.loop = self
@@ -69,22 +69,22 @@
     async def create_connection(
         self, protocol_factory: Any, host: Any = None, port: Any = None, **options: Any
     ) -> Any:
-        """Connect like any event loop, after the delay that `late` has for the port."""
-        if port in self.late:
-            await asyncio.sleep(self.late[port])
+        """Connect like any event loop, after the delay that `connect_delays` has for the port."""
+        if port in self.connect_delays:
+            await asyncio.sleep(self.connect_delays[port])
         return await super().create_connection(protocol_factory, host, port, **options)
 
 
-def this_loop() -> VirtualClockLoop:
+def virtual_clock_loop() -> VirtualClockLoop:
     """Return the running event loop, which must be one with a virtual clock."""
     loop = asyncio.get_running_loop()
     assert isinstance(loop, VirtualClockLoop)
     return loop
 
 
-def start_clock() -> Callable[[], float]:
+def virtual_unix_clock() -> Callable[[], float]:
     """Return a function that gives Unix time by the running loop's clock, in place of the gateway's own."""
-    loop = this_loop()
+    loop = virtual_clock_loop()
     return lambda: UNIX_TIME_OFFSET + loop.now
 
 
