--- a/tests/test_body_streaming.py
+++ b/tests/test_body_streaming.py
@@ -33,7 +33,7 @@
     send_success,
     send_success_after,
 )
-from tests.harness import READY_REQUEST, request, run, running_gateway
+from tests.harness import READY_REQUEST, request, running_gateway
 from tests.policy_harness import make_attempt_ended, make_engine, make_request
 
 LONG_BODY = random.Random(5).randbytes(5 * MAX_BUFFERED_BYTES + 17)
@@ -73,70 +73,61 @@
     ],
     ids=["content length", "chunked", "one-byte chunks", "until close"],
 )
-def test_long_response_is_forwarded_unchanged(step: ResponseStep) -> None:
-    async def test() -> None:
-        async with running_gateway() as harness:
-            harness.backends[0].script = [step]
-            client = await harness.connect_client()
-            status, _, body = await client.exchange(request(1))
-            assert status == 200 and body == LONG_BODY
-            assert (await client.exchange(request(2)))[0] == 200  # on the same connection
-            metrics = await harness.metrics()
-            assert metrics["success.lookup"] == 2 == metrics["dispatches"] and not metrics["concurrent"]
-            dispatcher = harness.process.dispatcher
-            assert dispatcher.active_requests == {} and dispatcher.engine.forwarder.requests == {}
-
-    run(test)
-
-
-def test_long_responses_keep_pipeline_order_and_reach_an_http_1_0_client() -> None:
-    async def test() -> None:
-        async with running_gateway() as harness:
-            first_may_answer = asyncio.Event()
-
-            async def answer(writer: asyncio.StreamWriter, received: HttpMessage) -> None:
-                _, headers, _ = received
-                if headers["x-call-id"].endswith("1"):
-                    await first_may_answer.wait()
-                    send_success(writer, received)
-                    return
-                writer.write(CHUNKED_HEAD + chunked(LONG_BODY))
-
-            harness.backends[0].script = [answer] * 3
-            client = await harness.connect_client()
-            client.send(request(1) + request(2))
-            active_requests = harness.process.dispatcher.active_requests
-            await until(lambda: any(active.streaming_attempt for active in active_requests.values()))
-            first_may_answer.set()
-            assert (await client.read_response())[2].startswith(b"served")
-            assert (await client.read_response())[2] == LONG_BODY
-            http_1_0_client = await harness.connect_client()
-            http_1_0_client.send(request(3).replace(b"HTTP/1.1", b"HTTP/1.0"))
-            response = await http_1_0_client.reader.read()
-            assert response.partition(b"\r\n\r\n")[2] == LONG_BODY and b"chunked" not in response[:200]
-
-    run(test)
-
-
-def test_client_that_does_not_read_puts_backpressure_on_its_backend() -> None:
-    async def test() -> None:
-        async with running_gateway() as harness:
-            body = LONG_BODY * 40  # 13 MB: more than the sockets on the way can buffer
-            harness.backends[0].script = [respond_with(http_response(200, body))]
-            client = await harness.connect_client(receive_buffer=8192)
-            client.writer.transport.pause_reading()  # type: ignore[attr-defined]
-            client.send(request(1))
-            await until(lambda: any(c.write_paused for c in harness.process.listener.connections))
-            (upstream,) = harness.process.pool.connections
-            assert upstream.paused and upstream.stall is None
-            (connection,) = harness.process.listener.connections
-            assert connection.transport is not None
-            unread_bytes = connection.transport.get_write_buffer_size()
-            assert unread_bytes <= 2 * MAX_BUFFERED_BYTES + 2 * READ_BUFFER_BYTES
-            client.writer.transport.resume_reading()  # type: ignore[attr-defined]
-            assert (await client.read_response())[2] == body
-
-    run(test)
+async def test_long_response_is_forwarded_unchanged(step: ResponseStep) -> None:
+    async with running_gateway() as harness:
+        harness.backends[0].script = [step]
+        client = await harness.connect_client()
+        status, _, body = await client.exchange(request(1))
+        assert status == 200 and body == LONG_BODY
+        assert (await client.exchange(request(2)))[0] == 200  # on the same connection
+        metrics = await harness.metrics()
+        assert metrics["success.lookup"] == 2 == metrics["dispatches"] and not metrics["concurrent"]
+        dispatcher = harness.process.dispatcher
+        assert dispatcher.active_requests == {} and dispatcher.engine.forwarder.requests == {}
+
+
+async def test_long_responses_keep_pipeline_order_and_reach_an_http_1_0_client() -> None:
+    async with running_gateway() as harness:
+        first_may_answer = asyncio.Event()
+
+        async def answer(writer: asyncio.StreamWriter, received: HttpMessage) -> None:
+            _, headers, _ = received
+            if headers["x-call-id"].endswith("1"):
+                await first_may_answer.wait()
+                send_success(writer, received)
+                return
+            writer.write(CHUNKED_HEAD + chunked(LONG_BODY))
+
+        harness.backends[0].script = [answer] * 3
+        client = await harness.connect_client()
+        client.send(request(1) + request(2))
+        active_requests = harness.process.dispatcher.active_requests
+        await until(lambda: any(active.streaming_attempt for active in active_requests.values()))
+        first_may_answer.set()
+        assert (await client.read_response())[2].startswith(b"served")
+        assert (await client.read_response())[2] == LONG_BODY
+        http_1_0_client = await harness.connect_client()
+        http_1_0_client.send(request(3).replace(b"HTTP/1.1", b"HTTP/1.0"))
+        response = await http_1_0_client.reader.read()
+        assert response.partition(b"\r\n\r\n")[2] == LONG_BODY and b"chunked" not in response[:200]
+
+
+async def test_client_that_does_not_read_puts_backpressure_on_its_backend() -> None:
+    async with running_gateway() as harness:
+        body = LONG_BODY * 40  # 13 MB: more than the sockets on the way can buffer
+        harness.backends[0].script = [respond_with(http_response(200, body))]
+        client = await harness.connect_client(receive_buffer=8192)
+        client.writer.transport.pause_reading()  # type: ignore[attr-defined]
+        client.send(request(1))
+        await until(lambda: any(c.write_paused for c in harness.process.listener.connections))
+        (upstream,) = harness.process.pool.connections
+        assert upstream.paused and upstream.stall is None
+        (connection,) = harness.process.listener.connections
+        assert connection.transport is not None
+        unread_bytes = connection.transport.get_write_buffer_size()
+        assert unread_bytes <= 2 * MAX_BUFFERED_BYTES + 2 * READ_BUFFER_BYTES
+        client.writer.transport.resume_reading()  # type: ignore[attr-defined]
+        assert (await client.read_response())[2] == body
 
 
 @pytest.mark.parametrize(
@@ -147,40 +138,34 @@
     ],
     ids=["content length", "chunked"],
 )
-def test_truncated_response_is_aborted_for_its_client_and_not_retried(framing: bytes) -> None:
-    async def test() -> None:
-        async with running_gateway() as harness:
-
-            def truncate(writer: asyncio.StreamWriter, received: HttpMessage) -> None:
-                writer.write(STATUS_LINE + framing)
-                writer.close()
-
-            harness.backends[0].script = [truncate]
-            client = await harness.connect_client()
-            client.send(request(1))
-            with pytest.raises((asyncio.IncompleteReadError, ConnectionResetError)):
-                await client.read_response()
-            metrics = await harness.metrics()
-            assert metrics["error.lookup"] == 1 and metrics["success.lookup"] == 0
-            assert metrics["concurrent"] == 0 and len(harness.received_requests()) == 1
-
-    run(test)
-
-
-def test_client_disconnect_during_a_long_response_ends_the_attempt() -> None:
-    async def test() -> None:
-        async with running_gateway() as harness:
-            backend = harness.backends[0]
-            backend.script = [respond_with(http_response(200, LONG_BODY * 40)[:-9])]
-            client = await harness.connect_client(receive_buffer=8192)
-            client.send(request(1))
-            await client.reader.readexactly(100)
-            client.reset()
-            await backend.wait_until(lambda: backend.closed_count == 1)
-            dispatcher = harness.process.dispatcher
-            assert not dispatcher.active_requests and not dispatcher.engine.forwarder.requests
-
-    run(test)
+async def test_truncated_response_is_aborted_for_its_client_and_not_retried(framing: bytes) -> None:
+    async with running_gateway() as harness:
+
+        def truncate(writer: asyncio.StreamWriter, received: HttpMessage) -> None:
+            writer.write(STATUS_LINE + framing)
+            writer.close()
+
+        harness.backends[0].script = [truncate]
+        client = await harness.connect_client()
+        client.send(request(1))
+        with pytest.raises((asyncio.IncompleteReadError, ConnectionResetError)):
+            await client.read_response()
+        metrics = await harness.metrics()
+        assert metrics["error.lookup"] == 1 and metrics["success.lookup"] == 0
+        assert metrics["concurrent"] == 0 and len(harness.received_requests()) == 1
+
+
+async def test_client_disconnect_during_a_long_response_ends_the_attempt() -> None:
+    async with running_gateway() as harness:
+        backend = harness.backends[0]
+        backend.script = [respond_with(http_response(200, LONG_BODY * 40)[:-9])]
+        client = await harness.connect_client(receive_buffer=8192)
+        client.send(request(1))
+        await client.reader.readexactly(100)
+        client.reset()
+        await backend.wait_until(lambda: backend.closed_count == 1)
+        dispatcher = harness.process.dispatcher
+        assert not dispatcher.active_requests and not dispatcher.engine.forwarder.requests
 
 
 def long_request(number: int, body: bytes = LONG_BODY, **headers: str) -> bytes:
@@ -188,161 +173,135 @@
 
 
 @pytest.mark.parametrize("size", [1 << 20, 700, 1])
-def test_long_request_body_is_forwarded_whatever_its_segments(size: int) -> None:
-    async def test() -> None:
-        async with running_gateway() as harness:
-            client = await harness.connect_client()
-            data = long_request(1)
-            for start in range(0, 3000 * size, size):
-                client.send(data[start : start + size])
-                await asyncio.sleep(0)
-            client.send(data[3000 * size :])
-            assert (await client.read_response())[0] == 200 and harness.received_requests()[0][2] == LONG_BODY
-            assert (await client.exchange(request(2)))[0] == 200  # on the same connection
-            metrics = await harness.metrics()
-            assert metrics["success.extract"] == 1 and metrics["dispatches"] == 2
-
-    run(test)
-
-
-def test_chunked_request_body_is_forwarded_chunked() -> None:
-    async def test() -> None:
-        async with running_gateway() as harness:
-            client = await harness.connect_client()
-            head = request(1, "extract", omit_header="Content-Length", body=b"", Transfer_Encoding="chunked")
-            assert (await client.exchange(head + chunked(LONG_BODY)))[0] == 200
-            assert (
-                harness.received_requests()[0][2] == LONG_BODY
-                and float(harness.received_requests()[0][1]["x-budget"]) <= 5.0
-            )
-            assert (await client.exchange(head.replace(b"01\r\n", b"02\r\n") + chunked(b"short")))[0] == 200
-            assert harness.received_requests()[1][2] == b"short"
-
-    run(test)
-
-
-def test_expect_100_continue_is_answered_before_the_body_unless_rejected() -> None:
-    async def test() -> None:
-        async with running_gateway() as harness:
-            client = await harness.connect_client()
-            head, _, body = long_request(1, Expect="100-continue").partition(b"\r\n\r\n")
-            client.send(head + b"\r\n\r\n")
-            assert (await client.reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 100 ")
-            assert (await client.exchange(body))[0] == 200 and harness.received_requests()[0][2] == LONG_BODY
-            invalid = long_request(2, Expect="100-continue", Plan="gold").partition(b"\r\n\r\n")[0]
-            assert (await client.exchange(invalid + b"\r\n\r\n"))[0] == 400  # and no 100 before it
-
-    run(test)
-
-
-def test_backend_that_does_not_read_puts_backpressure_on_its_client() -> None:
-    async def test() -> None:
-        async with running_gateway() as harness:
-            may_read = asyncio.Event()
-
-            async def serve_later(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-                reader._transport.pause_reading()  # type: ignore[attr-defined]
-                await may_read.wait()
-                reader._transport.resume_reading()  # type: ignore[attr-defined]
-                send_success(writer, await read_message(reader))
-
-            harness.backends[0].serve = serve_later  # type: ignore[method-assign]
-            client = await harness.connect_client()
-            client.send(long_request(1, LONG_BODY * 40))
-            await until(lambda: any(c.read_paused for c in harness.process.listener.connections))
-            (connection,) = harness.process.listener.connections
-            assert connection.requests.body_stream is not None
-            assert connection.requests.body_stream.buffered_bytes <= MAX_BUFFERED_BYTES + READ_BUFFER_BYTES
-            assert len(connection.unread) <= READ_BUFFER_BYTES
-            assert not is_body_stalled(
-                connection.requests, connection.last_read_at, connection.last_read_at + 0.1
-            )
-            may_read.set()
-            assert (await client.read_response())[0] == 200
-
-    run(test)
-
-
-def test_partly_sent_body_counts_as_not_executed_and_is_not_retried() -> None:
-    async def test() -> None:
-        async with running_gateway(backends=2) as harness:
-
-            async def abort_early(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-                await reader.readexactly(1000)
-                writer.transport.abort()
-
-            for backend in harness.backends:
-                backend.serve = abort_early  # type: ignore[method-assign]
-            client = await harness.connect_client()
-            head, _, body = long_request(1).partition(b"\r\n\r\n")
-            client.send(head + b"\r\n\r\n" + body[: 2 * MAX_BUFFERED_BYTES])
-            status, headers, _ = await client.read_response()  # while it is still sending
-            assert status == 429 and headers["connection"] == "close"
-            assert sum(backend.connection_count for backend in harness.backends) == 1
-            metrics = await harness.metrics()
-            assert metrics["overload.extract"] == 1 and metrics["dispatches"] == metrics["concurrent"] == 0
-
-    run(test)
-
-
-def test_early_response_reaches_a_client_that_is_still_sending() -> None:
-    async def test() -> None:
-        async with running_gateway() as harness:
-
-            async def answer_early(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-                await reader.readexactly(1000)
-                writer.write(http_response(200, b"enough"))
-                await reader.read()
-
-            harness.backends[0].serve = answer_early  # type: ignore[method-assign]
-            client = await harness.connect_client()
-            client.send(long_request(1)[: 2 * MAX_BUFFERED_BYTES])
-            assert (await client.read_response())[2] == b"enough" and await client.wait_closed()
-
-    run(test)
+async def test_long_request_body_is_forwarded_whatever_its_segments(size: int) -> None:
+    async with running_gateway() as harness:
+        client = await harness.connect_client()
+        data = long_request(1)
+        for start in range(0, 3000 * size, size):
+            client.send(data[start : start + size])
+            await asyncio.sleep(0)
+        client.send(data[3000 * size :])
+        assert (await client.read_response())[0] == 200 and harness.received_requests()[0][2] == LONG_BODY
+        assert (await client.exchange(request(2)))[0] == 200  # on the same connection
+        metrics = await harness.metrics()
+        assert metrics["success.extract"] == 1 and metrics["dispatches"] == 2
+
+
+async def test_chunked_request_body_is_forwarded_chunked() -> None:
+    async with running_gateway() as harness:
+        client = await harness.connect_client()
+        head = request(1, "extract", omit_header="Content-Length", body=b"", Transfer_Encoding="chunked")
+        assert (await client.exchange(head + chunked(LONG_BODY)))[0] == 200
+        assert (
+            harness.received_requests()[0][2] == LONG_BODY
+            and float(harness.received_requests()[0][1]["x-budget"]) <= 5.0
+        )
+        assert (await client.exchange(head.replace(b"01\r\n", b"02\r\n") + chunked(b"short")))[0] == 200
+        assert harness.received_requests()[1][2] == b"short"
+
+
+async def test_expect_100_continue_is_answered_before_the_body_unless_rejected() -> None:
+    async with running_gateway() as harness:
+        client = await harness.connect_client()
+        head, _, body = long_request(1, Expect="100-continue").partition(b"\r\n\r\n")
+        client.send(head + b"\r\n\r\n")
+        assert (await client.reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 100 ")
+        assert (await client.exchange(body))[0] == 200 and harness.received_requests()[0][2] == LONG_BODY
+        invalid = long_request(2, Expect="100-continue", Plan="gold").partition(b"\r\n\r\n")[0]
+        assert (await client.exchange(invalid + b"\r\n\r\n"))[0] == 400  # and no 100 before it
+
+
+async def test_backend_that_does_not_read_puts_backpressure_on_its_client() -> None:
+    async with running_gateway() as harness:
+        may_read = asyncio.Event()
+
+        async def serve_later(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            reader._transport.pause_reading()  # type: ignore[attr-defined]
+            await may_read.wait()
+            reader._transport.resume_reading()  # type: ignore[attr-defined]
+            send_success(writer, await read_message(reader))
+
+        harness.backends[0].serve = serve_later  # type: ignore[method-assign]
+        client = await harness.connect_client()
+        client.send(long_request(1, LONG_BODY * 40))
+        await until(lambda: any(c.read_paused for c in harness.process.listener.connections))
+        (connection,) = harness.process.listener.connections
+        assert connection.requests.body_stream is not None
+        assert connection.requests.body_stream.buffered_bytes <= MAX_BUFFERED_BYTES + READ_BUFFER_BYTES
+        assert len(connection.unread) <= READ_BUFFER_BYTES
+        assert not is_body_stalled(
+            connection.requests, connection.last_read_at, connection.last_read_at + 0.1
+        )
+        may_read.set()
+        assert (await client.read_response())[0] == 200
+
+
+async def test_partly_sent_body_counts_as_not_executed_and_is_not_retried() -> None:
+    async with running_gateway(backends=2) as harness:
+
+        async def abort_early(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            await reader.readexactly(1000)
+            writer.transport.abort()
+
+        for backend in harness.backends:
+            backend.serve = abort_early  # type: ignore[method-assign]
+        client = await harness.connect_client()
+        head, _, body = long_request(1).partition(b"\r\n\r\n")
+        client.send(head + b"\r\n\r\n" + body[: 2 * MAX_BUFFERED_BYTES])
+        status, headers, _ = await client.read_response()  # while it is still sending
+        assert status == 429 and headers["connection"] == "close"
+        assert sum(backend.connection_count for backend in harness.backends) == 1
+        metrics = await harness.metrics()
+        assert metrics["overload.extract"] == 1 and metrics["dispatches"] == metrics["concurrent"] == 0
+
+
+async def test_early_response_reaches_a_client_that_is_still_sending() -> None:
+    async with running_gateway() as harness:
+
+        async def answer_early(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            await reader.readexactly(1000)
+            writer.write(http_response(200, b"enough"))
+            await reader.read()
+
+        harness.backends[0].serve = answer_early  # type: ignore[method-assign]
+        client = await harness.connect_client()
+        client.send(long_request(1)[: 2 * MAX_BUFFERED_BYTES])
+        assert (await client.read_response())[2] == b"enough" and await client.wait_closed()
 
 
 @pytest.mark.parametrize("resets", [True, False])
-def test_long_body_is_not_executed_after_its_client_disconnects(resets: bool) -> None:
-    async def test() -> None:
-        async with running_gateway() as harness:
-            client = await harness.connect_client()
-            client.send(long_request(1)[: 2 * MAX_BUFFERED_BYTES])
-            await until(lambda: any(c.attempt for c in harness.process.pool.connections))
-            if resets:
-                client.reset()
-            else:
-                client.writer.write_eof()
-                assert (await client.read_response())[0] == 400
-            backend = harness.backends[0]
-            await backend.wait_until(lambda: backend.closed_count == 1)
-            assert not harness.received_requests() and not harness.process.dispatcher.active_requests
-
-    run(test)
+async def test_long_body_is_not_executed_after_its_client_disconnects(resets: bool) -> None:
+    async with running_gateway() as harness:
+        client = await harness.connect_client()
+        client.send(long_request(1)[: 2 * MAX_BUFFERED_BYTES])
+        await until(lambda: any(c.attempt for c in harness.process.pool.connections))
+        if resets:
+            client.reset()
+        else:
+            client.writer.write_eof()
+            assert (await client.read_response())[0] == 400
+        backend = harness.backends[0]
+        await backend.wait_until(lambda: backend.closed_count == 1)
+        assert not harness.received_requests() and not harness.process.dispatcher.active_requests
 
 
 @pytest.mark.parametrize(
     ("sent", "stall_timeout"),
     [(MAX_BUFFERED_BYTES // 2, BODY_STALL_TIMEOUT), (2 * MAX_BUFFERED_BYTES, LARGE_BODY_STALL_TIMEOUT)],
 )
-def test_stalled_request_body_times_out(sent: int, stall_timeout: float) -> None:
-    async def test() -> None:
-        async with running_gateway() as harness:
-            connections = harness.process.listener.connections
-            client = await harness.connect_client()
-            client.send(long_request(1)[:sent])
-            await until(
-                lambda: any(
-                    not c.requests.in_head and c.requests.body_size > sent - 2000 for c in connections
-                )
-            )
-            (connection,) = connections
-            for idle_time, times_out in ((stall_timeout - 0.1, False), (stall_timeout + 0.1, True)):
-                connection.enforce_timeouts(connection.last_read_at + idle_time, 100.0)
-                assert connection.ended == times_out
-            assert (await client.read_response())[0] == 408
-
-    run(test)
+async def test_stalled_request_body_times_out(sent: int, stall_timeout: float) -> None:
+    async with running_gateway() as harness:
+        connections = harness.process.listener.connections
+        client = await harness.connect_client()
+        client.send(long_request(1)[:sent])
+        await until(
+            lambda: any(not c.requests.in_head and c.requests.body_size > sent - 2000 for c in connections)
+        )
+        (connection,) = connections
+        for idle_time, times_out in ((stall_timeout - 0.1, False), (stall_timeout + 0.1, True)):
+            connection.enforce_timeouts(connection.last_read_at + idle_time, 100.0)
+            assert connection.ended == times_out
+        assert (await client.read_response())[0] == 408
 
 
 def started_attempts(actions: list[Action]) -> list[StartAttempt]:
@@ -393,16 +352,13 @@
     assert engine.admission.in_flight == 0 and not engine.forwarder.requests
 
 
-def test_readiness_is_answered_beside_a_long_request() -> None:
-    async def test() -> None:
-        async with running_gateway() as harness:
-            may_answer = asyncio.Event()
-            harness.backends[0].script = [send_success_after(may_answer)]
-            waiting_client = await harness.connect_client()
-            waiting_client.send(long_request(1))
-            other_client = await harness.connect_client()
-            assert (await other_client.exchange(READY_REQUEST))[0] == 200
-            may_answer.set()
-            assert (await waiting_client.read_response())[0] == 200
-
-    run(test)
+async def test_readiness_is_answered_beside_a_long_request() -> None:
+    async with running_gateway() as harness:
+        may_answer = asyncio.Event()
+        harness.backends[0].script = [send_success_after(may_answer)]
+        waiting_client = await harness.connect_client()
+        waiting_client.send(long_request(1))
+        other_client = await harness.connect_client()
+        assert (await other_client.exchange(READY_REQUEST))[0] == 200
+        may_answer.set()
+        assert (await waiting_client.read_response())[0] == 200
--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Awaitable, Callable
+from collections.abc import Callable
 
 import pytest
 
@@ -15,27 +15,15 @@
 from tests.fakes import EVENT_TIMEOUT, HttpMessage, http_response, send_success, send_success_after
 from tests.harness import (
     READY_REQUEST,
-    Client,
-    GatewayHarness,
     high_quota_settings,
     request,
-    run,
     running_gateway,
 )
 
 
-def run_with_client(test: Callable[[GatewayHarness, Client], Awaitable[None]]) -> None:
-    """Run a test with a started gateway and a client that is connected to it."""
-
-    async def run_test() -> None:
-        async with running_gateway() as harness:
-            await test(harness, await harness.connect_client())
-
-    run(run_test)
-
-
-def test_request_and_response_are_forwarded_unchanged() -> None:
-    async def test(harness: GatewayHarness, client: Client) -> None:
+async def test_request_and_response_are_forwarded_unchanged() -> None:
+    async with running_gateway() as harness:
+        client = await harness.connect_client()
         status, _, body = await client.exchange(request(0xABC, "report", body=b"Vestergade 1"))
         assert (status, body) == (200, b"served 0000000000000abc")
         first, headers, sent = harness.received_requests()[0]
@@ -43,22 +31,20 @@
         assert headers["idempotency-key"] == f"key{0xabc:029x}"
         assert 0 < float(headers["x-budget"]) <= 5.0
 
-    run_with_client(test)
-
 
-def test_connections_on_both_sides_are_reused() -> None:
+async def test_connections_on_both_sides_are_reused() -> None:
     # the parser knows whether a connection persists only inside its callback
-    async def test(harness: GatewayHarness, client: Client) -> None:
+    async with running_gateway() as harness:
+        client = await harness.connect_client()
         for number in range(5):
             assert (await client.exchange(request(number)))[0] == 200
             await asyncio.sleep(2 * MIN_IDLE_BEFORE_REUSE)
         assert harness.backends[0].connection_count == 1
 
-    run_with_client(test)
 
-
-def test_pipelined_responses_keep_their_order_when_the_first_is_slowest() -> None:
-    async def test(harness: GatewayHarness, client: Client) -> None:
+async def test_pipelined_responses_keep_their_order_when_the_first_is_slowest() -> None:
+    async with running_gateway() as harness:
+        client = await harness.connect_client()
         second_arrived = asyncio.Event()
 
         async def answer(writer: asyncio.StreamWriter, asked: HttpMessage) -> None:
@@ -72,22 +58,20 @@
         for number in (1, 2):
             assert (await client.read_response())[2] == f"served {number:016x}".encode()
 
-    run_with_client(test)
-
 
-def test_every_request_of_a_long_pipeline_gets_a_response() -> None:
+async def test_every_request_of_a_long_pipeline_gets_a_response() -> None:
     # reading pauses at the pipelining limit and must resume; the policy may reject some of so many requests
-    async def test(harness: GatewayHarness, client: Client) -> None:
+    async with running_gateway() as harness:
+        client = await harness.connect_client()
         client.send(b"".join(request(n, "report", body=b"x" * 5000) for n in range(60)))
         for number in range(60):
             status, _, body = await client.read_response()
             assert status == 429 or body == f"served {number:016x}".encode()
 
-    run_with_client(test)
-
 
-def test_split_and_chunked_requests_are_reassembled() -> None:
-    async def test(harness: GatewayHarness, client: Client) -> None:
+async def test_split_and_chunked_requests_are_reassembled() -> None:
+    async with running_gateway() as harness:
+        client = await harness.connect_client()
         message_bytes = request(
             7, "extract", omit_header="Content-Length", Transfer_Encoding="chunked", body=b""
         )
@@ -102,18 +86,15 @@
             and harness.received_requests()[0][1]["content-length"] == "5"
         )
 
-    run_with_client(test)
 
-
-def test_half_closed_client_gets_its_response() -> None:
-    async def test(harness: GatewayHarness, client: Client) -> None:
+async def test_half_closed_client_gets_its_response() -> None:
+    async with running_gateway() as harness:
+        client = await harness.connect_client()
         client.send(request(1))
         client.writer.write_eof()
         assert (await client.read_response())[0] == 200
         assert await client.wait_closed()
 
-    run_with_client(test)
-
 
 @pytest.mark.parametrize(
     ("text", "status"),
@@ -163,8 +144,9 @@
         (b"GET /api HTTP/1.1\r\nX-Long: " + b"x" * (4 * MAX_HEAD_SIZE), 431),
     ],
 )
-def test_invalid_requests_are_rejected_and_not_forwarded(text: bytes, status: int) -> None:
-    async def test(harness: GatewayHarness, client: Client) -> None:
+async def test_invalid_requests_are_rejected_and_not_forwarded(text: bytes, status: int) -> None:
+    async with running_gateway() as harness:
+        client = await harness.connect_client()
         response_status, _, body = await client.exchange(text)
         assert response_status == status and len(body.splitlines()) <= 1
         assert harness.process.dispatcher.submitted_count == 0 and not harness.received_requests()
@@ -172,37 +154,31 @@
             0
         ] == 200  # the process still serves
 
-    run_with_client(test)
 
-
-def test_largest_buffered_body_is_forwarded() -> None:
-    async def test(harness: GatewayHarness, client: Client) -> None:
+async def test_largest_buffered_body_is_forwarded() -> None:
+    async with running_gateway() as harness:
+        client = await harness.connect_client()
         assert (await client.exchange(request(1, "extract", body=b"x" * MAX_BUFFERED_BYTES)))[0] == 200
 
-    run_with_client(test)
-
 
-def test_client_reset_cancels_the_attempt() -> None:
-    async def test() -> None:
-        env = high_quota_settings()
-        env["services"][0]["aim"] = env["services"][0]["deadline"] = 1e6  # no timeout ends it during the test
-        async with running_gateway(settings=env) as harness:
-            client, forwarded = await harness.connect_client(), asyncio.Event()
-            harness.backends[0].script = [lambda writer, asked: forwarded.set()]
-            client.send(request(1, budget=1000.0))
-            await forwarded.wait()  # the backend sends no response
-            client.reset()
-            await harness.backends[0].wait_until(lambda: harness.backends[0].closed_count == 1)
-            assert (
-                not harness.process.dispatcher.unanswered_count
-                and not harness.process.dispatcher.active_requests
-            )
-
-    run(test)
+async def test_client_reset_cancels_the_attempt() -> None:
+    env = high_quota_settings()
+    env["services"][0]["aim"] = env["services"][0]["deadline"] = 1e6  # no timeout ends it during the test
+    async with running_gateway(settings=env) as harness:
+        client, forwarded = await harness.connect_client(), asyncio.Event()
+        harness.backends[0].script = [lambda writer, asked: forwarded.set()]
+        client.send(request(1, budget=1000.0))
+        await forwarded.wait()  # the backend sends no response
+        client.reset()
+        await harness.backends[0].wait_until(lambda: harness.backends[0].closed_count == 1)
+        assert (
+            not harness.process.dispatcher.unanswered_count and not harness.process.dispatcher.active_requests
+        )
 
 
-def test_only_idle_connections_are_evicted_at_capacity() -> None:
-    async def test(harness: GatewayHarness, client: Client) -> None:
+async def test_only_idle_connections_are_evicted_at_capacity() -> None:
+    async with running_gateway() as harness:
+        client = await harness.connect_client()
         release = asyncio.Event()
         harness.backends[0].script = [send_success_after(release)]
         harness.process.listener.max_connections = 2
@@ -215,12 +191,11 @@
         release.set()
         assert (await client.read_response())[0] == 200
 
-    run_with_client(test)
-
 
-def test_reading_pauses_while_the_client_reads_no_responses() -> None:
+async def test_reading_pauses_while_the_client_reads_no_responses() -> None:
     # its responses would fill the gateway's memory
-    async def test(harness: GatewayHarness, client: Client) -> None:
+    async with running_gateway() as harness:
+        client = await harness.connect_client()
         large = http_response(200, b"x" * MAX_BUFFERED_BYTES)
         harness.backends[0].script = [lambda writer, asked: writer.write(large)] * 1000
         client = await harness.connect_client(receive_buffer=8192)
@@ -236,11 +211,10 @@
         for _ in range(1000):
             assert (await client.read_response())[0] in (200, 429)
 
-    run_with_client(test)
 
-
-def test_partial_requests_are_evicted_for_new_clients() -> None:
-    async def test(harness: GatewayHarness, client: Client) -> None:
+async def test_partial_requests_are_evicted_for_new_clients() -> None:
+    async with running_gateway() as harness:
+        client = await harness.connect_client()
         listener, now = harness.process.listener, harness.process.listener.clock()
         listener.clock = lambda: now
         client = await harness.connect_client()
@@ -254,12 +228,11 @@
         assert (await other.exchange(READY_REQUEST))[0] == 200
         assert (await client.read_response())[0] == 408 and await client.wait_closed()
 
-    run_with_client(test)
 
-
-def test_silent_connections_do_not_block_clients_with_requests() -> None:
+async def test_silent_connections_do_not_block_clients_with_requests() -> None:
     # evicted one at a time, hundreds of silent connections took up all capacity
-    async def test(harness: GatewayHarness, client: Client) -> None:
+    async with running_gateway() as harness:
+        _client = await harness.connect_client()
         listener = harness.process.listener
         listener.max_connections = 40
         silent = [await harness.connect_client() for _ in range(400)]
@@ -270,8 +243,6 @@
             assert (await active_client.read_response())[0] in (200, 429)
         assert sum(silent_client.reader.at_eof() for silent_client in silent) > 300
 
-    run_with_client(test)
-
 
 async def until(condition: Callable[[], bool]) -> None:
     """Wait for the condition, one round of the loop after the other."""
@@ -284,31 +255,31 @@
     ("sent", "status"),
     [(b"", 0), (b"\r\n" * 5, 0), (request(1)[:40], 408), (request(1, "extract")[:-3], 408)],
 )
-def test_incomplete_request_gets_an_error_or_a_close_within_three_seconds(sent: bytes, status: int) -> None:
-    async def test() -> None:
-        async with running_gateway() as harness:
-            listener, now = harness.process.listener, harness.process.listener.clock()
-            listener.clock = lambda: now
-            client = await harness.connect_client()
-            client.send(sent)
-            await until(lambda: len(listener.connections) == 1)
-            (connection,) = listener.connections
-            await until(lambda: (connection.requests.received_at > 0) == bool(sent))
-            assert connection.in_request == connection.requests.any_request_started == (status > 0)
-            listener.clock = lambda: now + 1.9
-            listener.sweep()
-            assert not connection.closing
-            listener.clock = lambda: now + 2.7
-            listener.sweep()
-            if status:
-                assert (await client.read_response())[0] == status
-            assert await client.wait_closed()
-
-    run(test)
-
-
-def test_idle_connections_are_closed_not_before_two_seconds() -> None:
-    async def test(harness: GatewayHarness, client: Client) -> None:
+async def test_incomplete_request_gets_an_error_or_a_close_within_three_seconds(
+    sent: bytes, status: int
+) -> None:
+    async with running_gateway() as harness:
+        listener, now = harness.process.listener, harness.process.listener.clock()
+        listener.clock = lambda: now
+        client = await harness.connect_client()
+        client.send(sent)
+        await until(lambda: len(listener.connections) == 1)
+        (connection,) = listener.connections
+        await until(lambda: (connection.requests.received_at > 0) == bool(sent))
+        assert connection.in_request == connection.requests.any_request_started == (status > 0)
+        listener.clock = lambda: now + 1.9
+        listener.sweep()
+        assert not connection.closing
+        listener.clock = lambda: now + 2.7
+        listener.sweep()
+        if status:
+            assert (await client.read_response())[0] == status
+        assert await client.wait_closed()
+
+
+async def test_idle_connections_are_closed_not_before_two_seconds() -> None:
+    async with running_gateway() as harness:
+        client = await harness.connect_client()
         listener = harness.process.listener
         assert (await client.exchange(request(1)))[0] == 200
         (connection,) = listener.connections
@@ -321,11 +292,10 @@
         listener.sweep()
         assert await client.wait_closed() and not listener.connections
 
-    run_with_client(test)
 
-
-def test_call_id_in_use_is_rejected_for_the_second_request_only() -> None:
-    async def test(harness: GatewayHarness, client: Client) -> None:
+async def test_call_id_in_use_is_rejected_for_the_second_request_only() -> None:
+    async with running_gateway() as harness:
+        client = await harness.connect_client()
         release = asyncio.Event()
         harness.backends[0].script = [send_success_after(release)]
         client.send(request(1))
@@ -336,12 +306,11 @@
         assert (await client.read_response())[0] == 200
         assert (await other.exchange(request(1)))[0] == 200 and not harness.process.dispatcher.open_call_ids
 
-    run_with_client(test)
 
-
-def test_invalid_requests_are_followed_by_a_pause_and_then_close_the_connection() -> None:
+async def test_invalid_requests_are_followed_by_a_pause_and_then_close_the_connection() -> None:
     # a client may repeat an invalid request as soon as it is rejected: each costs as much as a valid one
-    async def test(harness: GatewayHarness, client: Client) -> None:
+    async with running_gateway() as harness:
+        client = await harness.connect_client()
         invalid = request(1, Plan="gold")
         assert (await client.exchange(invalid))[0] == 400
         (connection,) = harness.process.listener.connections
@@ -351,23 +320,21 @@
             assert (await client.read_response())[0] == 400
         assert await client.wait_closed()
 
-    run_with_client(test)
-
 
-def test_error_reaches_a_client_that_keeps_sending_a_huge_body() -> None:
-    async def test(harness: GatewayHarness, client: Client) -> None:
+async def test_error_reaches_a_client_that_keeps_sending_a_huge_body() -> None:
+    async with running_gateway() as harness:
+        client = await harness.connect_client()
         client.send(request(1, "extract", body=b"", Content_Length="60000000"))
         for _ in range(100):
             client.send(b"x" * 600_000)
         assert (await client.read_response())[0] == 413
         assert await client.wait_closed()
 
-    run_with_client(test)
-
 
-def test_stopping_gateway_answers_the_pipeline_before_it_closes() -> None:
+async def test_stopping_gateway_answers_the_pipeline_before_it_closes() -> None:
     # "Connection: close" on the first response would leave the accepted requests behind it without theirs
-    async def test(harness: GatewayHarness, client: Client) -> None:
+    async with running_gateway() as harness:
+        client = await harness.connect_client()
         release = asyncio.Event()
         harness.backends[0].script = [send_success_after(release)] * 2
         client.send(request(1) + request(2))
@@ -379,11 +346,10 @@
         assert "connection" not in first[1] and second[1]["connection"] == "close"
         assert await client.wait_closed()
 
-    run_with_client(test)
 
-
-def test_readiness_follows_the_endpoint_list() -> None:
-    async def test(harness: GatewayHarness, client: Client) -> None:
+async def test_readiness_follows_the_endpoint_list() -> None:
+    async with running_gateway() as harness:
+        client = await harness.connect_client()
         assert (await client.exchange(READY_REQUEST))[0] == 200
         polls = len(harness.discovery.request_lines)
         await harness.discovery.publish(
@@ -391,5 +357,3 @@
         )
         await harness.discovery.wait_for_requests(polls + 1)
         assert (await client.exchange(READY_REQUEST))[0] == 503
-
-    run_with_client(test)
--- a/tests/test_client_disconnect.py
+++ b/tests/test_client_disconnect.py
@@ -12,7 +12,7 @@
 
 from quota_gateway.downstream.client_connection import MAX_PIPELINED_REQUESTS
 from tests.fakes import HOST, HttpMessage, example_settings, http_response
-from tests.harness import Client, GatewayHarness, high_quota_settings, request, run, running_gateway
+from tests.harness import Client, GatewayHarness, high_quota_settings, request, running_gateway
 
 CONDITION_TIMEOUT = 2.0  # seconds; a request is queued for up to 2.5, within its budget of 5
 
@@ -104,88 +104,74 @@
 
 @pytest.mark.parametrize("how", ["closes", "resets"])
 @pytest.mark.parametrize("state", STATES)
-def test_request_is_not_forwarded_after_its_client_disconnected(state: str, how: str) -> None:
+async def test_request_is_not_forwarded_after_its_client_disconnected(state: str, how: str) -> None:
     # a close reads as a half-close at first
-    async def test() -> None:
-        async with waiting_request(state) as (harness, client):
-            dispatcher, seen = harness.process.dispatcher, len(harness.received_requests())
-            throttle = next(iter(dispatcher.engine.limiters.limiters.values()))
-            before = throttle.balance
-            if how == "closes":
-                client.writer.close()
-            else:
-                client.reset()
-            await until(lambda: not dispatcher.active_requests and not dispatcher.pool.connecting)
-            harness.counter.replies_enabled.set()
-            await until(lambda: not throttle.awaiting_reading)
-            assert (
-                len(harness.received_requests()) == seen
-                and not dispatcher.engine.forwarder.requests
-                and not throttle.queue
-            )
-            if state != "retry":  # the first attempt of a retried request used its units
-                throttle.refill(dispatcher.clock())
-                assert throttle.balance >= min(before + 1.0, throttle.capacity) and throttle.queued_units == 0
-
-    run(test)
+    async with waiting_request(state) as (harness, client):
+        dispatcher, seen = harness.process.dispatcher, len(harness.received_requests())
+        throttle = next(iter(dispatcher.engine.limiters.limiters.values()))
+        before = throttle.balance
+        if how == "closes":
+            client.writer.close()
+        else:
+            client.reset()
+        await until(lambda: not dispatcher.active_requests and not dispatcher.pool.connecting)
+        harness.counter.replies_enabled.set()
+        await until(lambda: not throttle.awaiting_reading)
+        assert (
+            len(harness.received_requests()) == seen
+            and not dispatcher.engine.forwarder.requests
+            and not throttle.queue
+        )
+        if state != "retry":  # the first attempt of a retried request used its units
+            throttle.refill(dispatcher.clock())
+            assert throttle.balance >= min(before + 1.0, throttle.capacity) and throttle.queued_units == 0
 
 
 @pytest.mark.parametrize("state", STATES)
-def test_half_closed_client_is_rejected_with_a_retryable_status(state: str) -> None:
-    async def test() -> None:
-        async with waiting_request(state) as (harness, client):
-            seen = len(harness.received_requests())
-            client.writer.write_eof()
-            assert (await client.read_response())[0] == 429
-            assert await client.wait_closed()
-            assert len(harness.received_requests()) == seen
-
-    run(test)
+async def test_half_closed_client_is_rejected_with_a_retryable_status(state: str) -> None:
+    async with waiting_request(state) as (harness, client):
+        seen = len(harness.received_requests())
+        client.writer.write_eof()
+        assert (await client.read_response())[0] == 429
+        assert await client.wait_closed()
+        assert len(harness.received_requests()) == seen
 
 
 @pytest.mark.parametrize("how", ["closes", "resets"])
-def test_disconnect_is_detected_while_reading_is_paused(how: str) -> None:
+async def test_disconnect_is_detected_while_reading_is_paused(how: str) -> None:
     # the loop reports no disconnect on a connection that it does not read
-    async def test() -> None:
-        async with running_gateway(settings=with_long_timeouts(example_settings())) as harness:
-            harness.counter.replies_enabled.clear()
-            client, listener = await harness.connect_client(), harness.process.listener
-            client.send(b"".join(request(number) for number in range(8 * MAX_PIPELINED_REQUESTS)))
-            await until(lambda: any(c.read_paused for c in listener.connections))
-            assert len(harness.process.dispatcher.active_requests) >= MAX_PIPELINED_REQUESTS
-            if how == "closes":
-                client.writer.close()
-            else:
-                client.reset()
-            await until(lambda: not listener.connections)
-            harness.counter.replies_enabled.set()
-            await until(lambda: not harness.process.dispatcher.active_requests)
-            assert (
-                not harness.received_requests() and not harness.process.dispatcher.engine.forwarder.requests
-            )
-
-    run(test)
-
+    async with running_gateway(settings=with_long_timeouts(example_settings())) as harness:
+        harness.counter.replies_enabled.clear()
+        client, listener = await harness.connect_client(), harness.process.listener
+        client.send(b"".join(request(number) for number in range(8 * MAX_PIPELINED_REQUESTS)))
+        await until(lambda: any(c.read_paused for c in listener.connections))
+        assert len(harness.process.dispatcher.active_requests) >= MAX_PIPELINED_REQUESTS
+        if how == "closes":
+            client.writer.close()
+        else:
+            client.reset()
+        await until(lambda: not listener.connections)
+        harness.counter.replies_enabled.set()
+        await until(lambda: not harness.process.dispatcher.active_requests)
+        assert not harness.received_requests() and not harness.process.dispatcher.engine.forwarder.requests
 
-def test_failed_attempt_is_not_retried_after_its_client_closed() -> None:
-    async def test() -> None:
-        break_attempts = asyncio.Event()
 
-        async def reset_connection(writer: asyncio.StreamWriter, asked: HttpMessage) -> None:
-            await break_attempts.wait()
-            writer.transport.abort()
+async def test_failed_attempt_is_not_retried_after_its_client_closed() -> None:
+    break_attempts = asyncio.Event()
 
-        async with running_gateway(backends=2) as harness:
-            for backend in harness.backends:
-                backend.script = [reset_connection]
-            client = await harness.connect_client()
-            client.send(request(1))
-            await until(lambda: bool(harness.received_requests()))
-            client.writer.write_eof()
-            (job,) = harness.process.dispatcher.engine.forwarder.requests.values()
-            await until(lambda: job.not_resendable)
-            break_attempts.set()
-            assert (await client.read_response())[0] == 429  # retryable: the request is idempotent
-            assert len(harness.received_requests()) == 1
+    async def reset_connection(writer: asyncio.StreamWriter, asked: HttpMessage) -> None:
+        await break_attempts.wait()
+        writer.transport.abort()
 
-    run(test)
+    async with running_gateway(backends=2) as harness:
+        for backend in harness.backends:
+            backend.script = [reset_connection]
+        client = await harness.connect_client()
+        client.send(request(1))
+        await until(lambda: bool(harness.received_requests()))
+        client.writer.write_eof()
+        (job,) = harness.process.dispatcher.engine.forwarder.requests.values()
+        await until(lambda: job.not_resendable)
+        break_attempts.set()
+        assert (await client.read_response())[0] == 429  # retryable: the request is idempotent
+        assert len(harness.received_requests()) == 1
--- a/tests/test_client_retries.py
+++ b/tests/test_client_retries.py
@@ -12,7 +12,7 @@
 from quota_gateway.model.events import Event, RequestReceived
 from quota_gateway.policy.request_lifecycle import LATE_RETRY_LIMIT_FRACTION
 from tests.harness import request as http_request
-from tests.harness import run, running_gateway
+from tests.harness import running_gateway
 from tests.policy_assertions import first_attempt, limiter_of, started_attempts
 from tests.policy_harness import IDEMPOTENT_CLASS, make_engine, make_request
 
@@ -115,7 +115,7 @@
     assert not any(isinstance(action, Reject) for action in engine.handle(new_request, 100.0))
 
 
-def test_engine_gets_the_timeout_that_the_client_sends(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_engine_gets_the_timeout_that_the_client_sends(monkeypatch: pytest.MonkeyPatch) -> None:
     received: list[RequestReceived] = []
     handle = PolicyEngine.handle
 
@@ -124,15 +124,12 @@
             received.append(event)
         return handle(self, event, now)
 
-    async def test() -> None:
-        monkeypatch.setattr(PolicyEngine, "handle", recording_handle)
-        async with running_gateway() as harness:
-            client = await harness.connect_client()
-            status, _, _ = await client.exchange(http_request(1, budget=3.25, X_Again="1"))
-            assert status == 200
-        assert [(event.client_timeout, event.is_retry) for event in received] == [(3.25, True)]
-
-    run(test)
+    monkeypatch.setattr(PolicyEngine, "handle", recording_handle)
+    async with running_gateway() as harness:
+        client = await harness.connect_client()
+        status, _, _ = await client.exchange(http_request(1, budget=3.25, X_Again="1"))
+        assert status == 200
+    assert [(event.client_timeout, event.is_retry) for event in received] == [(3.25, True)]
 
 
 def retry_after(engine: PolicyEngine, received: RequestReceived) -> float:
--- a/tests/test_connection_faults.py
+++ b/tests/test_connection_faults.py
@@ -11,9 +11,9 @@
 
 from quota_gateway.downstream.request_handler import MAX_INVALID_REQUESTS
 from quota_gateway.model.outcomes import Outcome
-from tests.harness import GatewayHarness, high_quota_settings, request, run, running_gateway
+from tests.harness import GatewayHarness, high_quota_settings, request, running_gateway
 from tests.upstream_harness import sending
-from tests.virtual_clock import run_on_virtual_clock, virtual_clock_loop, virtual_unix_clock
+from tests.virtual_clock import virtual_clock_loop, virtual_unix_clock
 
 CONNECT_TIMEOUT = 0.25  # seconds
 CONNECT_TIMES = [0.05, 0.2, 0.3, 1.0, 1.5]  # seconds, on both sides of the timeout
@@ -33,30 +33,27 @@
     }
 
 
-def test_every_socket_sets_tcp_nodelay() -> None:
+async def test_every_socket_sets_tcp_nodelay() -> None:
     # with Nagle's algorithm, bytes that the kernel delays are lost in a reset
-    async def test() -> None:
-        async with running_gateway() as harness:
-            client, operator = await harness.connect_client(), await harness.connect_admin()
-            assert (await client.exchange(request(1)))[0] == 200
-            counter = harness.process.dispatcher.counter
-            assert counter is not None
-            counter.add("name.1", 1.0, 4.0)
-            async with asyncio.timeout(5.0):
-                while not (harness.counter.increments and harness.process.admin.connections):  # noqa: ASYNC110
-                    await asyncio.sleep(0)  # no event marks the gateway's internal state
-            for peer, transports in transports_by_peer(harness).items():
-                assert transports, peer
-                for transport in transports:
-                    sock = transport.get_extra_info("socket")
-                    assert sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY), peer
-            operator.writer.close()
-
-    run(test)
+    async with running_gateway() as harness:
+        client, operator = await harness.connect_client(), await harness.connect_admin()
+        assert (await client.exchange(request(1)))[0] == 200
+        counter = harness.process.dispatcher.counter
+        assert counter is not None
+        counter.add("name.1", 1.0, 4.0)
+        async with asyncio.timeout(5.0):
+            while not (harness.counter.increments and harness.process.admin.connections):  # noqa: ASYNC110
+                await asyncio.sleep(0)  # no event marks the gateway's internal state
+        for peer, transports in transports_by_peer(harness).items():
+            assert transports, peer
+            for transport in transports:
+                sock = transport.get_extra_info("socket")
+                assert sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY), peer
+        operator.writer.close()
 
 
 @pytest.mark.parametrize("closes", [True, False])
-def test_reset_response_without_a_length_is_incomplete(closes: bool) -> None:
+async def test_reset_response_without_a_length_is_incomplete(closes: bool) -> None:
     text = b"HTTP/1.1 200 OK\r\n" + b"Connection: close\r\n" * closes + b"\r\nserved by this one"
 
     async def reset_after(writer: asyncio.StreamWriter, count: int) -> None:
@@ -66,125 +63,102 @@
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         writer.transport.abort()
 
-    async def test() -> None:
-        async with sending() as (sender, peer):
-            for count in range(len(text) + 1):
-                peer.script = [lambda writer, asked, count=count: reset_after(writer, count)]  # type: ignore[misc]
-                assert await sender.outcome() is Outcome.BROKEN_RESPONSE, count
-
-    run(test)
+    async with sending() as (sender, peer):
+        for count in range(len(text) + 1):
+            peer.script = [lambda writer, asked, count=count: reset_after(writer, count)]  # type: ignore[misc]
+            assert await sender.outcome() is Outcome.BROKEN_RESPONSE, count
 
 
 @pytest.mark.parametrize("connect_time", CONNECT_TIMES)
-def test_connection_established_after_the_connect_timeout_is_not_used(
+@pytest.mark.virtual_clock
+async def test_connection_established_after_the_connect_timeout_is_not_used(
     connect_time: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("quota_gateway.gateway_process.start_clock", virtual_unix_clock)
-
-    async def test() -> None:
-        async with running_gateway(
-            backends=1, settings=high_quota_settings(dial_timeout=1000 * CONNECT_TIMEOUT)
-        ) as harness:
-            loop = virtual_clock_loop()
-            loop.connect_delays = {int(b.address.rpartition(":")[2]): connect_time for b in harness.backends}
-            in_time = connect_time < CONNECT_TIMEOUT
-            client = await harness.connect_client()
-            status, _, _ = await client.exchange(request(1, "extract"))
-            assert status == (200 if in_time else 429)  # never forwarded: a retry is safe
-            await asyncio.sleep(3.0)
-            assert len(harness.received_requests()) == (1 if in_time else 0)
-            assert in_time or not harness.process.pool.connections
-
-    run_on_virtual_clock(test)
+    async with running_gateway(
+        backends=1, settings=high_quota_settings(dial_timeout=1000 * CONNECT_TIMEOUT)
+    ) as harness:
+        loop = virtual_clock_loop()
+        loop.connect_delays = {int(b.address.rpartition(":")[2]): connect_time for b in harness.backends}
+        in_time = connect_time < CONNECT_TIMEOUT
+        client = await harness.connect_client()
+        status, _, _ = await client.exchange(request(1, "extract"))
+        assert status == (200 if in_time else 429)  # never forwarded: a retry is safe
+        await asyncio.sleep(3.0)
+        assert len(harness.received_requests()) == (1 if in_time else 0)
+        assert in_time or not harness.process.pool.connections
 
 
 @pytest.mark.parametrize("how", ["idle", "drain", "stop"])
-def test_request_that_crosses_a_close_is_not_forwarded(how: str) -> None:
+async def test_request_that_crosses_a_close_is_not_forwarded(how: str) -> None:
     # its client retries it: forwarded as well, it would run twice
-    async def test() -> None:
-        async with running_gateway() as harness:
-            client, listener = await harness.connect_client(), harness.process.listener
-            assert (await client.exchange(request(1)))[0] == 200
-            (connection,) = listener.connections
-            if how == "idle":
-                connection.drop()
-            elif how == "drain":
-                connection.end()
-            else:
-                listener.stopping = True
-                listener.close_idle()
-            client.send(request(2))
-            try:
-                assert await client.wait_closed()
-            except ConnectionResetError:  # with no response unread that the reset could discard
-                assert how == "idle"
-            await asyncio.sleep(0.02)
-            assert len(harness.received_requests()) == 1 and harness.process.dispatcher.submitted_count == 1
-
-    run(test)
-
-
-def test_partial_response_line_on_a_closing_idle_connection_is_discarded() -> None:
-    async def test() -> None:
-        async with running_gateway() as harness:
-            client = await harness.connect_client()
-            assert (await client.exchange(request(1)))[0] == 200
-            (idle,) = harness.process.pool.connections
-            for writer in harness.backends[0].open_writers:
-                writer.write(b"HTTP/1.1 2")
-            idle.endpoint.drop_idle()
-            status, _, body = await client.exchange(request(2))
-            assert (status, body) == (200, b"served 0000000000000002")
-            assert harness.backends[0].connection_count == 2
-
-    run(test)
-
-
-def test_reset_flood_of_invalid_requests_leaves_other_clients_served() -> None:
+    async with running_gateway() as harness:
+        client, listener = await harness.connect_client(), harness.process.listener
+        assert (await client.exchange(request(1)))[0] == 200
+        (connection,) = listener.connections
+        if how == "idle":
+            connection.drop()
+        elif how == "drain":
+            connection.end()
+        else:
+            listener.stopping = True
+            listener.close_idle()
+        client.send(request(2))
+        try:
+            assert await client.wait_closed()
+        except ConnectionResetError:  # with no response unread that the reset could discard
+            assert how == "idle"
+        await asyncio.sleep(0.02)
+        assert len(harness.received_requests()) == 1 and harness.process.dispatcher.submitted_count == 1
+
+
+async def test_partial_response_line_on_a_closing_idle_connection_is_discarded() -> None:
+    async with running_gateway() as harness:
+        client = await harness.connect_client()
+        assert (await client.exchange(request(1)))[0] == 200
+        (idle,) = harness.process.pool.connections
+        for writer in harness.backends[0].open_writers:
+            writer.write(b"HTTP/1.1 2")
+        idle.endpoint.drop_idle()
+        status, _, body = await client.exchange(request(2))
+        assert (status, body) == (200, b"served 0000000000000002")
+        assert harness.backends[0].connection_count == 2
+
+
+async def test_reset_flood_of_invalid_requests_leaves_other_clients_served() -> None:
     """Clients send two megabytes of invalid requests at once, and reset."""
     flood = request(1, omit_header="Plan") * 8000
-
-    async def test() -> None:
-        async with running_gateway() as harness:
-            clients = [await harness.connect_client() for _ in range(20)]
-            valid = await harness.connect_client()
-            for client in clients:
-                client.send(flood)
-            for number in range(2, 22):
-                assert (await valid.exchange(request(number)))[0] == 200
-            for client in clients:
-                client.reset()
-            async with asyncio.timeout(5.0):
-                while len(harness.process.listener.connections) > 1:  # noqa: ASYNC110
-                    await asyncio.sleep(0.01)  # no event marks the gateway's internal state
-            assert (await valid.exchange(request(99)))[0] == 200
-            assert len(harness.received_requests()) == 21 and harness.process.dispatcher.submitted_count == 21
-
-    run(test)
-
-
-def test_flood_of_invalid_requests_gets_a_few_responses_per_connection() -> None:
-    async def test() -> None:
-        async with running_gateway() as harness:
-            client = await harness.connect_client()
-            client.send(request(1, omit_header="Plan") * 8000)
-            statuses = [(await client.read_response())[0] for _ in range(MAX_INVALID_REQUESTS)]
-            assert statuses == [400] * MAX_INVALID_REQUESTS
-            assert await client.wait_closed()
-
-    run(test)
-
-
-def test_complete_response_is_delivered_though_its_client_keeps_sending() -> None:
+    async with running_gateway() as harness:
+        clients = [await harness.connect_client() for _ in range(20)]
+        valid = await harness.connect_client()
+        for client in clients:
+            client.send(flood)
+        for number in range(2, 22):
+            assert (await valid.exchange(request(number)))[0] == 200
+        for client in clients:
+            client.reset()
+        async with asyncio.timeout(5.0):
+            while len(harness.process.listener.connections) > 1:  # noqa: ASYNC110
+                await asyncio.sleep(0.01)  # no event marks the gateway's internal state
+        assert (await valid.exchange(request(99)))[0] == 200
+        assert len(harness.received_requests()) == 21 and harness.process.dispatcher.submitted_count == 21
+
+
+async def test_flood_of_invalid_requests_gets_a_few_responses_per_connection() -> None:
+    async with running_gateway() as harness:
+        client = await harness.connect_client()
+        client.send(request(1, omit_header="Plan") * 8000)
+        statuses = [(await client.read_response())[0] for _ in range(MAX_INVALID_REQUESTS)]
+        assert statuses == [400] * MAX_INVALID_REQUESTS
+        assert await client.wait_closed()
+
+
+async def test_complete_response_is_delivered_though_its_client_keeps_sending() -> None:
     """Bytes that are unread when a connection closes reset it, and the response would be lost."""
-
-    async def test() -> None:
-        async with running_gateway() as harness:
-            client = await harness.connect_client()
-            text = request(1, Connection="close")
-            client.send(text + b"x" * 300_000)
-            status, headers, body = await client.read_response()
-            assert (status, headers["connection"], body) == (200, "close", b"served 0000000000000001")
-            assert len(harness.received_requests()) == 1
-
-    run(test)
+    async with running_gateway() as harness:
+        client = await harness.connect_client()
+        text = request(1, Connection="close")
+        client.send(text + b"x" * 300_000)
+        status, headers, body = await client.read_response()
+        assert (status, headers["connection"], body) == (200, "close", b"served 0000000000000001")
+        assert len(harness.received_requests()) == 1
--- a/tests/test_descriptor_exhaustion.py
+++ b/tests/test_descriptor_exhaustion.py
@@ -11,7 +11,7 @@
 import pytest
 
 from tests.fakes import EVENT_TIMEOUT, HOST, HttpMessage, http_response
-from tests.harness import READY_REQUEST, GatewayHarness, request, run
+from tests.harness import READY_REQUEST, GatewayHarness, request
 from tests.test_gateway_process import process
 
 DESCRIPTOR_LIMITS = [256, 1024]
@@ -121,30 +121,26 @@
 
 @pytest.mark.parametrize("is_limit_lowered", [False, True])
 @pytest.mark.parametrize("limit", DESCRIPTOR_LIMITS)
-def test_gateway_recovers_while_idle_clients_use_up_its_descriptors(
+async def test_gateway_recovers_while_idle_clients_use_up_its_descriptors(
     limit: int, is_limit_lowered: bool, tmp_path: pathlib.Path
 ) -> None:
     """With `is_limit_lowered` the limit is set to what is open, so that no descriptor is left at all."""
-
-    async def test() -> None:
-        async with process(tmp_path, descriptors=limit, console=True) as (gateway, child):
-            await stop_discovery_and_counter(gateway)
-            clients = IdleClients(gateway, limit + 100)
-            open_count = await wait_for_open_descriptors(child, limit // 2)
-            if is_limit_lowered:
-                await asyncio.sleep(CONNECTIONS_SETTLE_TIME)
-                open_count = open_descriptors(child)
-                resource.prlimit(child.pid, resource.RLIMIT_NOFILE, (open_count, open_count))
-            assert open_count <= limit
-            # A new client and a new upstream connection are served, and so is the admin API.
-            assert await request_status(gateway, 1) == 200
-            status, text = await gateway.call_admin("GET", "/stats")
-            assert status == 200 and "svc.success.lookup=" in text
-            await restart_discovery_and_counter(gateway)
-            number = await assert_endpoint_change_arrives(gateway, 1)
-            await assert_counter_is_called(gateway, number)
-            assert child.returncode is None
-            await clients.stop()
-            await assert_clean_exit(child)
-
-    run(test)
+    async with process(tmp_path, descriptors=limit, console=True) as (gateway, child):
+        await stop_discovery_and_counter(gateway)
+        clients = IdleClients(gateway, limit + 100)
+        open_count = await wait_for_open_descriptors(child, limit // 2)
+        if is_limit_lowered:
+            await asyncio.sleep(CONNECTIONS_SETTLE_TIME)
+            open_count = open_descriptors(child)
+            resource.prlimit(child.pid, resource.RLIMIT_NOFILE, (open_count, open_count))
+        assert open_count <= limit
+        # A new client and a new upstream connection are served, and so is the admin API.
+        assert await request_status(gateway, 1) == 200
+        status, text = await gateway.call_admin("GET", "/stats")
+        assert status == 200 and "svc.success.lookup=" in text
+        await restart_discovery_and_counter(gateway)
+        number = await assert_endpoint_change_arrives(gateway, 1)
+        await assert_counter_is_called(gateway, number)
+        assert child.returncode is None
+        await clients.stop()
+        await assert_clean_exit(child)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -13,169 +13,145 @@
 from quota_gateway.sockets.addresses import parse_address
 from tests.discovery_harness import first_id, first_status, following
 from tests.fakes import FakeDiscovery, http_response, read_message
-from tests.harness import GatewayHarness, high_quota_settings, request, run, running_gateway
-
-
-def test_the_full_list_is_followed_by_watches_on_one_connection() -> None:
-    async def test() -> None:
-        peer = FakeDiscovery()
-        peer.entries = {"a": peer.entry("a", "127.0.0.1:9")}
-        async with following(peer) as (_, updates):
-            full = await updates.get()
-            assert full.is_full
-            assert full.entries[0].address == ("127.0.0.1", 9)
-            await peer.wait_for_requests(2)
-            await peer.publish(peer.entry("a", "127.0.0.1:9", "DRAINING"))
-            delta = await updates.get()
-            assert delta.kind is EndpointListKind.DELTA
-            assert first_status(delta) is EndpointStatus.DRAINING
-            await peer.wait_for_requests(3)
-            assert "since=2&" in peer.request_lines[2]
-            assert peer.connection_count == 1
-
-    run(test)
-
-
-def test_a_rejected_first_poll_lets_the_gateway_start_from_its_known_list() -> None:
+from tests.harness import GatewayHarness, high_quota_settings, request, running_gateway
+
+
+async def test_the_full_list_is_followed_by_watches_on_one_connection() -> None:
+    peer = FakeDiscovery()
+    peer.entries = {"a": peer.entry("a", "127.0.0.1:9")}
+    async with following(peer) as (_, updates):
+        full = await updates.get()
+        assert full.is_full
+        assert full.entries[0].address == ("127.0.0.1", 9)
+        await peer.wait_for_requests(2)
+        await peer.publish(peer.entry("a", "127.0.0.1:9", "DRAINING"))
+        delta = await updates.get()
+        assert delta.kind is EndpointListKind.DELTA
+        assert first_status(delta) is EndpointStatus.DRAINING
+        await peer.wait_for_requests(3)
+        assert "since=2&" in peer.request_lines[2]
+        assert peer.connection_count == 1
+
+
+async def test_a_rejected_first_poll_lets_the_gateway_start_from_its_known_list() -> None:
     class RejectingDiscovery(FakeDiscovery):
         async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             self.request_lines.append((await read_message(reader))[0])
             writer.write(http_response(503))
 
-    async def test() -> None:
-        peer = RejectingDiscovery()
-        async with following(peer, 1, poll_schedule_for(40, False, drain_timeout=2.0)) as (client, updates):
-            await client.answered.wait()  # what the start of the process waits for
-            assert len(peer.request_lines) == 1
-            assert updates.empty()
+    peer = RejectingDiscovery()
+    async with following(peer, 1, poll_schedule_for(40, False, drain_timeout=2.0)) as (client, updates):
+        await client.answered.wait()  # what the start of the process waits for
+        assert len(peer.request_lines) == 1
+        assert updates.empty()
 
-    run(test)
 
-
-def test_startup_waits_for_discovery_no_longer_than_the_connect_timeout() -> None:
+async def test_startup_waits_for_discovery_no_longer_than_the_connect_timeout() -> None:
     class SilentDiscovery(FakeDiscovery):
         async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             self.request_lines.append((await read_message(reader))[0])
             await asyncio.Event().wait()
 
-    async def test() -> None:
-        harness = GatewayHarness(1)
-        harness.discovery = SilentDiscovery()
-        with pytest.MonkeyPatch.context() as patch:
-            timeouts: list[float | None] = []
-            timeout = asyncio.timeout
-
-            def record_timeout(seconds: float | None) -> asyncio.Timeout:
-                timeouts.append(seconds)
-                return timeout(seconds)
-
-            patch.setattr("quota_gateway.gateway_process.asyncio.timeout", record_timeout)
-            await harness.start(high_quota_settings(dial_timeout=40.0), 1024)
-        assert 0.04 in timeouts
-        assert 1.0 not in timeouts
-        client = await harness.connect_client()
-        assert (await client.exchange(request(1)))[0] == 200
-        await harness.process.stop(0.0, 0.0)
-        for server in (*harness.backends, harness.discovery, harness.counter):
-            await server.stop()
-
-    run(test)
-
-
-def test_polling_starts_from_the_known_generation() -> None:
-    async def test() -> None:
-        peer = FakeDiscovery()
-        await peer.publish(peer.entry("a", "127.0.0.1:9", "DRAINING"))
-        async with following(peer, known_generation=1) as (_, updates):
-            assert (await updates.get()).kind is EndpointListKind.DELTA
-            await peer.wait_for_requests(2)
-            assert "since=1&timeout_ms=0 " in peer.request_lines[0]
-            assert "since=2&timeout_ms=2000 " in peer.request_lines[1]
-
-    run(test)
-
-
-def test_a_new_agent_takes_over_with_its_first_full_list() -> None:
+    harness = GatewayHarness(1)
+    harness.discovery = SilentDiscovery()
+    with pytest.MonkeyPatch.context() as patch:
+        timeouts: list[float | None] = []
+        timeout = asyncio.timeout
+
+        def record_timeout(seconds: float | None) -> asyncio.Timeout:
+            timeouts.append(seconds)
+            return timeout(seconds)
+
+        patch.setattr("quota_gateway.gateway_process.asyncio.timeout", record_timeout)
+        await harness.start(high_quota_settings(dial_timeout=40.0), 1024)
+    assert 0.04 in timeouts
+    assert 1.0 not in timeouts
+    client = await harness.connect_client()
+    assert (await client.exchange(request(1)))[0] == 200
+    await harness.process.stop(0.0, 0.0)
+    for server in (*harness.backends, harness.discovery, harness.counter):
+        await server.stop()
+
+
+async def test_polling_starts_from_the_known_generation() -> None:
+    peer = FakeDiscovery()
+    await peer.publish(peer.entry("a", "127.0.0.1:9", "DRAINING"))
+    async with following(peer, known_generation=1) as (_, updates):
+        assert (await updates.get()).kind is EndpointListKind.DELTA
+        await peer.wait_for_requests(2)
+        assert "since=1&timeout_ms=0 " in peer.request_lines[0]
+        assert "since=2&timeout_ms=2000 " in peer.request_lines[1]
+
+
+async def test_a_new_agent_takes_over_with_its_first_full_list() -> None:
     # until then updates of the old one still count: a drain in between must not be missed
-    async def test() -> None:
-        old, new = FakeDiscovery(), FakeDiscovery()
-        await new.start()
-        async with following(old) as (client, updates):
-            await updates.get()
-            await old.wait_for_requests(2)
-            (old_poller,) = client.pollers
-            async with new.state_changed:  # delays the new agent's response
-                client.move(parse_address(new.address))
-                await old.publish(old.entry("a", "127.0.0.1:9", "DRAINING"))
-                assert first_status(await updates.get()) is EndpointStatus.DRAINING
-                new.entries = {"b": new.entry("b", "127.0.0.1:8")}
-            update = await updates.get()
-            assert update.is_full
-            assert first_id(update) == "b"
-            await new.wait_for_requests(2)
-            await old.publish(old.entry("c", "127.0.0.1:7"))
-            await new.publish(new.entry("d", "127.0.0.1:6"))
-            assert first_id(await updates.get()) == "d"  # and nothing of the old agent
-            assert old_poller.task.cancelled()
-        await new.stop()
-
-    run(test)
-
-
-def test_an_unreachable_new_agent_leaves_the_old_one_in_place() -> None:
-    async def test() -> None:
-        old, unreachable = FakeDiscovery(), FakeDiscovery()
-        await unreachable.start()
-        await unreachable.stop()
-        async with following(old) as (client, updates):
-            await updates.get()
-            await old.wait_for_requests(2)
-            client.move(parse_address(unreachable.address))
-            client.move(parse_address(old.address))  # reverted, as after a mistake
-            await old.publish(old.entry("a", "127.0.0.1:9"))
-            assert first_id(await updates.get()) == "a"
-            assert len(client.pollers) == 1
-            assert old.connection_count == 1
-
-    run(test)
-
-
-def test_an_address_that_moves_to_a_new_endpoint_is_no_longer_used_for_the_old_one() -> None:
+    old, new = FakeDiscovery(), FakeDiscovery()
+    await new.start()
+    async with following(old) as (client, updates):
+        await updates.get()
+        await old.wait_for_requests(2)
+        (old_poller,) = client.pollers
+        async with new.state_changed:  # delays the new agent's response
+            client.move(parse_address(new.address))
+            await old.publish(old.entry("a", "127.0.0.1:9", "DRAINING"))
+            assert first_status(await updates.get()) is EndpointStatus.DRAINING
+            new.entries = {"b": new.entry("b", "127.0.0.1:8")}
+        update = await updates.get()
+        assert update.is_full
+        assert first_id(update) == "b"
+        await new.wait_for_requests(2)
+        await old.publish(old.entry("c", "127.0.0.1:7"))
+        await new.publish(new.entry("d", "127.0.0.1:6"))
+        assert first_id(await updates.get()) == "d"  # and nothing of the old agent
+        assert old_poller.task.cancelled()
+    await new.stop()
+
+
+async def test_an_unreachable_new_agent_leaves_the_old_one_in_place() -> None:
+    old, unreachable = FakeDiscovery(), FakeDiscovery()
+    await unreachable.start()
+    await unreachable.stop()
+    async with following(old) as (client, updates):
+        await updates.get()
+        await old.wait_for_requests(2)
+        client.move(parse_address(unreachable.address))
+        client.move(parse_address(old.address))  # reverted, as after a mistake
+        await old.publish(old.entry("a", "127.0.0.1:9"))
+        assert first_id(await updates.get()) == "a"
+        assert len(client.pollers) == 1
+        assert old.connection_count == 1
+
+
+async def test_an_address_that_moves_to_a_new_endpoint_is_no_longer_used_for_the_old_one() -> None:
     # the old endpoint's removal may come later: requests to it would reach, and overload, the new one
-    async def test() -> None:
-        async with running_gateway() as harness:
-            client = await harness.connect_client()
-            assert (await client.exchange(request(1)))[0] == 200
-            discovery = harness.discovery
-            polls = len(discovery.request_lines)
-            await discovery.publish(discovery.entry("new", harness.backends[0].address))
-            await discovery.wait_for_requests(polls + 1)
-            dispatcher = harness.process.dispatcher
-            assert {"new"} == set(dispatcher.pool.endpoints) == set(dispatcher.engine.endpoints)
-            assert (await client.exchange(request(2)))[0] == 200
-            assert harness.backends[0].connection_count == 2  # the old endpoint's connection is not reused
-
-    run(test)
-
-
-def test_a_draining_backend_receives_no_requests() -> None:
-    async def test() -> None:
-        async with running_gateway(backends=2) as harness:
-            client = await harness.connect_client()
-            for number in range(8):
-                assert (await client.exchange(request(number)))[0] == 200
-            draining, serving = harness.backends
-            discovery = harness.discovery
-            polls = len(discovery.request_lines)
-            await discovery.publish(discovery.entry("b0", draining.address, "DRAINING"))
-            await discovery.wait_for_requests(polls + 1)  # the next watch: the change was applied
-            received = len(draining.requests)
-            for number in range(8, 20):
-                assert (await client.exchange(request(number)))[0] == 200
-            assert len(draining.requests) == received
-            assert len(serving.requests) >= 12
-
-    run(test)
+    async with running_gateway() as harness:
+        client = await harness.connect_client()
+        assert (await client.exchange(request(1)))[0] == 200
+        discovery = harness.discovery
+        polls = len(discovery.request_lines)
+        await discovery.publish(discovery.entry("new", harness.backends[0].address))
+        await discovery.wait_for_requests(polls + 1)
+        dispatcher = harness.process.dispatcher
+        assert {"new"} == set(dispatcher.pool.endpoints) == set(dispatcher.engine.endpoints)
+        assert (await client.exchange(request(2)))[0] == 200
+        assert harness.backends[0].connection_count == 2  # the old endpoint's connection is not reused
+
+
+async def test_a_draining_backend_receives_no_requests() -> None:
+    async with running_gateway(backends=2) as harness:
+        client = await harness.connect_client()
+        for number in range(8):
+            assert (await client.exchange(request(number)))[0] == 200
+        draining, serving = harness.backends
+        discovery = harness.discovery
+        polls = len(discovery.request_lines)
+        await discovery.publish(discovery.entry("b0", draining.address, "DRAINING"))
+        await discovery.wait_for_requests(polls + 1)  # the next watch: the change was applied
+        received = len(draining.requests)
+        for number in range(8, 20):
+            assert (await client.exchange(request(number)))[0] == 200
+        assert len(draining.requests) == received
+        assert len(serving.requests) >= 12
 
 
 @pytest.mark.parametrize(
--- a/tests/test_endpoint_poller.py
+++ b/tests/test_endpoint_poller.py
@@ -43,34 +43,31 @@
         ("older generation", False),
     ],
 )
-def test_a_failed_watch_is_followed_by_a_poll_that_returns_at_once(
+async def test_a_failed_watch_is_followed_by_a_poll_that_returns_at_once(
     fault: str, keeps_generation: bool
 ) -> None:
     # another watch would wait for the next change, and a rejected one would be rejected again
-    async def test() -> None:
-        peer = FakeDiscovery()
-        async with following(peer) as (_, updates):
-            await updates.get()
-            await peer.wait_for_requests(2)
-            (writer,) = peer.open_writers
-            if fault == "reset":
-                writer.transport.abort()
-            else:
-                writer.write(BAD_RESPONSES[fault])
-            if keeps_generation:
-                await peer.publish(peer.entry("b", "127.0.0.1:9"))
-            assert (await updates.get()).is_full != keeps_generation
-            is_immediate_watch = peer.request_lines[2].startswith("GET /v1/endpoints?since=1&timeout_ms=0 ")
-            assert is_immediate_watch == keeps_generation
-            await peer.wait_for_requests(4)
-            assert "timeout_ms=2000 " in peer.request_lines[3]
-            await peer.publish({"instanceId": "a", "lifecycle": "DELETED"})
-            assert first_status(await updates.get()) is EndpointStatus.REMOVED
-
-    run(test)
-
-
-def test_retries_use_jittered_and_growing_backoff(monkeypatch: pytest.MonkeyPatch) -> None:
+    peer = FakeDiscovery()
+    async with following(peer) as (_, updates):
+        await updates.get()
+        await peer.wait_for_requests(2)
+        (writer,) = peer.open_writers
+        if fault == "reset":
+            writer.transport.abort()
+        else:
+            writer.write(BAD_RESPONSES[fault])
+        if keeps_generation:
+            await peer.publish(peer.entry("b", "127.0.0.1:9"))
+        assert (await updates.get()).is_full != keeps_generation
+        is_immediate_watch = peer.request_lines[2].startswith("GET /v1/endpoints?since=1&timeout_ms=0 ")
+        assert is_immediate_watch == keeps_generation
+        await peer.wait_for_requests(4)
+        assert "timeout_ms=2000 " in peer.request_lines[3]
+        await peer.publish({"instanceId": "a", "lifecycle": "DELETED"})
+        assert first_status(await updates.get()) is EndpointStatus.REMOVED
+
+
+async def test_retries_use_jittered_and_growing_backoff(monkeypatch: pytest.MonkeyPatch) -> None:
     async def record_delays() -> list[float]:
         delays: list[float] = []
         done = asyncio.Event()
@@ -91,15 +88,12 @@
         poller.stop()
         return delays
 
-    async def test() -> None:
-        first, second = await record_delays(), await record_delays()
-        assert first != second  # gateways that failed together don't retry together
-        assert all(0 < delays[0] < 0.1 for delays in (first, second))
-        # Retry-After is capped by the maximum backoff, and jittered: all gateways were given the same one
-        assert first[7] != second[7]
-        assert all(0.5 <= delay <= 1.0 for delay in (*first[7:], *second[7:]))
-
-    run(test)
+    first, second = await record_delays(), await record_delays()
+    assert first != second  # gateways that failed together don't retry together
+    assert all(0 < delays[0] < 0.1 for delays in (first, second))
+    # Retry-After is capped by the maximum backoff, and jittered: all gateways were given the same one
+    assert first[7] != second[7]
+    assert all(0.5 <= delay <= 1.0 for delay in (*first[7:], *second[7:]))
 
 
 VIRTUAL_CONNECT_TIMEOUT = 0.25  # seconds
@@ -158,61 +152,50 @@
 @pytest.mark.parametrize("trickles", [False, True])
 @pytest.mark.parametrize("pushed", [False, True])
 @pytest.mark.parametrize("gateway_count", [1, 3, 40, 200])
-def test_a_stalled_watch_is_replaced_within_the_propagation_delay(
+async def test_a_stalled_watch_is_replaced_within_the_propagation_delay(
     gateway_count: int, pushed: bool, trickles: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # counted from the start of the stall, and also if the next poll stalls too
-    async def test() -> None:
-        peer, time = StallingDiscovery(trickles), ControlledTime()
-        peer.entries = {"a": peer.entry("a", "127.0.0.1:9")}
-        schedule = poll_schedule_for(gateway_count, pushed, DRAIN_TIMEOUT)
-        monkeypatch.setattr(poller_module, "asyncio", time)
-        monkeypatch.setattr(
-            "quota_gateway.discovery.poll_schedule.random.uniform", lambda lower, upper: upper
-        )
-        async with following(peer, None, schedule, VIRTUAL_CONNECT_TIMEOUT) as (_, updates):
-            await updates.get()
-            await peer.wait_for_requests(2)
-            peer.stalls = True
-            time.expire_last_timeout()  # of the watch
-            await peer.wait_for_requests(3)
-            peer.stalls = False
-            await peer.publish(peer.entry("a", "127.0.0.1:9", "DRAINING"))
-            time.expire_last_timeout()  # of the poll after it
-            assert first_status(await updates.get()) is EndpointStatus.DRAINING
-            assert time.elapsed <= MAX_PROPAGATION_DELAY
-
-    run(test)
-
-
-def test_polling_survives_deeply_nested_json_and_infinite_numbers() -> None:
-    async def test() -> None:
-        peer = FakeDiscovery()
-        async with following(peer) as (_, updates):
-            await updates.get()
-            bodies = (b"[" * 200_000, b'{"generation": 1e999, "reset": true, "instances": []}')
-            for number, body in enumerate(bodies):
-                await peer.wait_for_requests(2 + 2 * number)
-                for writer in list(peer.open_writers):
-                    writer.write(http_response(200, body))
-                assert (await updates.get()).is_full
-
-    run(test)
-
-
-def test_only_timeouts_extend_the_answer_timeout_and_only_bad_lists_reset_the_generation() -> None:
-    async def test() -> None:
-        poller = idle_poller()
-        for timeouts in (1, 2):
-            poller.handle_failure(TimeoutError())
-            assert (poller.consecutive_timeouts, poller.generation) == (timeouts, 7)
-        poller.handle_failure(DiscoveryUnavailableError("status 503"))
-        assert (poller.consecutive_timeouts, poller.generation) == (2, 7)
-        poller.handle_failure(EndpointListError("status 410"))
-        assert poller.generation is None
-        poller.stop()
-
-    run(test)
+    peer, time = StallingDiscovery(trickles), ControlledTime()
+    peer.entries = {"a": peer.entry("a", "127.0.0.1:9")}
+    schedule = poll_schedule_for(gateway_count, pushed, DRAIN_TIMEOUT)
+    monkeypatch.setattr(poller_module, "asyncio", time)
+    monkeypatch.setattr("quota_gateway.discovery.poll_schedule.random.uniform", lambda lower, upper: upper)
+    async with following(peer, None, schedule, VIRTUAL_CONNECT_TIMEOUT) as (_, updates):
+        await updates.get()
+        await peer.wait_for_requests(2)
+        peer.stalls = True
+        time.expire_last_timeout()  # of the watch
+        await peer.wait_for_requests(3)
+        peer.stalls = False
+        await peer.publish(peer.entry("a", "127.0.0.1:9", "DRAINING"))
+        time.expire_last_timeout()  # of the poll after it
+        assert first_status(await updates.get()) is EndpointStatus.DRAINING
+        assert time.elapsed <= MAX_PROPAGATION_DELAY
+
+
+async def test_polling_survives_deeply_nested_json_and_infinite_numbers() -> None:
+    peer = FakeDiscovery()
+    async with following(peer) as (_, updates):
+        await updates.get()
+        bodies = (b"[" * 200_000, b'{"generation": 1e999, "reset": true, "instances": []}')
+        for number, body in enumerate(bodies):
+            await peer.wait_for_requests(2 + 2 * number)
+            for writer in list(peer.open_writers):
+                writer.write(http_response(200, body))
+            assert (await updates.get()).is_full
+
+
+async def test_only_timeouts_extend_the_answer_timeout_and_only_bad_lists_reset_the_generation() -> None:
+    poller = idle_poller()
+    for timeouts in (1, 2):
+        poller.handle_failure(TimeoutError())
+        assert (poller.consecutive_timeouts, poller.generation) == (timeouts, 7)
+    poller.handle_failure(DiscoveryUnavailableError("status 503"))
+    assert (poller.consecutive_timeouts, poller.generation) == (2, 7)
+    poller.handle_failure(EndpointListError("status 410"))
+    assert poller.generation is None
+    poller.stop()
 
 
 def test_an_unusable_list_is_logged_on_one_line(caplog: pytest.LogCaptureFixture) -> None:
--- a/tests/test_endpoint_updates.py
+++ b/tests/test_endpoint_updates.py
@@ -274,20 +274,18 @@
     assert last_request <= MAX_PROPAGATION_DELAY
 
 
-def test_the_virtual_clock_advances_only_while_the_loop_is_idle() -> None:
-    async def test() -> None:
-        peer = FaultyDiscovery()
-        loop = asyncio.get_running_loop()
-        await peer.start()
-        reader, writer = await asyncio.open_connection(*parse_address(peer.address))
-        started_at = loop.time()
-        for _ in range(20):
-            writer.write(b"GET /v1/endpoints HTTP/1.1\r\nHost: x\r\n\r\n")
-            await read_message(reader)
-        assert loop.time() == started_at
-        await asyncio.sleep(2.0)
-        assert loop.time() == pytest.approx(started_at + 2.0)
-        writer.close()
-        await peer.stop()
-
-    run_on_virtual_clock(test)
+@pytest.mark.virtual_clock
+async def test_the_virtual_clock_advances_only_while_the_loop_is_idle() -> None:
+    peer = FaultyDiscovery()
+    loop = asyncio.get_running_loop()
+    await peer.start()
+    reader, writer = await asyncio.open_connection(*parse_address(peer.address))
+    started_at = loop.time()
+    for _ in range(20):
+        writer.write(b"GET /v1/endpoints HTTP/1.1\r\nHost: x\r\n\r\n")
+        await read_message(reader)
+    assert loop.time() == started_at
+    await asyncio.sleep(2.0)
+    assert loop.time() == pytest.approx(started_at + 2.0)
+    writer.close()
+    await peer.stop()
--- a/tests/test_gateway_process.py
+++ b/tests/test_gateway_process.py
@@ -22,7 +22,7 @@
 import pytest
 
 from tests.fakes import EVENT_TIMEOUT, HOST, FakeCounter, FakeDiscovery, send_success_after
-from tests.harness import READY_REQUEST, Client, GatewayHarness, high_quota_settings, request, run
+from tests.harness import READY_REQUEST, Client, GatewayHarness, high_quota_settings, request
 
 ROOT = pathlib.Path(__file__).parent.parent
 # the deploy file's command where .ci/run names it, so that what is deployed is what is tested
@@ -174,89 +174,80 @@
             return
 
 
-def test_sigterm_lets_every_request_have_its_response_and_exits_cleanly(tmp_path: pathlib.Path) -> None:
-    async def test() -> None:
-        async with process(tmp_path) as (harness, child):
-            backend_released = asyncio.Event()
-            harness.backends[0].script = [send_success_after(backend_released)]
-            waiting_client = await harness.connect_client()
-            idle_client = await harness.connect_client()
-            assert (await idle_client.exchange(READY_REQUEST))[0] == 200
-            waiting_client.send(request(1))
-            await harness.backends[0].wait_until(lambda: len(harness.backends[0].requests) == 1)
-            child.send_signal(signal.SIGTERM)
-            await until_draining(harness)
-            new_client = await harness.connect_client()  # new and idle connections are still served
-            status, headers, _ = await new_client.exchange(request(2))
-            assert status == 200
-            assert headers["connection"] == "close"
-            assert await new_client.wait_closed()
-            assert (await idle_client.exchange(request(3)))[0] == 200
-            assert await idle_client.wait_closed()
-            backend_released.set()
-            assert (await waiting_client.read_response())[0] == 200
-            assert await waiting_client.wait_closed()
-            async with asyncio.timeout(EVENT_TIMEOUT):
-                assert await child.wait() == 0
-            assert await child.stderr.read() == b""
-
-    run(test)
-
-
-def test_more_clients_than_descriptors_all_have_a_response(tmp_path: pathlib.Path) -> None:
+async def test_sigterm_lets_every_request_have_its_response_and_exits_cleanly(tmp_path: pathlib.Path) -> None:
+    async with process(tmp_path) as (harness, child):
+        backend_released = asyncio.Event()
+        harness.backends[0].script = [send_success_after(backend_released)]
+        waiting_client = await harness.connect_client()
+        idle_client = await harness.connect_client()
+        assert (await idle_client.exchange(READY_REQUEST))[0] == 200
+        waiting_client.send(request(1))
+        await harness.backends[0].wait_until(lambda: len(harness.backends[0].requests) == 1)
+        child.send_signal(signal.SIGTERM)
+        await until_draining(harness)
+        new_client = await harness.connect_client()  # new and idle connections are still served
+        status, headers, _ = await new_client.exchange(request(2))
+        assert status == 200
+        assert headers["connection"] == "close"
+        assert await new_client.wait_closed()
+        assert (await idle_client.exchange(request(3)))[0] == 200
+        assert await idle_client.wait_closed()
+        backend_released.set()
+        assert (await waiting_client.read_response())[0] == 200
+        assert await waiting_client.wait_closed()
+        async with asyncio.timeout(EVENT_TIMEOUT):
+            assert await child.wait() == 0
+        assert await child.stderr.read() == b""
+
+
+async def test_more_clients_than_descriptors_all_have_a_response(tmp_path: pathlib.Path) -> None:
     # asyncio's own server closes a connection that it has no descriptor for, with the request on it
-    async def test() -> None:
-        async with process(tmp_path, descriptors=40) as (harness, child):
-            clients = [await harness.connect_client() for _ in range(60)]
-            for client in clients:
-                client.send(READY_REQUEST)
-
-            async def status_of(client: Client) -> int:
-                status, _, _ = await client.read_response()
-                client.writer.close()
-                return status
+    async with process(tmp_path, descriptors=40) as (harness, child):
+        clients = [await harness.connect_client() for _ in range(60)]
+        for client in clients:
+            client.send(READY_REQUEST)
 
-            assert await asyncio.gather(*(status_of(client) for client in clients)) == [200] * 60
-            assert (await (await harness.connect_client()).exchange(request(1)))[0] == 200
-            assert child.returncode is None
+        async def status_of(client: Client) -> int:
+            status, _, _ = await client.read_response()
+            client.writer.close()
+            return status
 
-    run(test)
+        assert await asyncio.gather(*(status_of(client) for client in clients)) == [200] * 60
+        assert (await (await harness.connect_client()).exchange(request(1)))[0] == 200
+        assert child.returncode is None
 
 
 @pytest.mark.parametrize("override_discovery", [False, True])
-def test_sighup_moves_discovery_and_counter_to_the_addresses_in_the_file(
+async def test_sighup_moves_discovery_and_counter_to_the_addresses_in_the_file(
     tmp_path: pathlib.Path, override_discovery: bool
 ) -> None:
     # without a handler the signal ends the process, with all requests in flight
-    async def test() -> None:
-        async with process(tmp_path, override_discovery=override_discovery) as (harness, child):
-            path = tmp_path / "config.json"
-            content = json.loads(path.read_text())
-            client = await harness.connect_client()
-            path.write_text("{")
-            child.send_signal(signal.SIGHUP)
-            async with asyncio.timeout(EVENT_TIMEOUT):
-                assert b"keeping the current configuration" in await child.stderr.readline()
-            assert (await client.exchange(request(1)))[0] == 200
-            discovery = FakeDiscovery()
-            counter = FakeCounter()
-            await discovery.start()
-            await counter.start()
-            discovery.entries = harness.discovery.entries
-            content |= {"discovery": discovery.address, "counter": counter.address}
-            path.write_text(json.dumps(content))
-            child.send_signal(signal.SIGHUP)
-            await discovery.wait_for_requests(2)  # its full list was applied
-            await until_counted(client, counter)
-            assert child.returncode is None
-            child.terminate()
-            async with asyncio.timeout(EVENT_TIMEOUT):
-                assert await child.wait() == 0
-            assert await child.stderr.read() == b""
-            await discovery.stop()
-            await counter.stop()
-
-    run(test)
+    async with process(tmp_path, override_discovery=override_discovery) as (harness, child):
+        path = tmp_path / "config.json"
+        content = json.loads(path.read_text())
+        client = await harness.connect_client()
+        path.write_text("{")
+        child.send_signal(signal.SIGHUP)
+        async with asyncio.timeout(EVENT_TIMEOUT):
+            assert b"keeping the current configuration" in await child.stderr.readline()
+        assert (await client.exchange(request(1)))[0] == 200
+        discovery = FakeDiscovery()
+        counter = FakeCounter()
+        await discovery.start()
+        await counter.start()
+        discovery.entries = harness.discovery.entries
+        content |= {"discovery": discovery.address, "counter": counter.address}
+        path.write_text(json.dumps(content))
+        child.send_signal(signal.SIGHUP)
+        await discovery.wait_for_requests(2)  # its full list was applied
+        await until_counted(client, counter)
+        assert child.returncode is None
+        child.terminate()
+        async with asyncio.timeout(EVENT_TIMEOUT):
+            assert await child.wait() == 0
+        assert await child.stderr.read() == b""
+        await discovery.stop()
+        await counter.stop()
 
 
 async def until_counted(client: Client, counter: FakeCounter) -> None:
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -11,7 +11,7 @@
 from quota_gateway.gateway_process import GatewayProcess
 from quota_gateway.shutdown import FLUSH_TIMEOUT
 from tests.fakes import HttpMessage, send_success_after
-from tests.harness import Client, GatewayHarness, high_quota_settings, request, run, running_gateway
+from tests.harness import Client, GatewayHarness, high_quota_settings, request, running_gateway
 
 
 @pytest.fixture(autouse=True)
@@ -45,102 +45,87 @@
 
 
 @pytest.mark.parametrize("deadline", [0.8, 1.5, 2.5, 3.0, 8.0])
-def test_every_request_has_its_response_before_the_earliest_sigkill(deadline: float) -> None:
+async def test_every_request_has_its_response_before_the_earliest_sigkill(deadline: float) -> None:
     # SIGKILL comes 0.7 s past the longest deadline, which counts as 3 s at most
-    async def test() -> None:
-        settings = high_quota_settings()
-        for request_class in settings["services"]:
-            request_class.update(deadline=1000.0 * deadline, aim=300.0)
-        content = GatewayHarness(0).configuration(settings, 1024)
-        content |= {"discovery": "127.0.0.1:1", "counter": "127.0.0.1:1"}
-        process = GatewayProcess(build_configuration(content, {}))
-        earliest_deadline = min(deadline, 3.0)
-        assert earliest_deadline < process.shutdown_timeout < earliest_deadline + 0.7 - FLUSH_TIMEOUT
-        process.listener.close()
-        process.pool.close()
-
-    run(test)
+    settings = high_quota_settings()
+    for request_class in settings["services"]:
+        request_class.update(deadline=1000.0 * deadline, aim=300.0)
+    content = GatewayHarness(0).configuration(settings, 1024)
+    content |= {"discovery": "127.0.0.1:1", "counter": "127.0.0.1:1"}
+    process = GatewayProcess(build_configuration(content, {}))
+    earliest_deadline = min(deadline, 3.0)
+    assert earliest_deadline < process.shutdown_timeout < earliest_deadline + 0.7 - FLUSH_TIMEOUT
+    process.listener.close()
+    process.pool.close()
 
 
 @pytest.mark.parametrize("received", [20, len(request(1)) - 1])
-def test_a_request_partly_read_when_idle_connections_close_is_served(received: int) -> None:
+async def test_a_request_partly_read_when_idle_connections_close_is_served(received: int) -> None:
     # with no other request in flight the process used to end at once, and reset the connection
-    async def test() -> None:
-        async with running_gateway() as harness:
-            client = await harness.connect_client()
-            client.send(request(1)[:received])
-            connections = harness.process.listener.connections
-            await until(lambda: any(connection.in_request for connection in connections))
-            shutdown = await begin_shutdown(harness)
-            client.send(request(1)[received:])
-            status, headers, _ = await client.read_response()
-            assert status == 200
-            assert headers["connection"] == "close"
-            assert await client.wait_closed()
-            client.writer.close()
-            await shutdown
-
-    run(test)
-
-
-def test_pipelined_requests_that_arrive_while_a_backend_hangs_are_all_served() -> None:
-    async def test() -> None:
-        backend_released = asyncio.Event()
-        async with running_gateway() as harness:
-            harness.backends[0].script = [send_success_after(backend_released)]
-            client = await harness.connect_client()
-            client.send(request(1))
-            await harness.backends[0].wait_until(lambda: len(harness.received_requests()) == 1)
-            shutdown = await begin_shutdown(harness)
-            client.send(request(2) + request(3)[:30])
-            await until(lambda: len(harness.process.dispatcher.active_requests) >= 2)
-            backend_released.set()
-            assert [(await client.read_response())[0] for _ in range(2)] == [200, 200]
-            client.send(request(3)[30:])
-            status, headers, _ = await client.read_response()
-            assert status == 200
-            assert headers["connection"] == "close"
-            assert await client.wait_closed()
-            client.writer.close()
-            await shutdown
-
-    run(test)
-
-
-def test_a_request_whose_backend_hangs_to_the_end_is_failed_with_a_response() -> None:
-    async def test() -> None:
-        async with running_gateway() as harness:
-
-            def never_respond(writer: asyncio.StreamWriter, asked: HttpMessage) -> None:
-                pass
-
-            harness.backends[0].script = [never_respond]
+    async with running_gateway() as harness:
+        client = await harness.connect_client()
+        client.send(request(1)[:received])
+        connections = harness.process.listener.connections
+        await until(lambda: any(connection.in_request for connection in connections))
+        shutdown = await begin_shutdown(harness)
+        client.send(request(1)[received:])
+        status, headers, _ = await client.read_response()
+        assert status == 200
+        assert headers["connection"] == "close"
+        assert await client.wait_closed()
+        client.writer.close()
+        await shutdown
+
+
+async def test_pipelined_requests_that_arrive_while_a_backend_hangs_are_all_served() -> None:
+    backend_released = asyncio.Event()
+    async with running_gateway() as harness:
+        harness.backends[0].script = [send_success_after(backend_released)]
+        client = await harness.connect_client()
+        client.send(request(1))
+        await harness.backends[0].wait_until(lambda: len(harness.received_requests()) == 1)
+        shutdown = await begin_shutdown(harness)
+        client.send(request(2) + request(3)[:30])
+        await until(lambda: len(harness.process.dispatcher.active_requests) >= 2)
+        backend_released.set()
+        assert [(await client.read_response())[0] for _ in range(2)] == [200, 200]
+        client.send(request(3)[30:])
+        status, headers, _ = await client.read_response()
+        assert status == 200
+        assert headers["connection"] == "close"
+        assert await client.wait_closed()
+        client.writer.close()
+        await shutdown
+
+
+async def test_a_request_whose_backend_hangs_to_the_end_is_failed_with_a_response() -> None:
+    async with running_gateway() as harness:
+
+        def never_respond(writer: asyncio.StreamWriter, asked: HttpMessage) -> None:
+            pass
+
+        harness.backends[0].script = [never_respond]
+        client = await harness.connect_client()
+        client.send(request(1, "extract"))
+        await harness.backends[0].wait_until(lambda: len(harness.received_requests()) == 1)
+        await harness.process.stop(0.0, 0.0)
+        assert (await client.read_response())[0] == 504
+        assert await client.wait_closed()
+        assert len(harness.received_requests()) == 1
+
+
+async def test_every_connection_in_the_listen_queue_is_accepted_however_many() -> None:
+    async with running_gateway(socket_limit=1024) as harness:
+        listener = harness.process.listener
+        assert listener.listener is not None
+        listener.loop.remove_reader(listener.listener)
+        listener.listener.listen(256)
+        clients: list[Client] = []
+        for number in range(100):  # more than are accepted in one iteration of the event loop
             client = await harness.connect_client()
-            client.send(request(1, "extract"))
-            await harness.backends[0].wait_until(lambda: len(harness.received_requests()) == 1)
-            await harness.process.stop(0.0, 0.0)
-            assert (await client.read_response())[0] == 504
-            assert await client.wait_closed()
-            assert len(harness.received_requests()) == 1
-
-    run(test)
-
-
-def test_every_connection_in_the_listen_queue_is_accepted_however_many() -> None:
-    async def test() -> None:
-        async with running_gateway(socket_limit=1024) as harness:
-            listener = harness.process.listener
-            assert listener.listener is not None
-            listener.loop.remove_reader(listener.listener)
-            listener.listener.listen(256)
-            clients: list[Client] = []
-            for number in range(100):  # more than are accepted in one iteration of the event loop
-                client = await harness.connect_client()
-                client.send(request(number))
-                clients.append(client)
-            await harness.process.stop(0.0, 8.0)
-            statuses = [(await client.read_response())[0] for client in clients]
-            assert set(statuses) <= {200, 429}
-            assert statuses.count(200) >= 4
-
-    run(test)
+            client.send(request(number))
+            clients.append(client)
+        await harness.process.stop(0.0, 8.0)
+        statuses = [(await client.read_response())[0] for client in clients]
+        assert set(statuses) <= {200, 429}
+        assert statuses.count(200) >= 4
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -27,7 +27,6 @@
     GatewayHarness,
     high_quota_settings,
     request,
-    run,
     running_gateway,
 )
 from tests.policy_harness import make_attempt_ended, make_engine, make_request
@@ -174,122 +173,108 @@
                 await peer.stop()
 
 
-def test_a_hot_restart_loses_no_request_and_keeps_maintenance(tmp_path: pathlib.Path) -> None:
-    async def test() -> None:
-        async with process_group(tmp_path) as processes:
-            harness = processes.harness
-            old, old_admin_port = await processes.start()
-            idle, waiting = await harness.connect_client(), await harness.connect_client()
-            assert (await idle.exchange(READY_REQUEST))[0] == 200
-            assert await processes.call(old_admin_port, "POST", "/backends/b0/maint") == 200
-            released = asyncio.Event()
-            harness.backends[1].script = [send_success_after(released)]
-            waiting.send(request(1, budget=900.0))
-            await harness.backends[1].wait_until(lambda: len(harness.backends[1].requests) == 1)
-            _, new_admin_port = await processes.start()
-            async with asyncio.timeout(EVENT_TIMEOUT):  # until the older process stops accepting
-                number = 10
-                while (await processes.metrics(new_admin_port))["success.lookup"] == 0:
-                    number += 1
-                    assert await processes.request_status(number) == 200
-            before = await processes.metrics(old_admin_port)
-            assert [await processes.request_status(n) for n in range(50, 60)] == [200] * 10
-            assert (await processes.metrics(old_admin_port))["success.lookup"] == before["success.lookup"]
-            status, headers, _ = await idle.exchange(READY_REQUEST)
-            assert status == 200 and headers["connection"] == "close" and await idle.wait_closed()
-            old.send_signal(signal.SIGTERM)
-            released.set()
-            assert (await waiting.read_response())[0] == 200 and await waiting.wait_closed()
-            async with asyncio.timeout(EVENT_TIMEOUT):
-                assert await old.wait() == 0
-            assert [await processes.request_status(n) for n in range(60, 70)] == [200] * 10
-            metrics = await processes.metrics(new_admin_port)
-            assert not harness.backends[0].requests and metrics["targets_disabled"] == 1
-
-    run(test)
-
-
-def test_a_maintenance_command_to_either_process_applies_to_both(tmp_path: pathlib.Path) -> None:
-    async def test() -> None:
-        async with process_group(tmp_path) as processes:
-            _, old = await processes.start()
-            _, new = await processes.start()
-            for commanded, other in ((old, new), (new, old)):
-                for command, disabled in (("maint", 1), ("ready", 0)):
-                    assert await processes.call(commanded, "POST", f"/backends/b0/{command}") == 200
-                    async with asyncio.timeout(EVENT_TIMEOUT):
-                        while (await processes.metrics(other))["targets_disabled"] != disabled:
-                            pass
-
-    run(test)
-
-
-def test_an_older_process_serves_again_if_the_newer_one_dies(tmp_path: pathlib.Path) -> None:
-    async def test() -> None:
-        async with process_group(tmp_path) as processes:
-            _, old = await processes.start()
-            child, _ = await processes.start()
-            child.kill()
-            await child.wait()
-            waiting = (
-                await processes.harness.connect_client()
-            )  # queued at the descriptor, whichever process accepts
-            assert (await waiting.exchange(request(1)))[0] == 200
-            assert (await waiting.exchange(request(2)))[0] == 200  # the connection is kept alive
-            assert (await processes.metrics(old))["success.lookup"] >= 2
-            _, new = await processes.start()
-            assert await processes.call(new, "GET", "/healthcheck") == 200
-
-    run(test)
+async def test_a_hot_restart_loses_no_request_and_keeps_maintenance(tmp_path: pathlib.Path) -> None:
+    async with process_group(tmp_path) as processes:
+        harness = processes.harness
+        old, old_admin_port = await processes.start()
+        idle, waiting = await harness.connect_client(), await harness.connect_client()
+        assert (await idle.exchange(READY_REQUEST))[0] == 200
+        assert await processes.call(old_admin_port, "POST", "/backends/b0/maint") == 200
+        released = asyncio.Event()
+        harness.backends[1].script = [send_success_after(released)]
+        waiting.send(request(1, budget=900.0))
+        await harness.backends[1].wait_until(lambda: len(harness.backends[1].requests) == 1)
+        _, new_admin_port = await processes.start()
+        async with asyncio.timeout(EVENT_TIMEOUT):  # until the older process stops accepting
+            number = 10
+            while (await processes.metrics(new_admin_port))["success.lookup"] == 0:
+                number += 1
+                assert await processes.request_status(number) == 200
+        before = await processes.metrics(old_admin_port)
+        assert [await processes.request_status(n) for n in range(50, 60)] == [200] * 10
+        assert (await processes.metrics(old_admin_port))["success.lookup"] == before["success.lookup"]
+        status, headers, _ = await idle.exchange(READY_REQUEST)
+        assert status == 200 and headers["connection"] == "close" and await idle.wait_closed()
+        old.send_signal(signal.SIGTERM)
+        released.set()
+        assert (await waiting.read_response())[0] == 200 and await waiting.wait_closed()
+        async with asyncio.timeout(EVENT_TIMEOUT):
+            assert await old.wait() == 0
+        assert [await processes.request_status(n) for n in range(60, 70)] == [200] * 10
+        metrics = await processes.metrics(new_admin_port)
+        assert not harness.backends[0].requests and metrics["targets_disabled"] == 1
+
+
+async def test_a_maintenance_command_to_either_process_applies_to_both(tmp_path: pathlib.Path) -> None:
+    async with process_group(tmp_path) as processes:
+        _, old = await processes.start()
+        _, new = await processes.start()
+        for commanded, other in ((old, new), (new, old)):
+            for command, disabled in (("maint", 1), ("ready", 0)):
+                assert await processes.call(commanded, "POST", f"/backends/b0/{command}") == 200
+                async with asyncio.timeout(EVENT_TIMEOUT):
+                    while (await processes.metrics(other))["targets_disabled"] != disabled:
+                        pass
+
+
+async def test_an_older_process_serves_again_if_the_newer_one_dies(tmp_path: pathlib.Path) -> None:
+    async with process_group(tmp_path) as processes:
+        _, old = await processes.start()
+        child, _ = await processes.start()
+        child.kill()
+        await child.wait()
+        waiting = (
+            await processes.harness.connect_client()
+        )  # queued at the descriptor, whichever process accepts
+        assert (await waiting.exchange(request(1)))[0] == 200
+        assert (await waiting.exchange(request(2)))[0] == 200  # the connection is kept alive
+        assert (await processes.metrics(old))["success.lookup"] >= 2
+        _, new = await processes.start()
+        assert await processes.call(new, "GET", "/healthcheck") == 200
 
 
 @pytest.mark.parametrize("stale", ["file", "socket", "folder"])
-def test_files_left_by_an_older_process_do_not_prevent_the_start(stale: str, tmp_path: pathlib.Path) -> None:
-    async def test() -> None:
-        path = tmp_path / SOCKET_NAME
-        if stale == "file":
-            path.write_text("left")
-        elif stale == "folder":
-            path.mkdir()
-        else:
-            with socket.socket(socket.AF_UNIX) as left:
-                left.bind(str(path))
-        async with process_group(tmp_path) as processes:
-            await processes.start()
-            assert await processes.request_status(1) == 200
-
-    run(test)
-
-
-def test_a_hanging_older_process_does_not_delay_the_start(
+async def test_files_left_by_an_older_process_do_not_prevent_the_start(
+    stale: str, tmp_path: pathlib.Path
+) -> None:
+    path = tmp_path / SOCKET_NAME
+    if stale == "file":
+        path.write_text("left")
+    elif stale == "folder":
+        path.mkdir()
+    else:
+        with socket.socket(socket.AF_UNIX) as left:
+            left.bind(str(path))
+    async with process_group(tmp_path) as processes:
+        await processes.start()
+        assert await processes.request_status(1) == 200
+
+
+async def test_a_hanging_older_process_does_not_delay_the_start(
     tmp_path: pathlib.Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(coordinator, "STATE_TRANSFER_TIMEOUT", 0.01)
-
-    async def test() -> None:
-        with socket.socket(socket.AF_UNIX) as hanging:
-            hanging.bind(str(tmp_path / SOCKET_NAME))
-            hanging.listen()
-            async with running_gateway() as harness:
-                process = harness.process
-                superseded: list[bool] = []
-                restarting = coordinator.HotRestartCoordinator(
-                    str(tmp_path), process.dispatcher, process.discovery.answered, superseded.append
-                )
-                await restarting.restore_from_older()
-                assert len(restarting.links) == 1
-                process.dispatcher.set_maintenance("b0", True)
-                restarting.broadcast(SetMaintenance("b0", True))
-                older, _ = hanging.accept()
-                state = {**process.dispatcher.state_snapshot().state, "banned": []}
-                link = next(iter(restarting.links))
-                link.data_received(json.dumps({"estate": state, "list": []}).encode() + b"\n")
-                # the command that came before the state is in force after it
-                assert process.dispatcher.engine.registry.under_maintenance == {"b0"}
-                link.data_received(b"[nonsense\n")
-                restarting.close()
-                older.close()
-                client: Client = await harness.connect_client()
-                assert (await client.exchange(READY_REQUEST))[0] == 503  # its one backend is in maintenance
-
-    run(test)
+    with socket.socket(socket.AF_UNIX) as hanging:
+        hanging.bind(str(tmp_path / SOCKET_NAME))
+        hanging.listen()
+        async with running_gateway() as harness:
+            process = harness.process
+            superseded: list[bool] = []
+            restarting = coordinator.HotRestartCoordinator(
+                str(tmp_path), process.dispatcher, process.discovery.answered, superseded.append
+            )
+            await restarting.restore_from_older()
+            assert len(restarting.links) == 1
+            process.dispatcher.set_maintenance("b0", True)
+            restarting.broadcast(SetMaintenance("b0", True))
+            older, _ = hanging.accept()
+            state = {**process.dispatcher.state_snapshot().state, "banned": []}
+            link = next(iter(restarting.links))
+            link.data_received(json.dumps({"estate": state, "list": []}).encode() + b"\n")
+            # the command that came before the state is in force after it
+            assert process.dispatcher.engine.registry.under_maintenance == {"b0"}
+            link.data_received(b"[nonsense\n")
+            restarting.close()
+            older.close()
+            client: Client = await harness.connect_client()
+            assert (await client.exchange(READY_REQUEST))[0] == 503  # its one backend is in maintenance
--- a/tests/test_no_attempt_after_disconnect.py
+++ b/tests/test_no_attempt_after_disconnect.py
@@ -254,32 +254,31 @@
 
 
 @pytest.mark.parametrize("how", DISCONNECTS)
-def test_units_of_a_disconnected_client_are_refunded_exactly_once(how: str) -> None:
-    async def test() -> None:
-        for state in ("counter", "connecting"):
-            async with waiting_request(state, 0.2) as case:
-                (throttle,) = case.harness.process.dispatcher.engine.limiters.limiters.values()
-                throttle.rate = 0.0  # no refill over time
-                before = throttle.balance + (1.0 if state == "connecting" else throttle.queued_units)
-                disconnect(case.client, how)
-                await asyncio.sleep(0.15)
-                case.release()
-                await asyncio.sleep(1.0)
-                throttle.rate = 0.0
-                if state == "connecting":
-                    assert throttle.balance == pytest.approx(before)
-                counted = sum(amount for _, amount in case.harness.counter.increments)
-                assert counted + throttle.unreported_units == pytest.approx(
-                    0.0
-                )  # reported, and yet to be reported
-            virtual_clock_loop().connect_delays = {}
-
-    run_on_virtual_clock(test)
+@pytest.mark.virtual_clock
+async def test_units_of_a_disconnected_client_are_refunded_exactly_once(how: str) -> None:
+    for state in ("counter", "connecting"):
+        async with waiting_request(state, 0.2) as case:
+            (throttle,) = case.harness.process.dispatcher.engine.limiters.limiters.values()
+            throttle.rate = 0.0  # no refill over time
+            before = throttle.balance + (1.0 if state == "connecting" else throttle.queued_units)
+            disconnect(case.client, how)
+            await asyncio.sleep(0.15)
+            case.release()
+            await asyncio.sleep(1.0)
+            throttle.rate = 0.0
+            if state == "connecting":
+                assert throttle.balance == pytest.approx(before)
+            counted = sum(amount for _, amount in case.harness.counter.increments)
+            assert counted + throttle.unreported_units == pytest.approx(
+                0.0
+            )  # reported, and yet to be reported
+        virtual_clock_loop().connect_delays = {}
 
 
 @pytest.mark.parametrize("how", DISCONNECTS)
 @pytest.mark.parametrize("state", ["counter", "connecting"])
-def test_burst_of_disconnects_on_a_busy_core_starts_no_late_attempt(
+@pytest.mark.virtual_clock
+async def test_burst_of_disconnects_on_a_busy_core_starts_no_late_attempt(
     state: str, how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The last of the disconnects is read 0.2 s after it happened, when the requests have been released."""
@@ -300,38 +299,31 @@
 
     monkeypatch.setattr(RequestDispatcher, "handle", handle_slowly)
     monkeypatch.setattr(HalfClose, "begin", begin_slowly)
-
-    async def test() -> None:
-        nonlocal busy
-        loop = virtual_clock_loop()
-        async with recording(
-            2, example_settings() if state == "counter" else high_quota_settings()
-        ) as harness:
-            dispatcher = harness.process.dispatcher
-            clients = [await harness.connect_client() for _ in range(BURST_SIZE)]
-            harness.counter.replies_enabled.clear()
-            if state == "connecting":
-                loop.connect_delays = {port_of(b): 0.12 for b in harness.backends}
-                for endpoint in dispatcher.engine.endpoints.values():
-                    endpoint.concurrency_limit = BURST_SIZE
-            for number, client in enumerate(clients):
-                client.send(request(number, customer=f"{number:016x}"))
-            await until(lambda: len(dispatcher.active_requests) >= 0.6 * BURST_SIZE)
-            waiting, disconnected_at, busy = len(dispatcher.active_requests), loop.now, True
-            for client in clients:
-                disconnect(client, how)
-            if state == "counter":
-                harness.counter.replies_enabled.set()
-            await asyncio.sleep(2.0)
-            busy = False
-            delays = [t - disconnected_at for t in attempt_starts(harness)]
-            print(
-                f"burst, {state}, {how}: {waiting} requests waited, the last disconnect was detected after "
-                f"{max(detected_at, default=disconnected_at) - disconnected_at:.3f} s, "
-                f"latest attempt {max(delays, default=-1.0):.3f} s after it"
-            )
-            assert max(delays, default=0.0) <= MAX_START_DELAY
-            await asyncio.sleep(3.0)
-            assert not dispatcher.engine.forwarder.requests and not dispatcher.active_requests
-
-    run_on_virtual_clock(test)
+    loop = virtual_clock_loop()
+    async with recording(2, example_settings() if state == "counter" else high_quota_settings()) as harness:
+        dispatcher = harness.process.dispatcher
+        clients = [await harness.connect_client() for _ in range(BURST_SIZE)]
+        harness.counter.replies_enabled.clear()
+        if state == "connecting":
+            loop.connect_delays = {port_of(b): 0.12 for b in harness.backends}
+            for endpoint in dispatcher.engine.endpoints.values():
+                endpoint.concurrency_limit = BURST_SIZE
+        for number, client in enumerate(clients):
+            client.send(request(number, customer=f"{number:016x}"))
+        await until(lambda: len(dispatcher.active_requests) >= 0.6 * BURST_SIZE)
+        waiting, disconnected_at, busy = len(dispatcher.active_requests), loop.now, True
+        for client in clients:
+            disconnect(client, how)
+        if state == "counter":
+            harness.counter.replies_enabled.set()
+        await asyncio.sleep(2.0)
+        busy = False
+        delays = [t - disconnected_at for t in attempt_starts(harness)]
+        print(
+            f"burst, {state}, {how}: {waiting} requests waited, the last disconnect was detected after "
+            f"{max(detected_at, default=disconnected_at) - disconnected_at:.3f} s, "
+            f"latest attempt {max(delays, default=-1.0):.3f} s after it"
+        )
+        assert max(delays, default=0.0) <= MAX_START_DELAY
+        await asyncio.sleep(3.0)
+        assert not dispatcher.engine.forwarder.requests and not dispatcher.active_requests
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -13,7 +13,7 @@
 
 from tests.fakes import HOST, FakeBackend, example_settings
 from tests.faulty_discovery import DiscoveryFault, FaultyDiscovery
-from tests.harness import READY_REQUEST, GatewayHarness, high_quota_settings, request, run
+from tests.harness import READY_REQUEST, GatewayHarness, high_quota_settings, request
 from tests.test_gateway_process import ROOT, RUN
 from tests.virtual_clock import run_on_virtual_clock, virtual_unix_clock
 
@@ -134,52 +134,45 @@
 
 
 @pytest.mark.parametrize("fault", [DiscoveryFault.REFUSED, DiscoveryFault.SILENT])
-def test_nine_in_ten_processes_that_are_started_at_once_are_ready_in_time(
+async def test_nine_in_ten_processes_that_are_started_at_once_are_ready_in_time(
     fault: DiscoveryFault, tmp_path: pathlib.Path
 ) -> None:
     """Run the gateways as processes; the result depends on this machine's cores too."""
-
-    async def test() -> None:
-        fleet, discovery = await start_peers(FLEET_SIZE, fault)
-        processes = [await start_process(gateway, tmp_path) for gateway in fleet]
-        started_at = asyncio.get_running_loop().time()
-        try:
-            async with asyncio.timeout(2 * MAX_STARTUP_TIME):
-                await asyncio.gather(*(gateway.wait_until_serving(started_at) for gateway in fleet))
-        finally:
-            for process in processes:
-                process.kill()
-                await process.wait()
-            await stop_peers(fleet, discovery)
-        startup_times = sorted(gateway.startup_time for gateway in fleet)
-        print(f"ready: {FLEET_SIZE} processes, {fault}: {startup_times[-1]:.2f} s at most")
-        assert startup_times[int(0.9 * FLEET_SIZE)] <= MAX_STARTUP_TIME
-
-    run(test)
+    fleet, discovery = await start_peers(FLEET_SIZE, fault)
+    processes = [await start_process(gateway, tmp_path) for gateway in fleet]
+    started_at = asyncio.get_running_loop().time()
+    try:
+        async with asyncio.timeout(2 * MAX_STARTUP_TIME):
+            await asyncio.gather(*(gateway.wait_until_serving(started_at) for gateway in fleet))
+    finally:
+        for process in processes:
+            process.kill()
+            await process.wait()
+        await stop_peers(fleet, discovery)
+    startup_times = sorted(gateway.startup_time for gateway in fleet)
+    print(f"ready: {FLEET_SIZE} processes, {fault}: {startup_times[-1]:.2f} s at most")
+    assert startup_times[int(0.9 * FLEET_SIZE)] <= MAX_STARTUP_TIME
 
 
-def test_a_gateway_without_endpoints_is_ready_only_once_discovery_names_one() -> None:
+@pytest.mark.virtual_clock
+async def test_a_gateway_without_endpoints_is_ready_only_once_discovery_names_one() -> None:
     """Ready means able to serve, which a gateway without endpoints is not."""
-
-    async def test() -> None:
-        harness = GatewayHarness(1)
-        peer = harness.discovery = FaultyDiscovery()
-        servers = (*harness.backends, peer, harness.counter)
-        with pytest.MonkeyPatch.context() as patch:
-            patch.setattr("quota_gateway.gateway_process.start_clock", virtual_unix_clock)
-            for server in servers:
-                await server.start()
-            await peer.start_fault(DiscoveryFault.UNAVAILABLE)
-            await harness.start_gateway(high_quota_settings(), MAX_DESCRIPTORS)
-        client = await harness.connect_client()
-        assert (await client.exchange(READY_REQUEST))[0] == 503
-        await peer.end_fault(peer.entry("b0", harness.backends[0].address))
-        await asyncio.sleep(1.5)
-        assert (await client.exchange(READY_REQUEST))[0] == 200
-        assert (await client.exchange(request(1)))[0] == 200
-        client.writer.close()
-        await harness.process.stop(0.0, 0.0)
+    harness = GatewayHarness(1)
+    peer = harness.discovery = FaultyDiscovery()
+    servers = (*harness.backends, peer, harness.counter)
+    with pytest.MonkeyPatch.context() as patch:
+        patch.setattr("quota_gateway.gateway_process.start_clock", virtual_unix_clock)
         for server in servers:
-            await server.stop()
-
-    run_on_virtual_clock(test)
+            await server.start()
+        await peer.start_fault(DiscoveryFault.UNAVAILABLE)
+        await harness.start_gateway(high_quota_settings(), MAX_DESCRIPTORS)
+    client = await harness.connect_client()
+    assert (await client.exchange(READY_REQUEST))[0] == 503
+    await peer.end_fault(peer.entry("b0", harness.backends[0].address))
+    await asyncio.sleep(1.5)
+    assert (await client.exchange(READY_REQUEST))[0] == 200
+    assert (await client.exchange(request(1)))[0] == 200
+    client.writer.close()
+    await harness.process.stop(0.0, 0.0)
+    for server in servers:
+        await server.stop()
--- a/tests/test_recorded_messages.py
+++ b/tests/test_recorded_messages.py
@@ -15,7 +15,7 @@
 from quota_gateway.hot_restart.process_link import ProcessLink
 from quota_gateway.model.charges import UnitsCharged
 from quota_gateway.model.events import SetDraining, SetMaintenance, StateSnapshot
-from tests.harness import GatewayHarness, run, running_gateway
+from tests.harness import GatewayHarness, running_gateway
 from tests.policy_harness import make_engine
 
 RECORDED = json.loads((pathlib.Path(__file__).parent / "recorded/hot_restart_messages.json").read_text())
@@ -63,58 +63,50 @@
     return "number" if number else type(value).__name__
 
 
-def test_recorded_messages_of_an_older_process_are_applied(tmp_path: pathlib.Path) -> None:
-    async def test() -> None:
-        async with running_gateway(2) as harness:
-            engine = harness.process.dispatcher.engine
-            coordinator, link, _ = open_link(harness, tmp_path)
-            recorded = json.loads(FROM_OLDER[0])
-            link.data_received(FROM_OLDER[0].encode() + b"\n")
-            assert engine.registry.under_maintenance == {"b1"}
-            assert engine.registry.returned_at == recorded["estate"]["returned"]
-            assert engine.latency.machine_type_factors == recorded["estate"]["kinds"]
-            # idle throttles at their full level may be removed again, but never the latest
-            assert set(engine.limiters.limiters) <= {row[0] for row in recorded["estate"]["throttles"]}
-            assert "0000000000000005" in engine.limiters.limiters
-            for line in FROM_OLDER[1:]:
-                known = set(engine.limiters.limiters)
-                link.data_received(line.encode() + b"\n")
-                for customer in set(engine.limiters.limiters) - known:
-                    assert engine.limiters.limiters[customer].balance == 199.0  # one of 200 units is charged
-            assert engine.registry.under_maintenance == {"b0"} and not engine.draining
-            coordinator.close()
-
-    run(test)
-
-
-def test_recorded_messages_of_a_newer_process_are_applied(tmp_path: pathlib.Path) -> None:
-    async def test() -> None:
-        async with running_gateway(2) as harness:
-            engine = harness.process.dispatcher.engine
-            coordinator, link, transport = open_link(harness, tmp_path)
-            for line in FROM_NEWER:
-                link.data_received(line.encode() + b"\n")
-            assert (
-                engine.registry.under_maintenance == {"b0"}
-                and engine.draining
-                and coordinator.successor is link
-            )
-            assert "000000000000001a" in engine.limiters.limiters
-            sent, recorded = json.loads(transport.lines()[0]), json.loads(FROM_OLDER[0])
-            assert list(sent) == list(recorded)
-            # without customers there is no row to compare; all else has the recorded keys and types
-            for state in (sent["estate"], recorded["estate"]):
-                for row in state["servers"]:
-                    row[1] = row[1] or 0.0  # an unknown start time is null
-                for key in ("throttles", "returned", "kinds", "patience", "usual", "banned"):
-                    del state[key]
-            assert shape(sent["estate"]) == shape(recorded["estate"])
-            for row in sent["list"] + recorded["list"]:
-                row[6] = row[6] or 0.0
-            assert shape(sent["list"]) == shape(recorded["list"])
-            coordinator.close()
-
-    run(test)
+async def test_recorded_messages_of_an_older_process_are_applied(tmp_path: pathlib.Path) -> None:
+    async with running_gateway(2) as harness:
+        engine = harness.process.dispatcher.engine
+        coordinator, link, _ = open_link(harness, tmp_path)
+        recorded = json.loads(FROM_OLDER[0])
+        link.data_received(FROM_OLDER[0].encode() + b"\n")
+        assert engine.registry.under_maintenance == {"b1"}
+        assert engine.registry.returned_at == recorded["estate"]["returned"]
+        assert engine.latency.machine_type_factors == recorded["estate"]["kinds"]
+        # idle throttles at their full level may be removed again, but never the latest
+        assert set(engine.limiters.limiters) <= {row[0] for row in recorded["estate"]["throttles"]}
+        assert "0000000000000005" in engine.limiters.limiters
+        for line in FROM_OLDER[1:]:
+            known = set(engine.limiters.limiters)
+            link.data_received(line.encode() + b"\n")
+            for customer in set(engine.limiters.limiters) - known:
+                assert engine.limiters.limiters[customer].balance == 199.0  # one of 200 units is charged
+        assert engine.registry.under_maintenance == {"b0"} and not engine.draining
+        coordinator.close()
+
+
+async def test_recorded_messages_of_a_newer_process_are_applied(tmp_path: pathlib.Path) -> None:
+    async with running_gateway(2) as harness:
+        engine = harness.process.dispatcher.engine
+        coordinator, link, transport = open_link(harness, tmp_path)
+        for line in FROM_NEWER:
+            link.data_received(line.encode() + b"\n")
+        assert (
+            engine.registry.under_maintenance == {"b0"} and engine.draining and coordinator.successor is link
+        )
+        assert "000000000000001a" in engine.limiters.limiters
+        sent, recorded = json.loads(transport.lines()[0]), json.loads(FROM_OLDER[0])
+        assert list(sent) == list(recorded)
+        # without customers there is no row to compare; all else has the recorded keys and types
+        for state in (sent["estate"], recorded["estate"]):
+            for row in state["servers"]:
+                row[1] = row[1] or 0.0  # an unknown start time is null
+            for key in ("throttles", "returned", "kinds", "patience", "usual", "banned"):
+                del state[key]
+        assert shape(sent["estate"]) == shape(recorded["estate"])
+        for row in sent["list"] + recorded["list"]:
+            row[6] = row[6] or 0.0
+        assert shape(sent["list"]) == shape(recorded["list"])
+        coordinator.close()
 
 
 def test_a_recorded_state_is_written_as_it_was_read() -> None:
@@ -152,32 +144,26 @@
         (Hello(), '{"hello": true}'),
     ],
 )
-def test_messages_are_sent_and_decoded_as_recorded(
+async def test_messages_are_sent_and_decoded_as_recorded(
     message: Message, recorded: str, tmp_path: pathlib.Path
 ) -> None:
-    async def test() -> None:
-        assert recorded in FROM_OLDER + FROM_NEWER
-        async with running_gateway(2) as harness:
-            coordinator, link, transport = open_link(harness, tmp_path)
-            link.send(message)
-            assert transport.data == recorded.encode() + b"\n"
-            assert decode_message(transport.data) == message
-            coordinator.close()
-
-    run(test)
-
-
-def test_charged_units_and_commands_are_sent_as_recorded(tmp_path: pathlib.Path) -> None:
-    async def test() -> None:
-        async with running_gateway(2) as harness:
-            coordinator, _, transport = open_link(harness, tmp_path)
-            harness.process.hot_restart = coordinator
-            harness.process.forward_units(UnitsCharged("0000000000000006", "basis", 2, 1.0))
-            harness.process.set_draining(True)
-            assert transport.lines() == [CHARGED, '{"drain": true}']
-            coordinator.close()
-
-    run(test)
+    assert recorded in FROM_OLDER + FROM_NEWER
+    async with running_gateway(2) as harness:
+        coordinator, link, transport = open_link(harness, tmp_path)
+        link.send(message)
+        assert transport.data == recorded.encode() + b"\n"
+        assert decode_message(transport.data) == message
+        coordinator.close()
+
+
+async def test_charged_units_and_commands_are_sent_as_recorded(tmp_path: pathlib.Path) -> None:
+    async with running_gateway(2) as harness:
+        coordinator, _, transport = open_link(harness, tmp_path)
+        harness.process.hot_restart = coordinator
+        harness.process.forward_units(UnitsCharged("0000000000000006", "basis", 2, 1.0))
+        harness.process.set_draining(True)
+        assert transport.lines() == [CHARGED, '{"drain": true}']
+        coordinator.close()
 
 
 def test_unknown_messages_are_ignored_and_malformed_ones_raise() -> None:
--- a/tests/test_request_dispatcher.py
+++ b/tests/test_request_dispatcher.py
@@ -10,7 +10,7 @@
 from quota_gateway.model.actions import Action, FailRequest, StartAttempt
 from quota_gateway.model.events import Event, RequestReceived
 from tests.fakes import HttpMessage, ResponseStep, http_response, send_success
-from tests.harness import GatewayHarness, high_quota_settings, request, run, running_gateway
+from tests.harness import GatewayHarness, high_quota_settings, request, running_gateway
 
 
 def respond_with(data: bytes) -> ResponseStep:
@@ -49,64 +49,52 @@
         (abort_connection, "report", 200, 2),
     ],
 )
-def test_non_idempotent_request_is_retried_only_if_it_was_not_executed(
+async def test_non_idempotent_request_is_retried_only_if_it_was_not_executed(
     step: ResponseStep, request_class: str, status: int, attempts: int
 ) -> None:
-    async def test() -> None:
-        async with running_gateway(backends=2) as harness:
-            script_first_attempt(harness, step)
-            client = await harness.connect_client()
-            assert (await client.exchange(request(1, request_class)))[0] == status
-            assert len(harness.received_requests()) == attempts
-
-    run(test)
-
-
-def test_non_idempotent_requests_succeed_beside_a_backend_that_refuses_connections() -> None:
-    async def test() -> None:
-        async with running_gateway(backends=2) as harness:
-            await harness.backends[0].stop()
-            client = await harness.connect_client()
-            for number in range(6):
-                assert (await client.exchange(request(number, "extract")))[0] == 200
-
-    run(test)
-
-
-def test_endpoint_moves_to_another_address() -> None:
-    async def test() -> None:
-        async with running_gateway(backends=2) as harness:
-            client = await harness.connect_client()
-            discovery = harness.discovery
-            await discovery.publish(discovery.entry("b1", harness.backends[1].address, "DELETED"))
-            await discovery.wait_for_requests(3)
-            assert (await client.exchange(request(1)))[0] == 200
-            await discovery.publish(discovery.entry("b0", harness.backends[1].address))
-            await discovery.wait_for_requests(4)
-            assert (await client.exchange(request(2)))[0] == 200
-            assert [len(backend.requests) for backend in harness.backends] == [1, 1]
-
-    run(test)
-
-
-def test_unresponsive_backend_fails_the_request_before_the_client_times_out() -> None:
-    async def test() -> None:
-        async with running_gateway() as harness:
-            backend = harness.backends[0]
-            backend.script = [respond_with(b"")]
-            client = await harness.connect_client()
-            client.send(request(1, "extract", budget=0.4))
-            client_timeout = asyncio.get_running_loop().create_future()
-            asyncio.get_running_loop().call_later(0.4, client_timeout.set_result, None)
-            status, _, _ = await client.read_response()
-            assert status == 502 and not client_timeout.done()
-            await backend.wait_until(lambda: backend.closed_count == 1)
-
-    run(test)
+    async with running_gateway(backends=2) as harness:
+        script_first_attempt(harness, step)
+        client = await harness.connect_client()
+        assert (await client.exchange(request(1, request_class)))[0] == status
+        assert len(harness.received_requests()) == attempts
+
+
+async def test_non_idempotent_requests_succeed_beside_a_backend_that_refuses_connections() -> None:
+    async with running_gateway(backends=2) as harness:
+        await harness.backends[0].stop()
+        client = await harness.connect_client()
+        for number in range(6):
+            assert (await client.exchange(request(number, "extract")))[0] == 200
+
+
+async def test_endpoint_moves_to_another_address() -> None:
+    async with running_gateway(backends=2) as harness:
+        client = await harness.connect_client()
+        discovery = harness.discovery
+        await discovery.publish(discovery.entry("b1", harness.backends[1].address, "DELETED"))
+        await discovery.wait_for_requests(3)
+        assert (await client.exchange(request(1)))[0] == 200
+        await discovery.publish(discovery.entry("b0", harness.backends[1].address))
+        await discovery.wait_for_requests(4)
+        assert (await client.exchange(request(2)))[0] == 200
+        assert [len(backend.requests) for backend in harness.backends] == [1, 1]
+
+
+async def test_unresponsive_backend_fails_the_request_before_the_client_times_out() -> None:
+    async with running_gateway() as harness:
+        backend = harness.backends[0]
+        backend.script = [respond_with(b"")]
+        client = await harness.connect_client()
+        client.send(request(1, "extract", budget=0.4))
+        client_timeout = asyncio.get_running_loop().create_future()
+        asyncio.get_running_loop().call_later(0.4, client_timeout.set_result, None)
+        status, _, _ = await client.read_response()
+        assert status == 502 and not client_timeout.done()
+        await backend.wait_until(lambda: backend.closed_count == 1)
 
 
 @pytest.mark.parametrize("engine_raises", [False, True], ids=["no action", "an error"])
-def test_watchdog_fails_a_request_that_the_engine_leaves_unanswered(
+async def test_watchdog_fails_a_request_that_the_engine_leaves_unanswered(
     engine_raises: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     def handle(self: PolicyEngine, event: Event, now: float) -> list[Action]:
@@ -114,17 +102,16 @@
             raise RuntimeError("it broke")
         return []
 
-    async def test() -> None:
-        async with running_gateway() as harness:
-            client = await harness.connect_client()
-            monkeypatch.setattr(PolicyEngine, "handle", handle)
-            status, _, _ = await client.exchange(request(1, budget=0.3))
-            assert status == 504 and not harness.process.dispatcher.active_requests
+    async with running_gateway() as harness:
+        client = await harness.connect_client()
+        monkeypatch.setattr(PolicyEngine, "handle", handle)
+        status, _, _ = await client.exchange(request(1, budget=0.3))
+        assert status == 504 and not harness.process.dispatcher.active_requests
 
-    run(test)
 
-
-def test_second_final_response_and_an_attempt_after_it_are_ignored(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_second_final_response_and_an_attempt_after_it_are_ignored(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     def handle(self: PolicyEngine, event: Event, now: float) -> list[Action]:
         if isinstance(event, RequestReceived):
             return [
@@ -134,42 +121,31 @@
             ]
         return []
 
-    async def test() -> None:
-        async with running_gateway() as harness:
-            client = await harness.connect_client()
-            monkeypatch.setattr(PolicyEngine, "handle", handle)
-            assert (await client.exchange(request(1)))[0] == 502
-            assert (await client.exchange(request(2)))[
-                0
-            ] == 502  # its own response, not the first one's second
-            assert not harness.received_requests()
-
-    run(test)
+    async with running_gateway() as harness:
+        client = await harness.connect_client()
+        monkeypatch.setattr(PolicyEngine, "handle", handle)
+        assert (await client.exchange(request(1)))[0] == 502
+        assert (await client.exchange(request(2)))[0] == 502  # its own response, not the first one's second
+        assert not harness.received_requests()
 
 
 @pytest.mark.parametrize("allowed", [True, False])
-def test_rejected_requests_get_a_retry_after_only_where_it_is_allowed(allowed: bool) -> None:
-    async def test() -> None:
-        settings = high_quota_settings(retry_after=allowed)
-        settings["packages"][0].update(peak_units=16.0, units_per_s=0.001)
-        async with running_gateway(settings=settings) as harness:
-            client = await harness.connect_client()
-            answers = [await client.exchange(request(number, units="8")) for number in range(3)]
-            assert [status for status, _, _ in answers] == [200, 429, 429]
-            _, headers, _ = answers[1]
-            assert ("retry-after" in headers) == allowed
-
-    run(test)
-
-
-def test_units_of_a_customer_with_a_small_quota_are_added_at_the_counter() -> None:
-    async def test() -> None:
-        settings = high_quota_settings()
-        settings["packages"][0].update(peak_units=8.0, units_per_s=2.0)
-        settings["domain"]["count_limit"] = 5000.0
-        async with running_gateway(settings=settings) as harness:
-            client = await harness.connect_client()
-            assert (await client.exchange(request(1, units="3")))[0] == 200
-            assert harness.counter.increments[0][1] == 3.0
-
-    run(test)
+async def test_rejected_requests_get_a_retry_after_only_where_it_is_allowed(allowed: bool) -> None:
+    settings = high_quota_settings(retry_after=allowed)
+    settings["packages"][0].update(peak_units=16.0, units_per_s=0.001)
+    async with running_gateway(settings=settings) as harness:
+        client = await harness.connect_client()
+        answers = [await client.exchange(request(number, units="8")) for number in range(3)]
+        assert [status for status, _, _ in answers] == [200, 429, 429]
+        _, headers, _ = answers[1]
+        assert ("retry-after" in headers) == allowed
+
+
+async def test_units_of_a_customer_with_a_small_quota_are_added_at_the_counter() -> None:
+    settings = high_quota_settings()
+    settings["packages"][0].update(peak_units=8.0, units_per_s=2.0)
+    settings["domain"]["count_limit"] = 5000.0
+    async with running_gateway(settings=settings) as harness:
+        client = await harness.connect_client()
+        assert (await client.exchange(request(1, units="3")))[0] == 200
+        assert harness.counter.increments[0][1] == 3.0
--- a/tests/test_upstream_connections.py
+++ b/tests/test_upstream_connections.py
@@ -15,7 +15,6 @@
 from quota_gateway.upstream.endpoint_connections import MIN_IDLE_BEFORE_REUSE
 from quota_gateway.upstream.response_parser import MAX_HEAD_BYTES
 from tests.fakes import EVENT_TIMEOUT, HOST, HttpMessage, ResponseStep, http_response
-from tests.harness import run
 from tests.upstream_harness import ManualTimerLoop, abort_connection, respond_with, sending
 
 
@@ -38,14 +37,11 @@
         (http_response(200, b"x" * (MAX_BUFFERED_BYTES + 1)), Outcome.BROKEN_RESPONSE),
     ],
 )
-def test_response_determines_the_outcome(response: bytes, outcome: Outcome) -> None:
-    async def test() -> None:
-        async with sending(respond_with(response)) as (sender, endpoint):
-            assert await sender.outcome() is outcome
-            assert await sender.outcome() is Outcome.SUCCESS  # no response affects the next attempt
-            assert len(endpoint.requests) == 2
-
-    run(test)
+async def test_response_determines_the_outcome(response: bytes, outcome: Outcome) -> None:
+    async with sending(respond_with(response)) as (sender, endpoint):
+        assert await sender.outcome() is outcome
+        assert await sender.outcome() is Outcome.SUCCESS  # no response affects the next attempt
+        assert len(endpoint.requests) == 2
 
 
 @pytest.mark.parametrize(
@@ -59,18 +55,15 @@
         (b"HTTP/1.1 503 X\r\nX-Rejected: 1 \r\nContent-Length:0 \r\n\r\n", Outcome.REJECTED),
     ],
 )
-def test_response_split_at_every_byte_is_parsed(response: bytes, outcome: Outcome) -> None:
+async def test_response_split_at_every_byte_is_parsed(response: bytes, outcome: Outcome) -> None:
     # Split behind it, trailing whitespace was taken for a part of the value, and the response for malformed.
-    async def test() -> None:
-        async with sending(lambda writer, request: None) as (sender, endpoint):
-            started = sender.start()
-            await endpoint.wait_until(lambda: len(endpoint.requests) == 1)
-            (upstream,) = sender.pool.connections
-            for byte in response:
-                upstream.data_received(bytes((byte,)))
-            assert (await started.result).outcome is outcome
-
-    run(test)
+    async with sending(lambda writer, request: None) as (sender, endpoint):
+        started = sender.start()
+        await endpoint.wait_until(lambda: len(endpoint.requests) == 1)
+        (upstream,) = sender.pool.connections
+        for byte in response:
+            upstream.data_received(bytes((byte,)))
+        assert (await started.result).outcome is outcome
 
 
 @pytest.mark.parametrize(
@@ -82,65 +75,52 @@
         respond_with(b"HTTP/1.1 200 OK\r\n\r\nab", close=True),
     ],
 )
-def test_attempt_whose_connection_is_lost_after_the_write_may_have_been_executed(step: ResponseStep) -> None:
-    async def test() -> None:
-        async with sending(step) as (sender, _):
-            assert await sender.outcome() is Outcome.BROKEN_RESPONSE
-
-    run(test)
-
-
-def test_attempt_on_a_stale_pooled_connection_may_have_been_executed() -> None:
-    async def test() -> None:
-        async with sending(respond_with(http_response(200)), abort_connection) as (sender, endpoint):
-            assert await sender.outcome() is Outcome.SUCCESS
-            await asyncio.sleep(2 * MIN_IDLE_BEFORE_REUSE)
-            assert await sender.outcome() is Outcome.BROKEN_RESPONSE
-            assert len(endpoint.requests) == 2 and endpoint.connection_count == 1
+async def test_attempt_whose_connection_is_lost_after_the_write_may_have_been_executed(
+    step: ResponseStep,
+) -> None:
+    async with sending(step) as (sender, _):
+        assert await sender.outcome() is Outcome.BROKEN_RESPONSE
 
-    run(test)
 
+async def test_attempt_on_a_stale_pooled_connection_may_have_been_executed() -> None:
+    async with sending(respond_with(http_response(200)), abort_connection) as (sender, endpoint):
+        assert await sender.outcome() is Outcome.SUCCESS
+        await asyncio.sleep(2 * MIN_IDLE_BEFORE_REUSE)
+        assert await sender.outcome() is Outcome.BROKEN_RESPONSE
+        assert len(endpoint.requests) == 2 and endpoint.connection_count == 1
 
-def test_refused_connection_proves_that_nothing_was_executed() -> None:
-    async def test() -> None:
-        async with sending() as (sender, endpoint):
-            await endpoint.stop()
-            assert await sender.outcome() is Outcome.CONNECT_FAILED
 
-    run(test)
+async def test_refused_connection_proves_that_nothing_was_executed() -> None:
+    async with sending() as (sender, endpoint):
+        await endpoint.stop()
+        assert await sender.outcome() is Outcome.CONNECT_FAILED
 
 
-def test_incompletely_written_request_proves_that_nothing_was_executed() -> None:
+async def test_incompletely_written_request_proves_that_nothing_was_executed() -> None:
     # The kernel takes a part of a large body; the remainder is still in the gateway at the abort.
-    async def test() -> None:
-        async def read_a_little(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            await reader.readexactly(10)
-            await asyncio.sleep(0)
-            writer.transport.abort()
-
-        server = await asyncio.start_server(read_a_little, HOST, 0, limit=16)
-        async with sending() as (sender, _):
-            sender.pool.set_address("b", server.sockets[0].getsockname())
-            started = sender.start(body=b"x" * 30_000_000)
-            assert (await started.result).outcome is Outcome.CONNECT_FAILED
-        server.close()
-
-    run(test)
-
-
-def test_timeout_and_cancellation_close_the_connection() -> None:
-    async def test() -> None:
-        no_response = respond_with(b"")
-        async with sending(no_response, no_response) as (sender, endpoint):
-            assert await sender.outcome(0.05) is Outcome.TIMED_OUT
-            started = sender.start()
-            await endpoint.wait_until(lambda: len(endpoint.requests) == 2)
-            started.attempt.end(AttemptResult(Outcome.CANCELLED))
-            assert (await started.result).outcome is Outcome.CANCELLED
-            await endpoint.wait_until(lambda: endpoint.closed_count == 2)
-            assert not sender.pool.connections or await sender.outcome() is Outcome.SUCCESS
-
-    run(test)
+    async def read_a_little(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        await reader.readexactly(10)
+        await asyncio.sleep(0)
+        writer.transport.abort()
+
+    server = await asyncio.start_server(read_a_little, HOST, 0, limit=16)
+    async with sending() as (sender, _):
+        sender.pool.set_address("b", server.sockets[0].getsockname())
+        started = sender.start(body=b"x" * 30_000_000)
+        assert (await started.result).outcome is Outcome.CONNECT_FAILED
+    server.close()
+
+
+async def test_timeout_and_cancellation_close_the_connection() -> None:
+    no_response = respond_with(b"")
+    async with sending(no_response, no_response) as (sender, endpoint):
+        assert await sender.outcome(0.05) is Outcome.TIMED_OUT
+        started = sender.start()
+        await endpoint.wait_until(lambda: len(endpoint.requests) == 2)
+        started.attempt.end(AttemptResult(Outcome.CANCELLED))
+        assert (await started.result).outcome is Outcome.CANCELLED
+        await endpoint.wait_until(lambda: endpoint.closed_count == 2)
+        assert not sender.pool.connections or await sender.outcome() is Outcome.SUCCESS
 
 
 OTHER_RESPONSE = http_response(500, b"another's body", "Billed-Units: 7", "X-Rejected: 1")
@@ -150,46 +130,42 @@
     "surplus", [OTHER_RESPONSE, http_response(200, b"mine", "Billed-Units: 2"), b"\x00noise\r\n\r\n"]
 )
 @pytest.mark.parametrize("in_same_read", [True, False])
-def test_bytes_behind_a_response_affect_neither_it_nor_the_next(surplus: bytes, in_same_read: bool) -> None:
+async def test_bytes_behind_a_response_affect_neither_it_nor_the_next(
+    surplus: bytes, in_same_read: bool
+) -> None:
     # A second response in the same read was added to the first one's body and replaced its status and units;
     # one that came later was taken for the response to the next request on the connection.
-    async def test() -> None:
-        async def respond_with_surplus(writer: asyncio.StreamWriter, request: HttpMessage) -> None:
-            writer.write(http_response(200, b"mine", "Billed-Units: 2") + (surplus if in_same_read else b""))
-            if not in_same_read:
-                await writer.drain()
-                await started.result
-                writer.write(surplus)
-
-        async with sending(respond_with_surplus, respond_with(http_response(200, b"next"))) as (
-            sender,
-            endpoint,
-        ):
-            started = sender.start()
-            result = await started.result
-            assert (result.outcome, result.body, result.units) == (Outcome.SUCCESS, b"mine", 2.0)
-            await asyncio.sleep(2 * MIN_IDLE_BEFORE_REUSE)
-            assert (await sender.result()).body == b"next"
-            assert endpoint.connection_count == 2  # the first one isn't reused
-
-    run(test)
-
-
-def test_unread_bytes_on_an_idle_connection_are_seen_before_it_is_reused() -> None:
-    async def test() -> None:
-        async with sending(respond_with(http_response(200, b"mine"))) as (sender, endpoint):
-            await sender.outcome()
-            await asyncio.sleep(2 * MIN_IDLE_BEFORE_REUSE)
-            (upstream,) = sender.pool.connections
-            assert not upstream.has_unread_input()
-            endpoint_socket = next(iter(endpoint.open_writers)).get_extra_info("socket")
-            os.write(endpoint_socket.fileno(), http_response(200, b"late"))
-            assert upstream.transport is not None
-            upstream_socket = upstream.transport.get_extra_info("socket")
-            select.select([upstream_socket], [], [], EVENT_TIMEOUT)  # arrived, with no turn for the loop yet
-            assert upstream.has_unread_input()
-
-    run(test)
+    async def respond_with_surplus(writer: asyncio.StreamWriter, request: HttpMessage) -> None:
+        writer.write(http_response(200, b"mine", "Billed-Units: 2") + (surplus if in_same_read else b""))
+        if not in_same_read:
+            await writer.drain()
+            await started.result
+            writer.write(surplus)
+
+    async with sending(respond_with_surplus, respond_with(http_response(200, b"next"))) as (
+        sender,
+        endpoint,
+    ):
+        started = sender.start()
+        result = await started.result
+        assert (result.outcome, result.body, result.units) == (Outcome.SUCCESS, b"mine", 2.0)
+        await asyncio.sleep(2 * MIN_IDLE_BEFORE_REUSE)
+        assert (await sender.result()).body == b"next"
+        assert endpoint.connection_count == 2  # the first one isn't reused
+
+
+async def test_unread_bytes_on_an_idle_connection_are_seen_before_it_is_reused() -> None:
+    async with sending(respond_with(http_response(200, b"mine"))) as (sender, endpoint):
+        await sender.outcome()
+        await asyncio.sleep(2 * MIN_IDLE_BEFORE_REUSE)
+        (upstream,) = sender.pool.connections
+        assert not upstream.has_unread_input()
+        endpoint_socket = next(iter(endpoint.open_writers)).get_extra_info("socket")
+        os.write(endpoint_socket.fileno(), http_response(200, b"late"))
+        assert upstream.transport is not None
+        upstream_socket = upstream.transport.get_extra_info("socket")
+        select.select([upstream_socket], [], [], EVENT_TIMEOUT)  # arrived, with no turn for the loop yet
+        assert upstream.has_unread_input()
 
 
 @pytest.mark.parametrize(
@@ -201,19 +177,16 @@
     ],
 )
 @pytest.mark.parametrize("status", [200, 503])
-def test_interim_responses_are_ignored(interim: bytes, status: int) -> None:
-    async def test() -> None:
-        responses = (respond_with(interim + http_response(status, b"real")), respond_with(http_response(200)))
-        async with sending(*responses) as (sender, endpoint):
-            result = await sender.result()
-            if status == 200:
-                assert result == AttemptResult(Outcome.SUCCESS, b"real", 0.0, b"")
-            else:
-                assert result.outcome is Outcome.ERROR  # X-Rejected came with the interim response only
-            await asyncio.sleep(2 * MIN_IDLE_BEFORE_REUSE)
-            assert await sender.outcome() is Outcome.SUCCESS and endpoint.connection_count == 1
-
-    run(test)
+async def test_interim_responses_are_ignored(interim: bytes, status: int) -> None:
+    responses = (respond_with(interim + http_response(status, b"real")), respond_with(http_response(200)))
+    async with sending(*responses) as (sender, endpoint):
+        result = await sender.result()
+        if status == 200:
+            assert result == AttemptResult(Outcome.SUCCESS, b"real", 0.0, b"")
+        else:
+            assert result.outcome is Outcome.ERROR  # X-Rejected came with the interim response only
+        await asyncio.sleep(2 * MIN_IDLE_BEFORE_REUSE)
+        assert await sender.outcome() is Outcome.SUCCESS and endpoint.connection_count == 1
 
 
 # Responses that can't become complete, and are seen to be invalid without any timeout.
@@ -237,32 +210,25 @@
     [(response, 1000.0) for response in INVALID_RESPONSES]
     + [(response, connection.READ_TIMEOUT) for response in STALLED_RESPONSES],
 )
-def test_invalid_response_ends_the_attempt_long_before_its_deadline(
+async def test_invalid_response_ends_the_attempt_long_before_its_deadline(
     response: bytes, read_timeout: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # The attempt waited for each of these until its deadline, and the request failed with it.
     monkeypatch.setattr(connection, "READ_TIMEOUT", read_timeout)
-
-    async def test() -> None:
-        async with sending(respond_with(response)) as (sender, endpoint):
-            assert await sender.outcome(1000.0) is Outcome.BROKEN_RESPONSE
-            await endpoint.wait_until(lambda: endpoint.closed_count == 1)
-
-    run(test)
+    async with sending(respond_with(response)) as (sender, endpoint):
+        assert await sender.outcome(1000.0) is Outcome.BROKEN_RESPONSE
+        await endpoint.wait_until(lambda: endpoint.closed_count == 1)
 
 
 @pytest.mark.parametrize(("attempt_timeout", "read_timeout"), [(1.0, 0.2), (0.25, 0.05), (1000.0, 0.5)])
-def test_read_timeout_leaves_time_for_a_retry(attempt_timeout: float, read_timeout: float) -> None:
+async def test_read_timeout_leaves_time_for_a_retry(attempt_timeout: float, read_timeout: float) -> None:
     # Half a second was longer than an attempt with a short deadline: it timed out without a retry.
-    async def test() -> None:
-        incomplete = b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc"
-        async with sending(respond_with(incomplete)) as (sender, _):
-            loop = ManualTimerLoop(sender.pool.loop)
-            sender.pool.loop = loop  # type: ignore[assignment]
-            started = sender.start(attempt_timeout)
-            timer = await loop.timer("_read_timed_out")
-            assert timer.delay == pytest.approx(read_timeout, rel=0.01)
-            timer.fire()
-            assert (await started.result).outcome is Outcome.BROKEN_RESPONSE
-
-    run(test)
+    incomplete = b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc"
+    async with sending(respond_with(incomplete)) as (sender, _):
+        loop = ManualTimerLoop(sender.pool.loop)
+        sender.pool.loop = loop  # type: ignore[assignment]
+        started = sender.start(attempt_timeout)
+        timer = await loop.timer("_read_timed_out")
+        assert timer.delay == pytest.approx(read_timeout, rel=0.01)
+        timer.fire()
+        assert (await started.result).outcome is Outcome.BROKEN_RESPONSE
