--- a/quota_gateway/admin/server.py
+++ b/quota_gateway/admin/server.py
@@ -7,6 +7,7 @@
 from quota_gateway.admin.connection import AdminConnection
 from quota_gateway.admin.operations import AdminOperations
 from quota_gateway.sockets.acceptor import Acceptor
+from quota_gateway.sockets.addresses import Address
 from quota_gateway.sockets.listening import bind
 
 MAX_CONNECTIONS = 16  # at once: far more than operators' tools open
@@ -30,7 +31,7 @@
         """The listening socket, None before `listen` and after `close`."""
         return self._acceptor.listener
 
-    def listen(self, address: tuple[str, int]) -> None:
+    def listen(self, address: Address) -> None:
         """Accept connections at a host and port; raises OSError if they can't be bound."""
         self._acceptor.start(bind(address))
 
--- a/quota_gateway/configuration/reload.py
+++ b/quota_gateway/configuration/reload.py
@@ -11,6 +11,7 @@
 from quota_gateway.discovery.client import DiscoveryClient
 from quota_gateway.errors import ConfigurationError
 from quota_gateway.metrics import Metrics
+from quota_gateway.sockets.addresses import Address
 
 log = logging.getLogger("quota_gateway")
 
@@ -18,8 +19,8 @@
 class ReloadableAddresses(NamedTuple):
     """The addresses that may change while the gateway runs, as the file has them."""
 
-    discovery: tuple[str, int] | None
-    counter: tuple[str, int] | None
+    discovery: Address | None
+    counter: Address | None
 
 
 class ConfigurationReloader:
--- a/quota_gateway/counter/client.py
+++ b/quota_gateway/counter/client.py
@@ -12,6 +12,7 @@
 from quota_gateway.counter.reply import CounterResult
 from quota_gateway.model.events import CounterReply
 from quota_gateway.model.outcomes import Outcome
+from quota_gateway.sockets.addresses import Address
 from quota_gateway.sockets.dialing import connect_with_retry, ignore_descriptor_exhaustion
 
 CONNECTION_COUNT = 4  # names are hashed over the connections, so that one slow call delays fewer others
@@ -28,7 +29,7 @@
     def __init__(
         self,
         clock: Callable[[], float],
-        address: tuple[str, int],
+        address: Address,
         timeout: float,
         connect_timeout: float,
         on_reply: Callable[[CounterReply], None],
@@ -62,7 +63,7 @@
         call.timer = self.loop.call_later(self.reply_timeout, self.time_out, call)
         self._connection_for(name, now).send(call)
 
-    def move(self, address: tuple[str, int]) -> None:
+    def move(self, address: Address) -> None:
         """Send further calls to another address; calls in flight end on the connections they use."""
         self.address = address
         self.fastest_reply = 0.0  # unknown for the new address
--- a/quota_gateway/sockets/dialing.py
+++ b/quota_gateway/sockets/dialing.py
@@ -7,6 +7,8 @@
 from collections.abc import Callable
 from typing import TypeVar
 
+from quota_gateway.sockets.addresses import Address
+
 # No descriptor or kernel memory for one more socket: passes once other connections are closed.
 RESOURCE_EXHAUSTION_ERRNOS = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
 RETRY_DELAY = 0.02  # seconds; the connections that were closed to free descriptors have released them by then
@@ -16,7 +18,7 @@
 
 async def connect_with_retry(
     protocol_factory: Callable[[], ProtocolT],
-    address: tuple[str, int],
+    address: Address,
     on_descriptor_exhaustion: Callable[[], None],
 ) -> ProtocolT:
     """Connect to `address` (host, port) and return the connection's protocol.
--- a/quota_gateway/sockets/listening.py
+++ b/quota_gateway/sockets/listening.py
@@ -4,10 +4,12 @@
 
 import socket
 
+from quota_gateway.sockets.addresses import Address
+
 BACKLOG = 1024  # connections that the kernel may queue: a burst of clients, until the loop accepts them
 
 
-def bind(address: tuple[str, int]) -> socket.socket:
+def bind(address: Address) -> socket.socket:
     """Return a non-blocking socket that listens at `address` (host, port), an IPv6 one if host has a colon.
 
     Raises OSError if the address is in use or isn't one of this machine's.
--- a/quota_gateway/upstream/connection_pool.py
+++ b/quota_gateway/upstream/connection_pool.py
@@ -7,6 +7,7 @@
 
 from quota_gateway.body_streaming import READ_BUFFER_BYTES
 from quota_gateway.model.outcomes import Outcome
+from quota_gateway.sockets.addresses import Address
 from quota_gateway.sockets.dialing import connect_with_retry, ignore_descriptor_exhaustion
 from quota_gateway.upstream.attempt import AttemptResult, UpstreamAttempt
 from quota_gateway.upstream.connection import UpstreamConnection
@@ -43,16 +44,14 @@
 
     # Endpoints.
 
-    def set_address(
-        self, endpoint_id: str, address: tuple[str, int], started_at: float | None = None
-    ) -> None:
+    def set_address(self, endpoint_id: str, address: Address, started_at: float | None = None) -> None:
         """Set where an endpoint listens and when it started; a change retires its former connections."""
         endpoint = self.endpoints.get(endpoint_id)
         if endpoint is None or (endpoint.address, endpoint.started_at) != (address, started_at):
             self.retire(endpoint_id)
             self.endpoints[endpoint_id] = EndpointConnections(endpoint_id, address, started_at)
 
-    def endpoints_at(self, address: tuple[str, int]) -> list[str]:
+    def endpoints_at(self, address: Address) -> list[str]:
         """Return the ids of the endpoints that listen at `address`."""
         return [endpoint.endpoint_id for endpoint in self.endpoints.values() if endpoint.address == address]
 
--- a/quota_gateway/upstream/endpoint_connections.py
+++ b/quota_gateway/upstream/endpoint_connections.py
@@ -4,6 +4,7 @@
 
 from typing import Protocol
 
+from quota_gateway.sockets.addresses import Address
 from quota_gateway.upstream.attempt import UpstreamAttempt
 
 MIN_IDLE_BEFORE_REUSE = 0.01  # seconds; bytes that follow a response unasked have arrived by then
@@ -37,7 +38,7 @@
 
     __slots__ = ("address", "endpoint_id", "idle", "started_at")
 
-    def __init__(self, endpoint_id: str, address: tuple[str, int], started_at: float | None) -> None:
+    def __init__(self, endpoint_id: str, address: Address, started_at: float | None) -> None:
         """Start without connections; `started_at` is the endpoint's start, None if unknown."""
         self.endpoint_id = endpoint_id
         self.address = address
