--- a/quota_gateway/engine/state_snapshot.py
+++ b/quota_gateway/engine/state_snapshot.py
@@ -6,7 +6,6 @@
 
 from __future__ import annotations
 
-from dataclasses import astuple
 from typing import Any, Protocol
 
 from quota_gateway.model.events import StateSnapshot
@@ -38,7 +37,7 @@
 
 def save_state(engine: Mechanisms) -> StateSnapshot:
     """Return the state in plain values, as it is sent to the next process."""
-    limiters = [list(astuple(_saved_limiter(limiter))) for limiter in engine.limiters.limiters.values()]
+    limiters = [list(_saved_limiter(limiter)) for limiter in engine.limiters.limiters.values()]
     endpoints = [
         [state.id, state.endpoint.started_at, state.concurrency_limit, state.failure_score, state.decayed_at]
         for state in engine.registry.endpoints.values()
--- a/quota_gateway/policy/slow_start.py
+++ b/quota_gateway/policy/slow_start.py
@@ -35,6 +35,9 @@
 
     def is_warming_up(self, endpoint: EndpointState) -> bool:
         """Return whether the endpoint may have less than its full capacity."""
+        started_at = endpoint.endpoint.started_at
+        if started_at is None or self.context.now - started_at >= self.context.settings.slow_start_window:
+            return False
         return self.factor(endpoint) < 1.0
 
     def budget(self, endpoint: EndpointState) -> float:
--- a/quota_gateway/state/records.py
+++ b/quota_gateway/state/records.py
@@ -25,11 +25,11 @@
     last_used_at: float = 0.0
     # by request class and plan: until when the endpoint is expected to reject these
     rejecting_until: dict[tuple[str, str], float] = field(default_factory=dict)
+    id: str = field(init=False)  # the endpoint's id in the list
 
-    @property
-    def id(self) -> str:
-        """The endpoint's id in the list."""
-        return self.endpoint.endpoint_id
+    def __post_init__(self) -> None:
+        """Cache the id, which never changes: each draw reads it."""
+        self.id = self.endpoint.endpoint_id
 
     @property
     def is_serving(self) -> bool:
@@ -78,30 +78,23 @@
     reported_units: float = 0.0  # units reported to the counter for it; below 0: not sampled, never reported
     first_possibly_executed: AttemptState | None = None  # the first attempt not proven not executed
 
-    @property
-    def id(self) -> int:
-        """The request's number."""
-        return self.request.request_id
-
-    @property
-    def units(self) -> float:
-        """Units of quota that it is estimated to take."""
-        return self.request.units
-
-    @property
-    def plan(self) -> Plan:
-        """The customer's plan."""
-        return self.limiter.plan
-
-    @property
-    def latency_objective(self) -> float:
-        """Seconds within which its answer has its full value."""
-        return self.request_class.latency_objective
-
-    @property
-    def kind(self) -> tuple[str, str]:
-        """Its request class and plan, by which endpoints reject."""
-        return self.request_class.name, self.limiter.plan.name
+    # cached from the above, since each attempt reads them several times
+    id: int = field(init=False)
+    units: float = field(init=False)  # units of quota that it is estimated to take
+    plan: Plan = field(init=False)
+    latency_objective: float = field(init=False)  # seconds within which its answer has its full value
+    kind: tuple[str, str] = field(init=False)  # its request class and plan, by which endpoints reject
+    # its class and units, rounded up: fractions are the client's choice, each would need an entry
+    duration_key: tuple[str, float] = field(init=False)
+
+    def __post_init__(self) -> None:
+        """Cache what never changes."""
+        self.id = self.request.request_id
+        self.units = self.request.units
+        self.plan = self.limiter.plan
+        self.latency_objective = self.request_class.latency_objective
+        self.kind = (self.request_class.name, self.plan.name)
+        self.duration_key = (self.request_class.name, float(math.ceil(self.units)))
 
     @property
     def has_idempotency_key(self) -> bool:
@@ -113,11 +106,6 @@
         """Whether its units count against a quota."""
         return self.limiter.plan.rate > 0 and not self.over_quota
 
-    @property
-    def duration_key(self) -> tuple[str, float]:
-        """Its class and units, rounded up: fractions are the client's choice, each would need an entry."""
-        return self.request_class.name, float(math.ceil(self.request.units))
-
     def attempt_in_flight(self, index: int) -> AttemptState | None:
         """Return the attempt with this index if it is in flight, else None."""
         if not 0 <= index < len(self.attempts) or not self.attempts[index].in_flight:
--- a/quota_gateway/state/saved_state.py
+++ b/quota_gateway/state/saved_state.py
@@ -2,11 +2,10 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
+from typing import NamedTuple
 
 
-@dataclass(frozen=True, slots=True)
-class SavedLimiter:
+class SavedLimiter(NamedTuple):
     """A customer's limiter; queued requests stay with their process and are charged when forwarded."""
 
     customer: str
@@ -25,8 +24,7 @@
     hard_limit_balance: float
 
 
-@dataclass(frozen=True, slots=True)
-class SavedEndpoint:
+class SavedEndpoint(NamedTuple):
     """What was learned of an endpoint since its start."""
 
     endpoint_id: str
@@ -36,8 +34,7 @@
     decayed_at: float
 
 
-@dataclass(frozen=True, slots=True)
-class SavedState:
+class SavedState(NamedTuple):
     """The whole saved state."""
 
     started_at: float
