--- a/quota_gateway/model/endpoints.py
+++ b/quota_gateway/model/endpoints.py
@@ -9,9 +9,9 @@
 class EndpointListKind(Enum):
     """What a list of endpoints says about those that it does not name."""
 
-    DELTA = "changes"  # nothing: they stay as they are
-    FULL = "whole"  # they are removed
-    CACHED = "remembered"  # as FULL, but from before the start of this process
+    DELTA = "delta"  # nothing: they stay as they are
+    FULL = "full"  # they are removed
+    CACHED = "cached"  # as FULL, but from before the start of this process
     FAILED = "failed"  # no list came
 
 
--- a/tests/test_client_disconnect.py
+++ b/tests/test_client_disconnect.py
@@ -108,23 +108,23 @@
     # a close reads as a half-close at first
     async with waiting_request(state) as (harness, client):
         dispatcher, seen = harness.process.dispatcher, len(harness.received_requests())
-        throttle = next(iter(dispatcher.engine.limiters.limiters.values()))
-        before = throttle.balance
+        limiter = next(iter(dispatcher.engine.limiters.limiters.values()))
+        before = limiter.balance
         if how == "closes":
             client.writer.close()
         else:
             client.reset()
         await until(lambda: not dispatcher.active_requests and not dispatcher.pool.connecting)
         harness.counter.replies_enabled.set()
-        await until(lambda: not throttle.awaiting_reading)
+        await until(lambda: not limiter.awaiting_reading)
         assert (
             len(harness.received_requests()) == seen
             and not dispatcher.engine.forwarder.requests
-            and not throttle.queue
+            and not limiter.queue
         )
         if state != "retry":  # the first attempt of a retried request used its units
-            throttle.refill(dispatcher.clock())
-            assert throttle.balance >= min(before + 1.0, throttle.capacity) and throttle.queued_units == 0
+            limiter.refill(dispatcher.clock())
+            assert limiter.balance >= min(before + 1.0, limiter.capacity) and limiter.queued_units == 0
 
 
 @pytest.mark.parametrize("state", STATES)
--- a/tests/test_no_attempt_after_disconnect.py
+++ b/tests/test_no_attempt_after_disconnect.py
@@ -163,13 +163,13 @@
     for number, units in enumerate(("8", "4")):  # the whole burst
         assert (await client.exchange(request(number, plan="pro", units=units)))[0] == 200
     client.send(request(9, plan="pro"))
-    (throttle,) = dispatcher.engine.limiters.limiters.values()
-    await until(lambda: bool(throttle.queue))
+    (limiter,) = dispatcher.engine.limiters.limiters.values()
+    await until(lambda: bool(limiter.queue))
 
     def release() -> None:
-        throttle.balance += 4.0
+        limiter.balance += 4.0
         dispatcher.engine.context.now = dispatcher.clock()
-        dispatcher.timer_fired(ReleaseQueueTimer(throttle.customer), dispatcher.clock())
+        dispatcher.timer_fired(ReleaseQueueTimer(limiter.customer), dispatcher.clock())
 
     return release
 
@@ -244,8 +244,8 @@
                 dispatcher = case.harness.process.dispatcher
                 assert not dispatcher.engine.forwarder.requests and not dispatcher.active_requests
                 assert not case.harness.process.pool.connecting
-                for throttle in dispatcher.engine.limiters.limiters.values():
-                    assert throttle.queued_units == 0 and not throttle.queue and not throttle.in_flight
+                for limiter in dispatcher.engine.limiters.limiters.values():
+                    assert limiter.queued_units == 0 and not limiter.queue and not limiter.in_flight
             virtual_clock_loop().connect_delays = {}
 
     run_on_virtual_clock(test)
@@ -258,18 +258,18 @@
 async def test_units_of_a_disconnected_client_are_refunded_exactly_once(how: str) -> None:
     for state in ("counter", "connecting"):
         async with waiting_request(state, 0.2) as case:
-            (throttle,) = case.harness.process.dispatcher.engine.limiters.limiters.values()
-            throttle.rate = 0.0  # no refill over time
-            before = throttle.balance + (1.0 if state == "connecting" else throttle.queued_units)
+            (limiter,) = case.harness.process.dispatcher.engine.limiters.limiters.values()
+            limiter.rate = 0.0  # no refill over time
+            before = limiter.balance + (1.0 if state == "connecting" else limiter.queued_units)
             disconnect(case.client, how)
             await asyncio.sleep(0.15)
             case.release()
             await asyncio.sleep(1.0)
-            throttle.rate = 0.0
+            limiter.rate = 0.0
             if state == "connecting":
-                assert throttle.balance == pytest.approx(before)
+                assert limiter.balance == pytest.approx(before)
             counted = sum(amount for _, amount in case.harness.counter.increments)
-            assert counted + throttle.unreported_units == pytest.approx(
+            assert counted + limiter.unreported_units == pytest.approx(
                 0.0
             )  # reported, and yet to be reported
         virtual_clock_loop().connect_delays = {}
--- a/tests/test_recorded_messages.py
+++ b/tests/test_recorded_messages.py
@@ -21,7 +21,7 @@
 RECORDED = json.loads((pathlib.Path(__file__).parent / "recorded/hot_restart_messages.json").read_text())
 FROM_OLDER: list[str] = RECORDED["older"]
 FROM_NEWER: list[str] = RECORDED["newer"]
-LEVEL, REFILLED_AT = 7, 8  # positions of a throttle's level and the time of it, which change with the clock
+BALANCE, REFILLED_AT = 7, 8  # positions in a row: the balance and the time of it, which change with the clock
 
 
 class RecordingTransport:
@@ -124,7 +124,7 @@
     assert [shape(row) for row in again["throttles"]] == [shape(row) for row in state["throttles"]]
     for row, recorded in zip(again["throttles"], state["throttles"], strict=True):
         for position, (value, old) in enumerate(zip(row, recorded, strict=True)):
-            assert position in (LEVEL, REFILLED_AT) or value == old, position
+            assert position in (BALANCE, REFILLED_AT) or value == old, position
     for key in set(state) - {"throttles", "servers", "granted"}:
         assert again[key] == state[key], key
 
