--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -44,6 +44,16 @@
     return task
 
 
+async def assert_served_and_shut_down(client: Client, shutdown: asyncio.Task[None]) -> None:
+    """Expect a last response that announces the close, the close itself, and the end of the shutdown."""
+    status, headers, _ = await client.read_response()
+    assert status == 200
+    assert headers["connection"] == "close"
+    assert await client.wait_closed()
+    client.writer.close()
+    await shutdown
+
+
 @pytest.mark.parametrize("deadline", [0.8, 1.5, 2.5, 3.0, 8.0])
 async def test_every_request_has_its_response_before_the_earliest_sigkill(deadline: float) -> None:
     # SIGKILL comes 0.7 s past the longest deadline, which counts as 3 s at most
@@ -69,12 +79,7 @@
         await until(lambda: any(connection.in_request for connection in connections))
         shutdown = await begin_shutdown(harness)
         client.send(request(1)[received:])
-        status, headers, _ = await client.read_response()
-        assert status == 200
-        assert headers["connection"] == "close"
-        assert await client.wait_closed()
-        client.writer.close()
-        await shutdown
+        await assert_served_and_shut_down(client, shutdown)
 
 
 async def test_pipelined_requests_that_arrive_while_a_backend_hangs_are_all_served() -> None:
@@ -90,12 +95,7 @@
         backend_released.set()
         assert [(await client.read_response())[0] for _ in range(2)] == [200, 200]
         client.send(request(3)[30:])
-        status, headers, _ = await client.read_response()
-        assert status == 200
-        assert headers["connection"] == "close"
-        assert await client.wait_closed()
-        client.writer.close()
-        await shutdown
+        await assert_served_and_shut_down(client, shutdown)
 
 
 async def test_a_request_whose_backend_hangs_to_the_end_is_failed_with_a_response() -> None:
