--- a/quota_gateway/model/__init__.py
+++ b/quota_gateway/model/__init__.py
@@ -1,1 +1,1 @@
-"""Types that the decisions and the network code share."""
+"""Data types shared by the policy engine, the network code and the simulator."""
--- a/quota_gateway/model/actions.py
+++ b/quota_gateway/model/actions.py
@@ -1,4 +1,7 @@
-"""Actions: what the decisions ask the network code, or the simulator, to do. All times are in seconds."""
+"""Actions that the policy engine asks the network code, or the simulator, to perform.
+
+All times are in seconds.
+"""
 
 from __future__ import annotations
 
@@ -12,22 +15,22 @@
 
 
 class Reason(StrEnum):
-    """Why a request gets a final response that no endpoint made; the values are names of metrics."""
+    """Why the gateway itself sends the final response to a request; the values are metric names."""
 
-    INVALID = "invalid"  # it names no class or plan of the settings, or has no time left
-    QUOTA = "quota"  # its customer has no units left, here or, by the counter, anywhere
-    OVERLOAD = "overload"  # load is shed
-    NO_ENDPOINT = "no_endpoint"  # none may be sent the attempt now
-    LATE_RETRY = "late_retry"  # a client's retry whose answer would come too late to be of use
-    NO_RETRY = "no_retry"  # an attempt failed, and there is no time or budget for another
-    CLIENT_GONE = "client_gone"  # its client has ended its sending
+    INVALID = "invalid"  # the request class or plan is unknown, or no time is left
+    QUOTA = "quota"  # the customer has no units left in this gateway, or, by the counter, in the fleet
+    OVERLOAD = "overload"  # load shedding
+    NO_ENDPOINT = "no_endpoint"  # no endpoint is available for an attempt
+    LATE_RETRY = "late_retry"  # a client's retry whose response would come too late to be of use
+    NO_RETRY = "no_retry"  # an attempt failed, and no time or retry budget is left for another
+    CLIENT_GONE = "client_gone"  # the client has half-closed the connection
 
 
 @dataclass(frozen=True, slots=True)
 class StartAttempt:
-    """Forward a request to an endpoint; the attempts of a request are numbered from 0 in order of start.
+    """Forward a request to an endpoint; attempts of a request are numbered from 0 in the order they start.
 
-    An attempt that has no connection `send_within` seconds from now is not sent; 0 means no such bound.
+    The attempt is not sent if it has no connection within `send_within` seconds from now; 0 means no limit.
     """
 
     request_id: int
@@ -38,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempt:
-    """Give up an attempt that is in flight."""
+    """Cancel an attempt that is in flight."""
 
     request_id: int
     attempt_index: int
@@ -46,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Final response: the request was not executed, and a retry is safe after `retry_after` seconds."""
+    """Send the final response: the request was not executed; a retry is safe after `retry_after` seconds."""
 
     request_id: int
     retry_after: float
@@ -55,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FailRequest:
-    """Final response: the request failed, and may have been executed."""
+    """Send the final response: the request failed, and may have been executed."""
 
     request_id: int
     reason: Reason = field(default=Reason.NO_RETRY, compare=False)
@@ -66,7 +69,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Send TimerFired with this timer in `delay` seconds."""
+    """Deliver TimerFired with this timer after `delay` seconds."""
 
     delay: float
     timer: Timer
@@ -74,16 +77,16 @@
 
 @dataclass(frozen=True, slots=True)
 class IncrementCounter:
-    """Add to a number that the counter service keeps under a name, and send CounterReply with its total."""
+    """Add `amount` to the named counter of the counter service, and deliver its total as CounterReply."""
 
     name: str
     amount: float
-    expire_after: float
+    expire_after: float  # seconds after which the counter service may discard the counter
 
 
 @dataclass(frozen=True, slots=True)
 class PollEndpoints:
-    """Poll discovery for the endpoint list, and follow its changes from now on."""
+    """Poll discovery for the endpoint list, and subscribe to its changes."""
 
 
 # Connections
@@ -91,14 +94,14 @@
 
 @dataclass(frozen=True, slots=True)
 class CloseIdleConnections:
-    """Close the connections to an endpoint that carry no attempt: it is about to be restarted."""
+    """Close the idle connections to an endpoint that is about to be restarted."""
 
     endpoint_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class DrainClientConnections:
-    """Close clients' connections after their responses in flight, or keep them alive again."""
+    """Close each client connection after its responses in flight; if not `enabled`, keep them alive again."""
 
     enabled: bool
 
--- a/quota_gateway/model/charges.py
+++ b/quota_gateway/model/charges.py
@@ -1,4 +1,4 @@
-"""Quota units that one of the two processes of a hot restart reports to the other."""
+"""Quota charges that the two processes of a hot restart report to each other."""
 
 from __future__ import annotations
 
@@ -7,12 +7,13 @@
 
 @dataclass(frozen=True, slots=True)
 class UnitsCharged:
-    """Units of forwarded requests that one process charged to a customer.
+    """Quota units of forwarded requests that one process has charged to a customer.
 
-    It is an action of the process that forwarded them, and an event of the other, which charges them too.
+    This is an action in the process that forwarded the requests, and an event in the other process, which
+    charges the same units to its own copy of the quota.
     """
 
     customer: str
     plan: str
-    quota_spread: int  # gateways over which the customer's requests are spread
+    quota_spread: int  # number of gateways that share the customer's requests
     units: float
