--- a/quota_gateway/model/endpoints.py
+++ b/quota_gateway/model/endpoints.py
@@ -1,4 +1,4 @@
-"""Endpoints, and the kinds of lists that name them."""
+"""Endpoints, and the endpoint lists that discovery sends."""
 
 from __future__ import annotations
 
@@ -7,16 +7,16 @@
 
 
 class EndpointListKind(Enum):
-    """What a list of endpoints says about those that it does not name."""
+    """How an endpoint list affects the endpoints that are not in it."""
 
-    DELTA = "delta"  # nothing: they stay as they are
-    FULL = "full"  # they are removed
-    CACHED = "cached"  # as FULL, but from before the start of this process
-    FAILED = "failed"  # no list came
+    DELTA = "delta"  # endpoints that are not in the list are unchanged
+    FULL = "full"  # endpoints that are not in the list are removed
+    CACHED = "cached"  # a full list that was saved before this process started
+    FAILED = "failed"  # discovery returned no list
 
 
 class EndpointStatus(Enum):
-    """The state of an endpoint by discovery; the values are part of the messages of a hot restart."""
+    """Lifecycle state of an endpoint in discovery; the values are sent in hot restart messages."""
 
     SERVING = "serving"
     DRAINING = "draining"
@@ -25,12 +25,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """One upstream server."""
+    """An upstream server."""
 
     endpoint_id: str
     zone: str
     machine_type: str
     cell: int
     status: EndpointStatus
-    weight: float  # its capacity, relative to that of other endpoints
-    started_at: float | None  # Unix time in seconds, by the endpoint's clock; None where it is not known
+    weight: float  # capacity relative to other endpoints
+    started_at: float | None  # Unix time in seconds by the endpoint's clock; None if unknown
--- a/quota_gateway/model/events.py
+++ b/quota_gateway/model/events.py
@@ -1,4 +1,4 @@
-"""Events: what has happened, for the decisions to act on. All times are in seconds."""
+"""Events that the policy engine handles. All times are in seconds."""
 
 from __future__ import annotations
 
@@ -15,32 +15,32 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestReceived:
-    """A request has come from a client; the gateway owes it one final response."""
+    """A client has sent a request, which must get exactly one final response."""
 
     request_id: int
     request_class: str
     plan: str
     customer: str
     deadline: float  # Unix time
-    units: float
-    quota_spread: int  # gateways over which the customer's requests are spread
-    first_gateway: int  # index of the first of them
-    is_retry: bool  # by the client
-    client_timeout: float = 0.0  # that the client waits after sending; 0: until the deadline
-    # a long body is not complete yet: RequestBodyReceived sets the deadline
+    units: float  # quota units that the request is charged
+    quota_spread: int  # number of gateways that share the customer's requests
+    first_gateway: int  # index of the first of these gateways
+    is_retry: bool  # the client is retrying the request
+    client_timeout: float = 0.0  # how long the client waits after sending; 0: until the deadline
+    # the end of a long body has not arrived; RequestBodyReceived will set the deadline
     body_incomplete: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class RequestBodyConsumed:
-    """Part of a request's long body has been forwarded and is not buffered, so there can be no retry."""
+    """Part of a long request body was forwarded without being kept, so the request cannot be retried."""
 
     request_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class RequestBodyReceived:
-    """The last byte of a long body has come."""
+    """The last byte of a long request body has arrived."""
 
     request_id: int
     deadline: float  # Unix time
@@ -48,9 +48,9 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientHalfClosed:
-    """The client sends no more and has probably disconnected.
+    """The client has closed its sending side, and has probably disconnected.
 
-    Attempts in flight may still end; no other is started.
+    Attempts in flight may still finish, but no new attempt is started.
     """
 
     request_id: int
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientDisconnected:
-    """The client has disconnected, and its request needs no response."""
+    """The client has disconnected, so its request no longer needs a response."""
 
     request_id: int
 
@@ -68,38 +68,38 @@
 
 @dataclass(frozen=True, slots=True)
 class ResponseStreamStarted:
-    """An attempt's response is being forwarded.
+    """The gateway has begun to forward the response of an attempt.
 
-    No other attempt can serve the request from now on, and its deadline no longer holds.
+    From now on no other attempt can answer the request, and the request's deadline no longer applies.
     """
 
     request_id: int
     attempt_index: int
-    elapsed: float = 0.0  # from the attempt's start to the first byte; 0: until now
+    elapsed: float = 0.0  # from the start of the attempt to the first byte; 0: until now
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """An attempt has ended."""
+    """An attempt has succeeded, failed or been cancelled."""
 
     request_id: int
     attempt_index: int
     endpoint_id: str
     outcome: Outcome
-    elapsed: float  # since the attempt's start
-    request_answered: bool  # the request has its final response
-    actual_units: float  # by the response; 0 where it does not say
-    load_report: tuple[float, ...]  # in the order of the settings' load_report_fields
+    elapsed: float  # from the start of the attempt
+    request_answered: bool  # the final response of the request has been sent
+    actual_units: float  # units billed by the response; 0 if it names none
+    load_report: tuple[float, ...]  # values in the order of Settings.load_report_fields
 
 
 @dataclass(frozen=True, slots=True)
 class HealthCheckResult:
-    """A health check of an endpoint has ended."""
+    """A health check of an endpoint has finished."""
 
     endpoint_id: str
     outcome: Outcome
     elapsed: float
-    load_report: tuple[float, ...]
+    load_report: tuple[float, ...]  # values in the order of Settings.load_report_fields
 
 
 # Timers and services
@@ -107,14 +107,14 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A timer that SetTimer has started is due."""
+    """A timer that was set by SetTimer has expired."""
 
     timer: Timer
 
 
 @dataclass(frozen=True, slots=True)
 class CounterReply:
-    """A call to the counter service has ended; `total` counts only with a successful outcome."""
+    """A call to the counter service has finished; `total` is only valid if the outcome is SUCCESS."""
 
     name: str
     outcome: Outcome
@@ -124,18 +124,18 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointListUpdate:
-    """A list of endpoints, or of changes to it, has come from discovery or out of a cache."""
+    """Discovery or the cache has provided a list of endpoints, or of changes to it."""
 
     kind: EndpointListKind
     endpoints: tuple[Endpoint, ...]
 
 
-# Commands of operators
+# Operator commands
 
 
 @dataclass(frozen=True, slots=True)
 class SetMaintenance:
-    """Stop using an endpoint, or use it again; it holds until the next command for this endpoint."""
+    """Put an endpoint into maintenance, or take it out; this holds until the next command for it."""
 
     endpoint_id: str
     enabled: bool
@@ -143,7 +143,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetDraining:
-    """Accept no more clients, or accept them again."""
+    """Stop accepting clients, or accept them again."""
 
     enabled: bool
 
@@ -153,19 +153,19 @@
 
 @dataclass(frozen=True, slots=True)
 class StateSnapshot:
-    """The state of the older process, for the newer one to restore."""
+    """The saved state of the older process, which the newer process restores."""
 
-    state: dict[str, Any]  # as JSON has it
+    state: dict[str, Any]  # JSON object
 
 
 @dataclass(frozen=True, slots=True)
 class PeerProcessChanged:
-    """The other process of a hot restart is connected, or no longer is."""
+    """The other process of a hot restart has connected or disconnected."""
 
     present: bool
 
 
-# events of a request that was received before
+# Events of a request that has already been received
 RequestEvent = (
     RequestBodyConsumed | RequestBodyReceived | ClientHalfClosed | ClientDisconnected | ResponseStreamStarted
 )
--- a/quota_gateway/model/outcomes.py
+++ b/quota_gateway/model/outcomes.py
@@ -1,4 +1,4 @@
-"""How attempts, health checks and counter calls end."""
+"""Results of attempts, health checks and counter calls."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Outcome(Enum):
-    """How an attempt, a health check or a counter call ended."""
+    """Result of an attempt, a health check or a counter call; metrics use the lower-case member names."""
 
     SUCCESS = "success"
     ERROR = "error"
@@ -17,11 +17,10 @@
     CANCELLED = "cancelled"
     NOT_SENT = "not sent"
 
-    __hash__ = (
-        object.__hash__
-    )  # members are singletons; the inherited one is slow, and each attempt is counted
+    # Members are singletons, so identity hashing works; Enum.__hash__ is slow, and every attempt is counted.
+    __hash__ = object.__hash__
 
     @property
     def proves_not_executed(self) -> bool:
-        """Whether an attempt with this outcome was certainly not executed, so that a retry is always safe."""
+        """Whether the attempt was certainly not executed, so that a retry is always safe."""
         return self in (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
