--- a/quota_gateway/model/settings_validation.py
+++ b/quota_gateway/model/settings_validation.py
@@ -1,11 +1,11 @@
-"""Checks settings for values that make no sense together with what they stand for."""
+"""Validates the ranges of numeric settings."""
 
 from __future__ import annotations
 
 from quota_gateway.errors import SettingsError
 from quota_gateway.model.settings import Settings
 
-# attributes that must not be negative, with their keys in the settings object, which errors name
+# Attributes that must not be negative, mapped to their keys in the settings object, for error messages
 SETTINGS_KEYS = {
     "slow_start_window": "warm_within",
     "overload_duration": "overload_for",
@@ -29,7 +29,7 @@
 
 
 def validate_settings(settings: Settings) -> None:
-    """Raise SettingsError with the key of the first setting that makes no sense."""
+    """Raise SettingsError with the key of the first setting that is out of range."""
     if settings.gateway_count < 1:
         raise SettingsError("balancers", "is below 1")
     if settings.max_attempts < 1:
--- a/quota_gateway/model/timers.py
+++ b/quota_gateway/model/timers.py
@@ -1,6 +1,6 @@
-"""Timers of the decisions, one type for each purpose, and their codec for the simulator's wire.
+"""Timers of the policy engine, one type for each purpose, and their encoding for the simulator's protocol.
 
-On the wire a timer is a short text, which the simulator returns unchanged when the timer is due.
+The simulator receives a timer as a short string, which it returns unchanged when the timer expires.
 """
 
 from __future__ import annotations
@@ -12,12 +12,12 @@
 
 @dataclass(frozen=True, slots=True)
 class PollEndpointsTimer:
-    """Poll discovery again after a poll that failed."""
+    """Poll discovery again after a failed poll."""
 
 
 @dataclass(frozen=True, slots=True)
 class LateAttemptTimer:
-    """An attempt that is still in flight counts as late from now on."""
+    """Treat an attempt that is still in flight as late."""
 
     request_id: int
     attempt_index: int
@@ -25,28 +25,28 @@
 
 @dataclass(frozen=True, slots=True)
 class QueueTimeoutTimer:
-    """A request has been in its customer's queue for as long as it may."""
+    """End the wait of a request that has reached its time limit in the customer's queue."""
 
     request_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class ReleaseQueueTimer:
-    """A customer's rate limiter can admit the request at the head of its queue."""
+    """Admit the request at the head of a customer's queue, now that the rate limiter allows it."""
 
     customer: str
 
 
 @dataclass(frozen=True, slots=True)
 class ReportDemandTimer:
-    """Report a customer's demand, or units that are not reported yet, to the counter."""
+    """Report a customer's demand, or units that have not been reported yet, to the counter."""
 
     customer: str
 
 
 @dataclass(frozen=True, slots=True)
 class ReadDemandTimer:
-    """Read the fleet's demand for a customer in a period from the counter."""
+    """Read from the counter a customer's demand on the whole fleet in a quota period."""
 
     customer: str
     period: int
@@ -57,7 +57,7 @@
 
 
 def encode_timer(timer: Timer) -> str:
-    """Return the text by which the simulator knows a timer."""
+    """Return the string that represents a timer in the simulator's protocol."""
     match timer:
         case PollEndpointsTimer():
             return POLL_ENDPOINTS_TEXT
@@ -74,7 +74,7 @@
 
 
 def decode_timer(text: str) -> Timer:
-    """Return the timer that `encode_timer` has encoded; ValueError for any other text."""
+    """Return the timer that `encode_timer` has encoded; raise ValueError for any other string."""
     if text == POLL_ENDPOINTS_TEXT:
         return PollEndpointsTimer()
     kind = text[:1]
