--- a/quota_gateway/__init__.py
+++ b/quota_gateway/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions of a quota-keeping gateway for a shared API."""
+"""HTTP gateway that enforces customers' quotas for a shared API."""
--- a/quota_gateway/__main__.py
+++ b/quota_gateway/__main__.py
@@ -1,4 +1,4 @@
-"""The gateway as a program: reads its configuration and runs until SIGTERM."""
+"""Command-line entry point: reads the configuration and runs the gateway until SIGTERM."""
 
 from __future__ import annotations
 
@@ -16,10 +16,12 @@
 from quota_gateway.gateway_process import GatewayProcess
 from quota_gateway.transient_errors import is_transient
 
-LOG_LEVEL_VARIABLE = "RELAY_LOG_LEVEL"  # one of the standard library's names, in any case
+# Environment variable with the name of a level of the logging module, in any case
+LOG_LEVEL_VARIABLE = "RELAY_LOG_LEVEL"
 DEFAULT_LOG_LEVEL = "WARNING"
-READ_TIMEOUT = 5.0  # seconds that a start tries to open its configuration; it should be ready within 10
-READ_RETRY_DELAY = 0.1  # seconds
+# Seconds to retry opening the configuration file; the gateway should be ready within 10 s of its start
+READ_TIMEOUT = 5.0
+READ_RETRY_DELAY = 0.1  # seconds between two tries to open the file
 
 
 async def serve(configuration: Configuration) -> None:
@@ -28,9 +30,9 @@
 
 
 def read_start_configuration() -> Configuration:
-    """Return the configuration, after some time if its file can't be opened for a moment.
+    """Return the configuration, and retry while its file cannot be opened because of a transient error.
 
-    Raises ConfigurationError if it can't be used.
+    Raise ConfigurationError if the configuration cannot be used.
     """
     retry_until = time.monotonic() + READ_TIMEOUT
     while True:
@@ -43,14 +45,14 @@
 
 
 def main() -> int:
-    """Run the gateway with the configuration of the environment, and return the exit status."""
+    """Run the gateway as configured by the environment, and return the exit status."""
     level = os.environ.get(LOG_LEVEL_VARIABLE, DEFAULT_LOG_LEVEL).upper()
     if level not in logging.getLevelNamesMapping():
-        return report_fatal_error(f"{LOG_LEVEL_VARIABLE} names no log level: {level!r}", EXIT_INVALID_INPUT)
+        return report_fatal_error(f"{LOG_LEVEL_VARIABLE} is not a log level: {level!r}", EXIT_INVALID_INPUT)
     logging.basicConfig(format="%(name)s: %(message)s", level=level)
     logging.getLogger("asyncio").setLevel(logging.WARNING)
-    # SIGHUP would end the process; one that comes before the handler is there may follow a change of the file
-    # that has been read already, so it stays pending
+    # SIGHUP would end the process by default. One that arrives before its handler is installed stays pending,
+    # because it may announce a change that was made to the file after it was read.
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
     try:
         configuration = read_start_configuration()
--- a/quota_gateway/transient_errors.py
+++ b/quota_gateway/transient_errors.py
@@ -1,10 +1,10 @@
-"""Errors of system calls that may pass by themselves: what failed so is tried again."""
+"""Classification of system call errors that may go away by themselves, so that the call is retried."""
 
 from __future__ import annotations
 
 import errno
 
-# The process or the system is short of something, or a folder or file system fails for a while.
+# Errors from a temporary lack of resources, or from a temporary failure of a file system
 TRANSIENT_ERRNOS = frozenset(
     {
         errno.EAGAIN,
@@ -21,5 +21,5 @@
 
 
 def is_transient(error: BaseException | None) -> bool:
-    """Return whether the call that raised this may succeed when it is made again."""
+    """Return whether the call that raised `error` may succeed if it is retried."""
     return isinstance(error, OSError) and error.errno in TRANSIENT_ERRNOS
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -169,4 +169,4 @@
 ) -> None:
     monkeypatch.setenv("RELAY_LOG_LEVEL", "loud")
     assert main() == EXIT_INVALID_INPUT
-    assert capsys.readouterr().err == "quota_gateway: RELAY_LOG_LEVEL names no log level: 'LOUD'\n"
+    assert capsys.readouterr().err == "quota_gateway: RELAY_LOG_LEVEL is not a log level: 'LOUD'\n"
