--- a/quota_gateway/gateway_process.py
+++ b/quota_gateway/gateway_process.py
@@ -1,4 +1,4 @@
-"""One gateway process: creates its parts, connects them, and runs them until SIGTERM."""
+"""A gateway process: creates and connects its components, and runs them until SIGTERM."""
 
 from __future__ import annotations
 
@@ -29,17 +29,17 @@
 from quota_gateway.sockets.listening import bind_when_possible, inherit
 from quota_gateway.upstream.connection_pool import ConnectionPool
 
-BIND_TIMEOUT = 8.0  # seconds; a gateway should be ready within 10
-ADMIN_RETRY_DELAY = 0.5  # seconds after which the admin server tries again to listen
-MAX_FIRST_LIST_TIMEOUT = 1.0  # seconds that a start waits for the first endpoint list from discovery
+BIND_TIMEOUT = 8.0  # seconds to retry binding the listening address; a gateway should be ready within 10 s
+ADMIN_RETRY_DELAY = 0.5  # seconds between two tries of the admin server to listen
+MAX_FIRST_LIST_TIMEOUT = 1.0  # maximum seconds that a start waits for discovery's first endpoint list
 
 log = logging.getLogger("quota_gateway")
 
 
 def start_clock() -> Callable[[], float]:
-    """Return a clock of Unix time in seconds that never jumps.
+    """Return a clock of Unix time in seconds that is not affected by changes of the system time.
 
-    Quota periods and endpoints' start times are compared between gateways, so it can't be the monotonic time.
+    Gateways compare quota periods and endpoints' start times, so plain monotonic time cannot be used.
     """
     offset = time.time() - time.monotonic()
     monotonic = time.monotonic
@@ -47,10 +47,10 @@
 
 
 class GatewayProcess:
-    """Owns the parts of one gateway from its start to its end."""
+    """Creates and owns the components of one gateway, and starts and stops them."""
 
     def __init__(self, configuration: Configuration) -> None:
-        """Create all parts; none of them listens or connects before `start`."""
+        """Create all components; none of them listens or connects before `start`."""
         settings = configuration.settings
         limits = configuration.connection_limits
         descriptors = divide_descriptors(configuration.max_descriptors)
@@ -59,9 +59,9 @@
         self.listen_address = configuration.listen_address
         self.listen_descriptor = configuration.listen_descriptor
         self.admin_address = configuration.admin_address
-        self._admin_timer: asyncio.TimerHandle | None = None  # while the admin server can't listen
-        self.endpoint_list_settled = False  # it is from discovery, or as good as can be had at the start
-        # discovery's agent is local: one that takes longer than a connect is overloaded, and clients wait
+        self._admin_timer: asyncio.TimerHandle | None = None  # set while the admin server cannot listen
+        self.endpoint_list_settled = False  # set once discovery has answered or timed out at the start
+        # a local discovery agent that is slower than a connect is overloaded, and clients are waiting
         self.first_list_timeout = min(MAX_FIRST_LIST_TIMEOUT, limits.connect_timeout)
         self.shutdown_timeout = shutdown_timeout_for(settings)
         self.pool = ConnectionPool(
@@ -112,13 +112,13 @@
         )
 
     def _connect_descriptor_exhaustion(self) -> None:
-        """Let the connection pool and the counter have idle clients closed when descriptors run out."""
+        """Close idle client connections when the pool or the counter runs out of file descriptors."""
         self.pool.on_descriptor_exhaustion = self.listener.handle_descriptor_exhaustion
         if self.dispatcher.counter is not None:
             self.dispatcher.counter.on_descriptor_exhaustion = self.listener.handle_descriptor_exhaustion
 
     def _create_hot_restart(self, configuration: Configuration) -> HotRestartCoordinator | None:
-        """Return None where no other process can take over: it needs the listening socket and the folder."""
+        """Return None if hot restart is unavailable: it needs an inherited socket and a shared folder."""
         if configuration.listen_descriptor is None or configuration.shared_folder is None:
             return None
         self.dispatcher.report_units = self.forward_units
@@ -130,21 +130,21 @@
         )
 
     def is_serving(self) -> bool:
-        """Return whether requests can be forwarded, which clients ask at `/ready`."""
+        """Return whether requests can be forwarded, for the readiness check of clients at `/ready`."""
         return self.endpoint_list_settled and self.dispatcher.engine.accepts_clients()
 
     def is_healthy(self) -> bool:
-        """Return whether this process serves and is not shutting down, which operators ask."""
+        """Return whether this process is serving and not shutting down, for the health check of operators."""
         return self.listener.is_ready() and not self.listener.stopping
 
     def metrics_text(self) -> str:
-        """Return all metrics in the text format of the admin server."""
+        """Return all metrics in the text format for operators."""
         return self.dispatcher.metrics.text(self.dispatcher.gauges())
 
     def set_maintenance(self, endpoint_id: str, enabled: bool) -> bool:
-        """Begin or end the maintenance of an endpoint, here and in the other process of a hot restart.
+        """Start or end maintenance of an endpoint, in this process and in the other one of a hot restart.
 
-        Return False for an endpoint that is not known.
+        Return False if the endpoint is unknown.
         """
         known = self.dispatcher.set_maintenance(endpoint_id, enabled)
         if known and self.hot_restart is not None:
@@ -152,13 +152,13 @@
         return known
 
     def set_draining(self, enabled: bool) -> None:
-        """Begin or end the draining of clients, here and in the other process of a hot restart."""
+        """Start or stop draining clients, in this process and in the other one of a hot restart."""
         self.dispatcher.set_draining(enabled)
         if self.hot_restart is not None:
             self.hot_restart.broadcast(SetDraining(enabled))
 
     def forward_units(self, charged: UnitsCharged) -> None:
-        """Report units that were charged here to the other process of a hot restart."""
+        """Report units charged by this process to the other process of a hot restart."""
         if self.hot_restart is not None:
             self.hot_restart.broadcast(charged)
 
@@ -170,12 +170,12 @@
         self.loop.add_signal_handler(signal.SIGHUP, self.reloader.reload)
         signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})
         await self.start()
-        gc.freeze()  # objects of the start live as long as the process: collections need not visit them
+        gc.freeze()  # the objects created so far live until exit, so the garbage collector can skip them
         await stop.wait()
         await self.stop()
 
     async def start(self) -> None:
-        """Begin to serve; OSError where an address or descriptor can't be listened on."""
+        """Start serving; raise OSError if the listening address or descriptor cannot be used."""
         self._open_admin()
         if self.listen_descriptor is None:
             self.listener.listen(await bind_when_possible(self.listen_address, BIND_TIMEOUT))
@@ -187,15 +187,15 @@
         if restoring is not None:
             await restoring
         self.endpoint_list_settled = True
-        if self.listen_descriptor is not None:  # until now an older process accepts what is in the queue
-            # an older process that has just answered has accepted what was in its queue
+        if self.listen_descriptor is not None:
+            # until now an older process accepted connections; if it still responds, it has emptied the queue
             has_acceptor = self.hot_restart is not None and self.hot_restart.is_older_alive()
             self.listener.listen(inherit(self.listen_descriptor), is_queue_old=not has_acceptor)
         if self.hot_restart is not None:
             self.hot_restart.announce_serving()
 
     def _open_admin(self) -> None:
-        """Have the admin server listen, once it can: clients can be served without it."""
+        """Start the admin server, and retry if it cannot listen, as clients can be served without it."""
         if self.admin_address is None:
             return
         is_first_try = self._admin_timer is None
@@ -205,19 +205,19 @@
         except OSError as error:
             if is_first_try:
                 address = format_address(self.admin_address)
-                log.warning("the admin server can't listen on %s yet: %s", address, error.strerror)
+                log.warning("admin server cannot listen on %s, will retry: %s", address, error.strerror)
             self._admin_timer = self.loop.call_later(ADMIN_RETRY_DELAY, self._open_admin)
 
     async def _wait_for_first_list(self) -> None:
-        """Wait for discovery's first answer; without one in time the cached endpoint list is used."""
+        """Wait for the first answer of discovery; the cached endpoint list is used if it is late."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(self.first_list_timeout):
                 await self.discovery.answered.wait()
 
     async def stop(self, accept_window: float = ACCEPT_WINDOW, shutdown_timeout: float | None = None) -> None:
-        """Shut down gracefully: every request that was received has its response, then all parts close.
+        """Shut down gracefully: wait until every received request has its response, then close everything.
 
-        Both times are in seconds; `shutdown_timeout` is by default what the settings leave before SIGKILL.
+        Both times are in seconds; by default `shutdown_timeout` is what the settings leave before SIGKILL.
         """
         if shutdown_timeout is None:
             shutdown_timeout = self.shutdown_timeout
@@ -225,7 +225,7 @@
         self._close()
 
     def _close(self) -> None:
-        """Close what is left once no client is connected."""
+        """Close the remaining components after all client connections are closed."""
         self.discovery.stop()
         self.reloader.close()
         if self._admin_timer is not None:
