--- a/quota_gateway/metrics.py
+++ b/quota_gateway/metrics.py
@@ -1,4 +1,4 @@
-"""Counters of this process since its start, and their text format for operators."""
+"""Counters since the start of this process, and their text format for operators."""
 
 from __future__ import annotations
 
@@ -10,21 +10,21 @@
 
 METRIC_PREFIX = "svc"
 
-# The protocol's meaning of a response status; any status that is in neither set is an error.
+# Classification of response statuses by the protocol; any other status is an error
 SUCCESS_STATUSES = frozenset({200})
 OVERLOAD_STATUSES = frozenset({429, 503})
 
 
 def metric_lines(name: str, counts: Mapping[str, int]) -> list[str]:
-    """Return a line for each count of a family of counters, without the prefix."""
+    """Return one line per counter of a family, without METRIC_PREFIX."""
     return [f"{name}.{label}={count}" for label, count in counts.items()]
 
 
 class Metrics:
-    """Counts each request once, when it ends, under its request class."""
+    """Counts requests by request class and result, and attempts, refusals and reloads."""
 
     def __init__(self, request_classes: Iterable[str]) -> None:
-        """Set all counters to zero; `request_classes` names every class that requests may have."""
+        """Initialize all counters to zero; `request_classes` names every class that requests may have."""
         self.success = dict.fromkeys(request_classes, 0)
         self.overload = dict.fromkeys(self.success, 0)
         self.error = dict.fromkeys(self.success, 0)
@@ -35,7 +35,7 @@
         self.reload_failure = 0
 
     def request_ended(self, request_class: str, status: int) -> None:
-        """Count a request by the status of its final response; KeyError for an unknown class."""
+        """Count a request, once, by the status of its final response; raise KeyError for an unknown class."""
         if status in SUCCESS_STATUSES:
             self.success[request_class] += 1
         elif status in OVERLOAD_STATUSES:
@@ -44,14 +44,14 @@
             self.error[request_class] += 1
 
     def reloaded(self, succeeded: bool) -> None:
-        """Count a reload of the configuration."""
+        """Count a configuration reload."""
         if succeeded:
             self.reload_success += 1
         else:
             self.reload_failure += 1
 
     def text(self, gauges: Mapping[str, int]) -> str:
-        """Return one `name=value` a line: the counters, with the current `gauges` among them."""
+        """Return the counters and the current `gauges`, one `name=value` per line."""
         counters = {"success": self.success, "overload": self.overload, "error": self.error}
         lines = [line for name, counts in counters.items() for line in metric_lines(name, counts)]
         lines += metric_lines("rejected", self.answers_without_endpoint)
