--- a/quota_gateway/configuration/__init__.py
+++ b/quota_gateway/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""The configuration of a gateway: its file, the settings in it, and the environment."""
+"""Configuration of a gateway: the configuration file, its settings object and the environment."""
--- a/quota_gateway/configuration/connection_limits.py
+++ b/quota_gateway/configuration/connection_limits.py
@@ -1,4 +1,4 @@
-"""The part of the settings that only the network code uses: timeouts of connections and of draining."""
+"""Connection and drain timeouts, the part of the settings that only the network code uses."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 @dataclass(frozen=True, slots=True)
 class ConnectionLimits:
-    """Timeouts of the network code, in seconds; all are above 0."""
+    """Timeouts of the network code in seconds, all above 0."""
 
     connect_timeout: float
     keepalive_timeout: float
-    drain_timeout: float  # from the notice that an endpoint drains to the last attempt that may go to it
+    drain_timeout: float  # time after a drain notice in which attempts may still be sent to the endpoint
 
 
 def read_connection_limits(values: dict[str, Any]) -> ConnectionLimits:
-    """Return the timeouts of a settings object; SettingsError names a key that is missing or not above 0."""
+    """Return the timeouts of a settings object; raise SettingsError if one is missing or not above 0."""
     settings = SettingsObject(values)
     limits = settings.section("limits")
     return ConnectionLimits(
--- a/quota_gateway/configuration/descriptor_budget.py
+++ b/quota_gateway/configuration/descriptor_budget.py
@@ -1,23 +1,27 @@
-"""Divides the file descriptors of the process between clients and endpoints."""
+"""Divides the file descriptors of the process between client and endpoint connections."""
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
-RESERVED_DESCRIPTORS = 64  # for listeners, discovery, the counter, and what the runtime itself needs
-MAX_RESERVED_FRACTION = 0.25  # of all descriptors; bounds the reserve where there are few
-DOWNSTREAM_FRACTION = 0.6  # of the unreserved ones: queued and rejected requests need none upstream
+# Descriptors reserved for listeners, discovery, the counter and the runtime
+RESERVED_DESCRIPTORS = 64
+# Maximum fraction of all descriptors that is reserved; it applies if the process has few descriptors
+MAX_RESERVED_FRACTION = 0.25
+# Fraction of the unreserved descriptors for client connections, which are more than upstream connections
+# because queued and rejected requests need none upstream
+DOWNSTREAM_FRACTION = 0.6
 
 
 class DescriptorBudget(NamedTuple):
-    """How many connections there may be on each side of the gateway."""
+    """Maximum number of connections on each side of the gateway."""
 
     downstream: int
     upstream: int
 
 
 def divide_descriptors(max_descriptors: int) -> DescriptorBudget:
-    """Return the connections that a process with so many descriptors may have."""
+    """Return the connections that a process with `max_descriptors` file descriptors may open."""
     reserved = min(RESERVED_DESCRIPTORS, int(max_descriptors * MAX_RESERVED_FRACTION))
     available = max_descriptors - reserved
     downstream = int(available * DOWNSTREAM_FRACTION)
--- a/quota_gateway/configuration/file.py
+++ b/quota_gateway/configuration/file.py
@@ -24,34 +24,34 @@
 LISTEN_DESCRIPTOR_VARIABLE = "RELAY_SOCKET_FD"
 SHARED_FOLDER_VARIABLE = "TMPDIR"
 
-MIN_DESCRIPTORS = 32  # with fewer, none are left for clients and endpoints
-SEED_BASE = 16  # the file has the seed as hexadecimal digits
+# Minimum number of file descriptors; fewer would leave none for clients and endpoints
+MIN_DESCRIPTORS = 32
+SEED_BASE = 16  # the seed in the file is a hexadecimal string
 
 
 @dataclass(frozen=True, slots=True)
 class Configuration:
-    """All that one gateway process is configured with."""
+    """The complete configuration of one gateway process."""
 
     name: str
-    listen_address: Address  # for clients
+    listen_address: Address  # address on which clients connect
     discovery_address: Address
-    file_discovery_address: Address | None  # in the file, also where the environment overrides it
-    counter_address: Address | None  # None: the settings do without the counter service
-    admin_address: Address | None  # None: no admin server
-    listen_descriptor: int | None  # of a listening socket for clients that the platform passes on
-    shared_folder: str | None  # common to the processes of a hot restart
+    file_discovery_address: Address | None  # address in the file, even if the environment overrides it
+    counter_address: Address | None  # None if the settings disable the counter service
+    admin_address: Address | None  # None if there is no admin server
+    listen_descriptor: int | None  # listening socket for clients, inherited from the platform
+    shared_folder: str | None  # folder shared by the processes of a hot restart
     seed: int
     max_descriptors: int
-    known_endpoints: EndpointUpdate  # the cached endpoint list to start with
+    known_endpoints: EndpointUpdate  # cached endpoint list, used until discovery answers
     settings: Settings
     connection_limits: ConnectionLimits
 
 
 def read_configuration(environment: Mapping[str, str]) -> Configuration:
-    """Return the configuration in the file that `$RELAY_CONFIG` names.
+    """Return the configuration from the file at `$RELAY_CONFIG`, with overrides from other variables.
 
-    Other variables override parts of the file where they are set. ConfigurationError says in one line what
-    keeps the file from being used.
+    Raise ConfigurationError with a one-line message if the file cannot be used.
     """
     path = environment.get(FILE_VARIABLE)
     if not path:
@@ -65,12 +65,15 @@
     except KeyError as error:
         raise ConfigurationError(f"{path}: {error.args[0]} is missing") from error
     except (ValueError, TypeError, AttributeError, EndpointListError) as error:
-        problem = " ".join(str(error).split())  # it may quote the file, line breaks included
+        problem = " ".join(str(error).split())  # the message may quote line breaks from the file
         raise ConfigurationError(f"{path}: {problem}") from error
 
 
 def build_configuration(content: dict[str, Any], environment: Mapping[str, str]) -> Configuration:
-    """Return the configuration of a decoded file; a wrong one raises what its values lead to."""
+    """Return the configuration from the decoded file.
+
+    Invalid content raises KeyError, TypeError, ValueError, AttributeError or EndpointListError.
+    """
     settings = read_settings(content["settings"])
     admin_address = environment.get(ADMIN_VARIABLE) or content.get("console")
     listen_descriptor = environment.get(LISTEN_DESCRIPTOR_VARIABLE)
@@ -92,7 +95,7 @@
 
 
 def _descriptor_limit(content: dict[str, Any]) -> int:
-    """Return how many descriptors the process may have: by the file, and by its own resource limit."""
+    """Return the lower of the descriptor limit in the file and the resource limit of the process."""
     soft_limit, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     max_descriptors = min(int(content["limits"]["sockets"]), soft_limit)
     if max_descriptors < MIN_DESCRIPTORS:
--- a/quota_gateway/configuration/reload.py
+++ b/quota_gateway/configuration/reload.py
@@ -1,4 +1,4 @@
-"""Applies a changed configuration file to a running gateway."""
+"""Reloads the configuration file of a running gateway."""
 
 from __future__ import annotations
 
@@ -14,21 +14,23 @@
 from quota_gateway.metrics import Metrics
 from quota_gateway.sockets.addresses import Address
 
-RETRY_DELAY = 0.1  # seconds after which a reload that failed is tried again: the file may be half written
-MAX_RETRIES = 30  # after one signal; from 4 s after it what the new discovery has to tell counts as told
+# Seconds after which a failed reload is retried, as the file may be only partly written
+RETRY_DELAY = 0.1
+# Maximum retries after one signal; 4 s after it the gateway must know the endpoints of a new discovery
+MAX_RETRIES = 30
 
 log = logging.getLogger("quota_gateway")
 
 
 class ReloadableAddresses(NamedTuple):
-    """The addresses that may change while the gateway runs, as the file has them."""
+    """The addresses in the configuration file that a reload can change."""
 
     discovery: Address | None
     counter: Address | None
 
 
 class ConfigurationReloader:
-    """Reads the configuration again on request, and moves discovery and counter to their new addresses."""
+    """Rereads the configuration on request, and applies changed addresses of discovery and the counter."""
 
     def __init__(
         self,
@@ -37,7 +39,7 @@
         counter: CounterClient | None,
         metrics: Metrics,
     ) -> None:
-        """Take the configuration of the start, and the parts that a reload changes."""
+        """Initialize with the configuration at the start, and the components that a reload updates."""
         self.addresses = reloadable_addresses(configuration)
         self.discovery = discovery
         self.counter = counter
@@ -45,7 +47,7 @@
         self._retry_timer: asyncio.TimerHandle | None = None
 
     def reload(self) -> None:
-        """Apply the file as it is now; one that can't be used is logged, and read again for some seconds."""
+        """Apply the current file; if it cannot be used, log the error and retry for a few seconds."""
         self.close()
         try:
             configuration = read_configuration(os.environ)
@@ -57,7 +59,7 @@
         self._finish(configuration)
 
     def close(self) -> None:
-        """Try no further reload."""
+        """Cancel a pending retry."""
         if self._retry_timer is not None:
             self._retry_timer.cancel()
             self._retry_timer = None
@@ -74,7 +76,7 @@
             if retries > 1:
                 self._retry_later(retries - 1)
             return
-        log.info("the configuration was reloaded after a failure")
+        log.info("configuration reloaded after a failure")
         self._finish(configuration)
 
     def _finish(self, configuration: Configuration) -> None:
@@ -82,7 +84,7 @@
         self._apply(reloadable_addresses(configuration))
 
     def _apply(self, addresses: ReloadableAddresses) -> None:
-        # an address from the environment stays in use until the file's own changes, being the later one
+        # an address from the environment stays in use until the one in the file changes, as that is newer
         previous = self.addresses
         self.addresses = addresses
         if addresses.discovery is not None and addresses.discovery != previous.discovery:
@@ -94,5 +96,5 @@
 
 
 def reloadable_addresses(configuration: Configuration) -> ReloadableAddresses:
-    """Return the addresses that a reload compares."""
+    """Return the addresses that a reload compares with the previous ones."""
     return ReloadableAddresses(configuration.file_discovery_address, configuration.counter_address)
--- a/quota_gateway/configuration/settings_reader.py
+++ b/quota_gateway/configuration/settings_reader.py
@@ -1,4 +1,4 @@
-"""Reads the settings object: the simulator sends it when an instance starts, a gateway has it in its file."""
+"""Reads the settings object, which comes from the configuration file or from the simulator."""
 
 from __future__ import annotations
 
@@ -23,11 +23,12 @@
     "DRAINING": EndpointStatus.DRAINING,
     "DELETED": EndpointStatus.REMOVED,
 }
-PUSHED_MEMBERSHIP = "pushed"  # endpoint lists come from a local agent; else the gateway polls discovery
+# Value of `membership_mode` if a local agent pushes endpoint lists; otherwise the gateway polls discovery
+PUSHED_MEMBERSHIP = "pushed"
 
 
 def read_settings(values: dict[str, Any]) -> Settings:
-    """Return the typed settings; SettingsError names a key that is missing or has a wrong value."""
+    """Return the typed settings; raise SettingsError if a key is missing or has an invalid value."""
     settings = SettingsObject(values)
     limits = settings.section("limits")
     rules = settings.section("rules")
@@ -60,7 +61,7 @@
 
 
 def read_request_class(source: SettingsObject) -> RequestClass:
-    """Return one class of requests out of the settings' `services`."""
+    """Return a request class from an entry of `services`."""
     return RequestClass(
         name=source.required("name"),
         idempotency=source.choice("semantics", IDEMPOTENCIES),
@@ -75,7 +76,7 @@
 
 
 def read_plan(source: SettingsObject) -> Plan:
-    """Return one customer plan out of the settings' `packages`."""
+    """Return a plan from an entry of `packages`."""
     return Plan(
         name=source.required("name"),
         rate=source.number("units_per_s"),
