--- a/quota_gateway/simulator/adapter.py
+++ b/quota_gateway/simulator/adapter.py
@@ -1,4 +1,4 @@
-"""The program that the simulator starts: reads batches from standard input and replies on standard output."""
+"""The program that the simulator runs, which reads batches from stdin and writes replies to stdout."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 
 
 def serve(source: Iterable[str], sink: TextIO) -> None:
-    """Reply to every batch until the input ends; SimulatorProtocolError names a malformed line."""
+    """Reply to every batch until the input ends; raise SimulatorProtocolError for a malformed line."""
     host = SimulatorHost()
-    now: float | None = None  # of the batch that is being read
+    now: float | None = None  # time of the batch that is being read
     lines: list[str] = []
     for raw_line in source:
         line = raw_line.rstrip("\n")
@@ -37,14 +37,14 @@
 
 
 def parse_batch_time(line: str) -> float:
-    """Return the time in seconds of a batch's first line: `frame MILLISECONDS`."""
+    """Return the time in seconds from the first line of a batch: `frame MILLISECONDS`."""
     columns = line.split("\t")
     if columns[0] != "frame" or len(columns) < 2:
-        raise SimulatorProtocolError(f"expected a frame, got {line[:MAX_QUOTED_LENGTH]!r}")
+        raise SimulatorProtocolError(f"expected a frame line, got {line[:MAX_QUOTED_LENGTH]!r}")
     try:
         return float(columns[1]) / MILLISECONDS_PER_SECOND
     except ValueError as error:
-        raise SimulatorProtocolError(f"a frame with no clock: {line[:MAX_QUOTED_LENGTH]!r}") from error
+        raise SimulatorProtocolError(f"frame without a valid time: {line[:MAX_QUOTED_LENGTH]!r}") from error
 
 
 def main() -> int:
--- a/quota_gateway/simulator/host.py
+++ b/quota_gateway/simulator/host.py
@@ -1,4 +1,4 @@
-"""Runs one policy engine for each instance that the simulator starts, and carries batches to them."""
+"""Runs a policy engine for each gateway instance of the simulator, and dispatches batches to them."""
 
 from __future__ import annotations
 
@@ -12,24 +12,24 @@
 from quota_gateway.simulator.wire import decode_endpoint, decode_event, encode_action
 
 NO_INSTANCE = -1
-MAX_QUOTED_LENGTH = 200  # characters of a line that an error quotes
+MAX_QUOTED_LENGTH = 200  # maximum characters of a line that an error message quotes
 
 
 class BatchReplies:
-    """The reply lines of one batch; a line names the instance before the lines that are its own."""
+    """The reply lines of one batch, where a `speaking` line precedes the lines of each instance."""
 
     def __init__(self) -> None:
         self.lines: list[str] = []
-        self.instance = NO_INSTANCE  # whose lines are at the end
+        self.instance = NO_INSTANCE  # instance that the last lines belong to
 
     def add_actions(self, instance: int, actions: list[Action]) -> None:
-        """Add the lines of an instance's actions, of which there is at least one."""
+        """Add the lines for the actions of an instance; `actions` must not be empty."""
         if instance != self.instance:
             self._begin(instance)
         self.lines.extend(map(encode_action, actions))
 
     def add_crash(self, instance: int, error: Exception) -> None:
-        """Add the line that ends the simulation because an instance failed."""
+        """Add the line that ends the simulation because an instance has crashed."""
         self._begin(instance)
         self.lines.append(f"crash\t{type(error).__name__}: {error}".replace("\n", " "))
 
@@ -39,20 +39,20 @@
 
 
 class SimulatorHost:
-    """All instances of one simulation.
+    """All gateway instances of one simulation.
 
-    They share nothing but the numbered endpoint lists, which the wire itself shares between them.
+    The instances only share the numbered endpoint lists, which the protocol sends once for all instances.
     """
 
     def __init__(self) -> None:
         self.engines: dict[int, PolicyEngine] = {}
         self.endpoint_lists: dict[int, tuple[Endpoint, ...]] = {}
-        self.instance = NO_INSTANCE  # that the lines are for
+        self.instance = NO_INSTANCE  # instance that the current lines are for
 
     def handle_batch(self, now: float, lines: list[str]) -> list[str]:
-        """Carry out the lines of one batch at the time `now`, in seconds, and return the reply lines.
+        """Process the lines of one batch at time `now`, in seconds, and return the reply lines.
 
-        SimulatorProtocolError quotes the first line that the wire does not allow.
+        Raise SimulatorProtocolError, which quotes the line, for the first line that violates the protocol.
         """
         self.instance = NO_INSTANCE
         replies = BatchReplies()
@@ -79,38 +79,38 @@
         return replies.lines
 
     def _read_endpoint_list(self, columns: list[str], lines: list[str], start: int) -> int:
-        """Read `page NUMBER COUNT` with its list from line `start` on, and return the line after it."""
+        """Read the list of `page NUMBER COUNT` from line `start` on, and return the index after its end."""
         end = start + int(columns[2])
         if not start <= end <= len(lines):
-            raise SimulatorProtocolError("a page with too few entries")
+            raise SimulatorProtocolError("page with fewer entries than its count")
         rows = lines[start:end]
         self.endpoint_lists[int(columns[1])] = tuple(decode_endpoint(row.split("\t")) for row in rows)
         return end
 
     def _start_engine(self, columns: list[str], now: float) -> None:
-        """Start the named instance: `up SEED SETTINGS`; a tab may stand in the JSON text of the settings."""
+        """Start the current instance: `up SEED SETTINGS`; the JSON text of the settings may contain tabs."""
         self._require_instance()
         seed = int(columns[1])
         settings = json.loads("\t".join(columns[2:]))
         self.engines[self.instance] = PolicyEngine(read_settings(settings), seed, now)
 
     def _remove_engine(self) -> None:
-        """End the named instance."""
+        """Remove the current instance."""
         self._require_instance()
         self.engines.pop(self.instance, None)
 
     def _handle_event(self, columns: list[str], now: float, replies: BatchReplies) -> None:
-        """Have the named instance handle the event of one line, and add its actions to the replies."""
+        """Pass the event of one line to the current instance, and add its actions to the replies."""
         engine = self.engines.get(self.instance)
         if engine is None:
             self._require_instance()
-            raise SimulatorProtocolError(f"an event for instance {self.instance}, which is not up")
+            raise SimulatorProtocolError(f"event for instance {self.instance}, which is not running")
         event = decode_event(columns, self.endpoint_lists)
         if event is None:
             return
         try:
             actions = engine.handle(event, now)
-        except Exception as error:  # whatever the decisions raise ends the simulation with its text
+        except Exception as error:  # any error of the policy engine ends the simulation
             replies.add_crash(self.instance, error)
             return
         if actions:
@@ -118,4 +118,4 @@
 
     def _require_instance(self) -> None:
         if self.instance < 0:
-            raise SimulatorProtocolError("an event before any instance is named")
+            raise SimulatorProtocolError("message without a selected instance")
--- a/quota_gateway/simulator/wire.py
+++ b/quota_gateway/simulator/wire.py
@@ -1,6 +1,6 @@
-"""The simulator's wire: tab-separated lines, decoded to events and endpoints, and encoded from actions.
+"""The simulator's protocol: decodes tab-separated lines to events and endpoints, and encodes actions.
 
-A column without a value is "-" or is left out at a line's end. Times on the wire are milliseconds.
+A column without a value is "-", or is omitted at the end of a line. Times in the protocol are milliseconds.
 """
 
 from __future__ import annotations
@@ -55,19 +55,20 @@
 
 NO_VALUE = "-"
 TRUE = "1"
-RETRY_FLAG = 2  # bit of a request's flags: the client sends it again
+RETRY_FLAG = 2  # bit in the flags of a request that marks a retry by the client
 ENDPOINT_COLUMNS = 8
-MIN_ATTEMPT_TIMEOUT = 0.001  # milliseconds, the finest that the wire has: 0 would be no timeout
+# Minimum attempt timeout in milliseconds, the resolution of the protocol, where 0 means no timeout
+MIN_ATTEMPT_TIMEOUT = 0.001
 
 EndpointLists = Mapping[int, tuple[Endpoint, ...]]
 T = TypeVar("T")
 
 
 def decode_event(columns: list[str], endpoint_lists: EndpointLists) -> Event | None:
-    """Return the event of one line, or None for one that the decisions have no use for.
+    """Return the event of one line, or None for a message that the policy engine does not use.
 
-    `endpoint_lists` are those that the simulator has sent, by their number. A line that can't be read raises
-    SimulatorProtocolError, ValueError or IndexError.
+    `endpoint_lists` maps the numbers of the lists that the simulator has sent to their endpoints. A malformed
+    line raises SimulatorProtocolError, ValueError or IndexError.
     """
     match columns[0]:
         case "job_in":
@@ -92,7 +93,7 @@
 
 
 def decode_endpoint(columns: list[str]) -> Endpoint:
-    """Return the endpoint of one line of a list: `backend ID ZONE TYPE CELL STATUS WEIGHT STARTED`."""
+    """Return the endpoint in a line `backend ID ZONE TYPE CELL STATUS WEIGHT STARTED` of a list."""
     if len(columns) < ENDPOINT_COLUMNS or columns[0] != "backend":
         raise SimulatorProtocolError("expected a backend line")
     started_at = 0.0 if columns[7] == NO_VALUE else float(columns[7]) / MILLISECONDS_PER_SECOND
@@ -108,7 +109,7 @@
 
 
 def encode_action(action: Action) -> str:
-    """Return the line that asks the simulator for an action."""
+    """Return the line that requests an action from the simulator."""
     match action:
         case StartAttempt():
             timeout = max(action.timeout * MILLISECONDS_PER_SECOND, MIN_ATTEMPT_TIMEOUT)
@@ -126,7 +127,7 @@
             return f"recall\t{action.request_id}\t{action.attempt_index}"
         case PollEndpoints():
             return "keep_informed\t1"
-    raise AssertionError(f"an action that the simulator does not have: {action!r}")
+    raise AssertionError(f"action that the simulator does not support: {action!r}")
 
 
 def _decode_request_received(columns: list[str]) -> RequestReceived:
@@ -175,7 +176,7 @@
         return EndpointListUpdate(kind, ())
     number = int(columns[1])
     if number not in endpoint_lists:
-        raise SimulatorProtocolError("discovery names an unknown page")
+        raise SimulatorProtocolError("discovery refers to an unknown page")
     return EndpointListUpdate(kind, endpoint_lists[number])
 
 
