--- a/quota_gateway/configuration/reload.py
+++ b/quota_gateway/configuration/reload.py
@@ -52,11 +52,11 @@
         try:
             configuration = read_configuration(os.environ)
         except ConfigurationError as error:
-            self.metrics.reloaded(False)
+            self.metrics.record_reload(False)
             log.warning("reload failed, keeping the current configuration: %s", error)
             self._retry_later(MAX_RETRIES)
             return
-        self._finish(configuration)
+        self._apply_configuration(configuration)
 
     def close(self) -> None:
         """Cancel a pending retry."""
@@ -77,13 +77,13 @@
                 self._retry_later(retries - 1)
             return
         log.info("configuration reloaded after a failure")
-        self._finish(configuration)
+        self._apply_configuration(configuration)
 
-    def _finish(self, configuration: Configuration) -> None:
-        self.metrics.reloaded(True)
-        self._apply(reloadable_addresses(configuration))
+    def _apply_configuration(self, configuration: Configuration) -> None:
+        self.metrics.record_reload(True)
+        self._apply_addresses(reloadable_addresses(configuration))
 
-    def _apply(self, addresses: ReloadableAddresses) -> None:
+    def _apply_addresses(self, addresses: ReloadableAddresses) -> None:
         # an address from the environment stays in use until the one in the file changes, as that is newer
         previous = self.addresses
         self.addresses = addresses
--- a/quota_gateway/metrics.py
+++ b/quota_gateway/metrics.py
@@ -15,7 +15,7 @@
 OVERLOAD_STATUSES = frozenset({429, 503})
 
 
-def metric_lines(name: str, counts: Mapping[str, int]) -> list[str]:
+def format_counters(name: str, counts: Mapping[str, int]) -> list[str]:
     """Return one line per counter of a family, without METRIC_PREFIX."""
     return [f"{name}.{label}={count}" for label, count in counts.items()]
 
@@ -43,21 +43,21 @@
         else:
             self.error[request_class] += 1
 
-    def reloaded(self, succeeded: bool) -> None:
+    def record_reload(self, succeeded: bool) -> None:
         """Count a configuration reload."""
         if succeeded:
             self.reload_success += 1
         else:
             self.reload_failure += 1
 
-    def text(self, gauges: Mapping[str, int]) -> str:
+    def format_text(self, gauges: Mapping[str, int]) -> str:
         """Return the counters and the current `gauges`, one `name=value` per line."""
         counters = {"success": self.success, "overload": self.overload, "error": self.error}
-        lines = [line for name, counts in counters.items() for line in metric_lines(name, counts)]
-        lines += metric_lines("rejected", self.answers_without_endpoint)
-        lines += metric_lines("attempts_refused", self.attempts_refused)
-        ended = {outcome.name.lower(): count for outcome, count in self.attempts_ended.items()}
-        lines += metric_lines("attempts_ended", ended)
+        lines = [line for name, counts in counters.items() for line in format_counters(name, counts)]
+        lines += format_counters("rejected", self.answers_without_endpoint)
+        lines += format_counters("attempts_refused", self.attempts_refused)
+        ended_counts = {outcome.name.lower(): count for outcome, count in self.attempts_ended.items()}
+        lines += format_counters("attempts_ended", ended_counts)
         lines += [f"{name}={value}" for name, value in gauges.items()]
         lines.append(f"reload_success={self.reload_success}")
         lines.append(f"reload_failure={self.reload_failure}")
