--- a/quota_gateway/configuration/file.py
+++ b/quota_gateway/configuration/file.py
@@ -43,7 +43,7 @@
     shared_folder: str | None  # folder shared by the processes of a hot restart
     seed: int
     max_descriptors: int
-    known_endpoints: EndpointUpdate  # cached endpoint list, used until discovery answers
+    cached_endpoints: EndpointUpdate  # cached endpoint list, used until discovery answers
     settings: Settings
     connection_limits: ConnectionLimits
 
@@ -88,7 +88,7 @@
         shared_folder=environment.get(SHARED_FOLDER_VARIABLE) or None,
         seed=int(content["seed"], SEED_BASE),
         max_descriptors=_descriptor_limit(content),
-        known_endpoints=read_endpoint_update(content["known"], EndpointListKind.CACHED),
+        cached_endpoints=read_endpoint_update(content["known"], EndpointListKind.CACHED),
         settings=settings,
         connection_limits=read_connection_limits(content["settings"]),
     )
--- a/quota_gateway/gateway_process.py
+++ b/quota_gateway/gateway_process.py
@@ -59,8 +59,8 @@
         self.listen_address = configuration.listen_address
         self.listen_descriptor = configuration.listen_descriptor
         self.admin_address = configuration.admin_address
-        self._admin_timer: asyncio.TimerHandle | None = None  # set while the admin server cannot listen
-        self.endpoint_list_settled = False  # set once discovery has answered or timed out at the start
+        self._admin_retry_timer: asyncio.TimerHandle | None = None  # set while the admin server cannot listen
+        self.is_endpoint_list_ready = False  # set once discovery has answered or timed out at the start
         # a local discovery agent that is slower than a connect is overloaded, and clients are waiting
         self.first_list_timeout = min(MAX_FIRST_LIST_TIMEOUT, limits.connect_timeout)
         self.shutdown_timeout = shutdown_timeout_for(settings)
@@ -70,7 +70,7 @@
         engine = PolicyEngine(settings, configuration.seed, clock())
         self.dispatcher = RequestDispatcher(engine, clock, self.pool)
         self.dispatcher.counter = self._create_counter(configuration, clock)
-        self.dispatcher.apply_endpoint_update(configuration.known_endpoints)
+        self.dispatcher.apply_endpoint_update(configuration.cached_endpoints)
         self.listener = ClientListener(
             self.dispatcher, settings, clock, descriptors.downstream, self.is_serving
         )
@@ -101,12 +101,12 @@
     def _create_discovery(self, configuration: Configuration) -> DiscoveryClient:
         settings = configuration.settings
         limits = configuration.connection_limits
-        known = configuration.known_endpoints
+        cached = configuration.cached_endpoints
         return DiscoveryClient(
             configuration.discovery_address,
             limits.connect_timeout,
             self.dispatcher.apply_endpoint_update,
-            known.generation if known.entries else None,
+            cached.generation if cached.entries else None,
             poll_schedule_for(settings.gateway_count, settings.endpoint_list_pushed, limits.drain_timeout),
             self.listener.handle_descriptor_exhaustion,
         )
@@ -131,7 +131,7 @@
 
     def is_serving(self) -> bool:
         """Return whether requests can be forwarded, for the readiness check of clients at `/ready`."""
-        return self.endpoint_list_settled and self.dispatcher.engine.accepts_clients()
+        return self.is_endpoint_list_ready and self.dispatcher.engine.accepts_clients()
 
     def is_healthy(self) -> bool:
         """Return whether this process is serving and not shutting down, for the health check of operators."""
@@ -139,7 +139,7 @@
 
     def metrics_text(self) -> str:
         """Return all metrics in the text format for operators."""
-        return self.dispatcher.metrics.text(self.dispatcher.gauges())
+        return self.dispatcher.metrics.format_text(self.dispatcher.gauges())
 
     def set_maintenance(self, endpoint_id: str, enabled: bool) -> bool:
         """Start or end maintenance of an endpoint, in this process and in the other one of a hot restart.
@@ -165,8 +165,8 @@
     async def run(self) -> None:
         """Serve until SIGTERM or SIGINT, then shut down gracefully; SIGHUP reloads the configuration."""
         stop = asyncio.Event()
-        for number in (signal.SIGTERM, signal.SIGINT):
-            self.loop.add_signal_handler(number, stop.set)
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            self.loop.add_signal_handler(signal_number, stop.set)
         self.loop.add_signal_handler(signal.SIGHUP, self.reloader.reload)
         signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})
         await self.start()
@@ -176,17 +176,17 @@
 
     async def start(self) -> None:
         """Start serving; raise OSError if the listening address or descriptor cannot be used."""
-        self._open_admin()
+        self._start_admin_server()
         if self.listen_descriptor is None:
             self.listener.listen(await bind_when_possible(self.listen_address, BIND_TIMEOUT))
         self.discovery.start()
-        restoring = None
+        restore_task = None
         if self.hot_restart is not None:
-            restoring = self.loop.create_task(self.hot_restart.restore_from_older())
+            restore_task = self.loop.create_task(self.hot_restart.restore_from_older())
         await self._wait_for_first_list()
-        if restoring is not None:
-            await restoring
-        self.endpoint_list_settled = True
+        if restore_task is not None:
+            await restore_task
+        self.is_endpoint_list_ready = True
         if self.listen_descriptor is not None:
             # until now an older process accepted connections; if it still responds, it has emptied the queue
             has_acceptor = self.hot_restart is not None and self.hot_restart.is_older_alive()
@@ -194,19 +194,19 @@
         if self.hot_restart is not None:
             self.hot_restart.announce_serving()
 
-    def _open_admin(self) -> None:
+    def _start_admin_server(self) -> None:
         """Start the admin server, and retry if it cannot listen, as clients can be served without it."""
         if self.admin_address is None:
             return
-        is_first_try = self._admin_timer is None
-        self._admin_timer = None
+        is_first_try = self._admin_retry_timer is None
+        self._admin_retry_timer = None
         try:
             self.admin.listen(self.admin_address)
         except OSError as error:
             if is_first_try:
                 address = format_address(self.admin_address)
                 log.warning("admin server cannot listen on %s, will retry: %s", address, error.strerror)
-            self._admin_timer = self.loop.call_later(ADMIN_RETRY_DELAY, self._open_admin)
+            self._admin_retry_timer = self.loop.call_later(ADMIN_RETRY_DELAY, self._start_admin_server)
 
     async def _wait_for_first_list(self) -> None:
         """Wait for the first answer of discovery; the cached endpoint list is used if it is late."""
@@ -228,8 +228,8 @@
         """Close the remaining components after all client connections are closed."""
         self.discovery.stop()
         self.reloader.close()
-        if self._admin_timer is not None:
-            self._admin_timer.cancel()
+        if self._admin_retry_timer is not None:
+            self._admin_retry_timer.cancel()
         self.admin.close()
         if self.hot_restart is not None:
             self.hot_restart.close()
