--- a/quota_gateway/__main__.py
+++ b/quota_gateway/__main__.py
@@ -29,7 +29,7 @@
     await GatewayProcess(configuration).run()
 
 
-def read_start_configuration() -> Configuration:
+def read_initial_configuration() -> Configuration:
     """Return the configuration, and retry while its file cannot be opened because of a transient error.
 
     Raise ConfigurationError if the configuration cannot be used.
@@ -55,7 +55,7 @@
     # because it may announce a change that was made to the file after it was read.
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
     try:
-        configuration = read_start_configuration()
+        configuration = read_initial_configuration()
     except ConfigurationError as error:
         return report_fatal_error(error, EXIT_INVALID_INPUT)
     try:
--- a/quota_gateway/body_streaming.py
+++ b/quota_gateway/body_streaming.py
@@ -47,8 +47,8 @@
         self.chunks: deque[bytes] = deque()
         self.buffered_bytes = 0
         self.is_complete = False  # the client has sent the last byte of the body
-        self.started = False  # the upstream side has taken some of the body
-        self.end_taken = False  # the upstream side has taken the final chunk
+        self.has_been_read = False  # the upstream side has taken some of the body
+        self.last_chunk_taken = False  # the upstream side has taken the final chunk
         self.on_capacity: Callable[[], None] = _ignore_notification
         self.on_data: Callable[[], None] = _ignore_notification
         self.on_first_read: Callable[[], None] = _ignore_notification
@@ -62,9 +62,9 @@
 
     def take_end(self) -> bytes:
         """Take the final chunk of a chunked body; empty if it was taken before or the body is not chunked."""
-        if self.length is not None or self.end_taken:
+        if self.length is not None or self.last_chunk_taken:
             return b""
-        self.end_taken = True
+        self.last_chunk_taken = True
         return LAST_CHUNK
 
     def is_full(self) -> bool:
@@ -86,8 +86,8 @@
         """Take the next buffered data, framed for the endpoint; empty if no data is buffered."""
         if not self.chunks:
             return b""
-        if not self.started:
-            self.started = True
+        if not self.has_been_read:
+            self.has_been_read = True
             self.on_first_read()
         was_full = self.is_full()
         data = self.chunks.popleft()
