--- a/quota_gateway/model/timers.py
+++ b/quota_gateway/model/timers.py
@@ -77,12 +77,12 @@
     """Return the timer that `encode_timer` has encoded; raise ValueError for any other string."""
     if text == POLL_ENDPOINTS_TEXT:
         return PollEndpointsTimer()
-    kind = text[:1]
+    prefix = text[:1]
     value = text[1:]
-    number, _, owner = value.partition(" ")
-    match kind:
+    first, _, rest = value.partition(" ")
+    match prefix:
         case "o":
-            return LateAttemptTimer(int(owner), int(number))
+            return LateAttemptTimer(int(rest), int(first))
         case "h":
             return QueueTimeoutTimer(int(value))
         case "r":
@@ -90,5 +90,5 @@
         case "c":
             return ReportDemandTimer(value)
         case "d":
-            return ReadDemandTimer(owner, int(number))
+            return ReadDemandTimer(rest, int(first))
     raise ValueError(f"unknown timer {text!r}")
--- a/quota_gateway/simulator/host.py
+++ b/quota_gateway/simulator/host.py
@@ -20,21 +20,21 @@
 
     def __init__(self) -> None:
         self.lines: list[str] = []
-        self.instance = NO_INSTANCE  # instance that the last lines belong to
+        self.current_instance = NO_INSTANCE  # instance that the last lines belong to
 
     def add_actions(self, instance: int, actions: list[Action]) -> None:
         """Add the lines for the actions of an instance; `actions` must not be empty."""
-        if instance != self.instance:
-            self._begin(instance)
+        if instance != self.current_instance:
+            self._begin_instance(instance)
         self.lines.extend(map(encode_action, actions))
 
     def add_crash(self, instance: int, error: Exception) -> None:
         """Add the line that ends the simulation because an instance has crashed."""
-        self._begin(instance)
+        self._begin_instance(instance)
         self.lines.append(f"crash\t{type(error).__name__}: {error}".replace("\n", " "))
 
-    def _begin(self, instance: int) -> None:
-        self.instance = instance
+    def _begin_instance(self, instance: int) -> None:
+        self.current_instance = instance
         self.lines.append(f"speaking\t{instance}")
 
 
@@ -47,14 +47,14 @@
     def __init__(self) -> None:
         self.engines: dict[int, PolicyEngine] = {}
         self.endpoint_lists: dict[int, tuple[Endpoint, ...]] = {}
-        self.instance = NO_INSTANCE  # instance that the current lines are for
+        self.current_instance = NO_INSTANCE  # instance that the current lines are for
 
     def handle_batch(self, now: float, lines: list[str]) -> list[str]:
         """Process the lines of one batch at time `now`, in seconds, and return the reply lines.
 
         Raise SimulatorProtocolError, which quotes the line, for the first line that violates the protocol.
         """
-        self.instance = NO_INSTANCE
+        self.current_instance = NO_INSTANCE
         replies = BatchReplies()
         next_line = 0
         while next_line < len(lines):
@@ -64,7 +64,7 @@
             try:
                 match columns[0]:
                     case "about":
-                        self.instance = int(columns[1])
+                        self.current_instance = int(columns[1])
                     case "page":
                         next_line = self._read_endpoint_list(columns, lines, next_line)
                     case "up":
@@ -92,30 +92,30 @@
         self._require_instance()
         seed = int(columns[1])
         settings = json.loads("\t".join(columns[2:]))
-        self.engines[self.instance] = PolicyEngine(read_settings(settings), seed, now)
+        self.engines[self.current_instance] = PolicyEngine(read_settings(settings), seed, now)
 
     def _remove_engine(self) -> None:
         """Remove the current instance."""
         self._require_instance()
-        self.engines.pop(self.instance, None)
+        self.engines.pop(self.current_instance, None)
 
     def _handle_event(self, columns: list[str], now: float, replies: BatchReplies) -> None:
         """Pass the event of one line to the current instance, and add its actions to the replies."""
-        engine = self.engines.get(self.instance)
+        engine = self.engines.get(self.current_instance)
         if engine is None:
             self._require_instance()
-            raise SimulatorProtocolError(f"event for instance {self.instance}, which is not running")
+            raise SimulatorProtocolError(f"event for instance {self.current_instance}, which is not running")
         event = decode_event(columns, self.endpoint_lists)
         if event is None:
             return
         try:
             actions = engine.handle(event, now)
         except Exception as error:  # any error of the policy engine ends the simulation
-            replies.add_crash(self.instance, error)
+            replies.add_crash(self.current_instance, error)
             return
         if actions:
-            replies.add_actions(self.instance, actions)
+            replies.add_actions(self.current_instance, actions)
 
     def _require_instance(self) -> None:
-        if self.instance < 0:
+        if self.current_instance < 0:
             raise SimulatorProtocolError("message without a selected instance")
--- a/quota_gateway/simulator/wire.py
+++ b/quota_gateway/simulator/wire.py
@@ -102,7 +102,7 @@
         zone=columns[2],
         machine_type=columns[3],
         cell=int(columns[4]),
-        status=_named(STATUSES, columns[5]),
+        status=_lookup(STATUSES, columns[5]),
         weight=float(columns[6]),
         started_at=started_at or None,
     )
@@ -151,7 +151,7 @@
         request_id=int(columns[1]),
         attempt_index=int(columns[2]),
         endpoint_id=columns[3],
-        outcome=_named(OUTCOMES, columns[4]),
+        outcome=_lookup(OUTCOMES, columns[4]),
         elapsed=float(columns[5]) / MILLISECONDS_PER_SECOND,
         request_answered=_optional(columns, 6, "0") == TRUE,
         actual_units=float(_optional(columns, 8, "0")),
@@ -163,7 +163,7 @@
     """Decode `counted NAME ELAPSED TOTAL OUTCOME`."""
     return CounterReply(
         name=columns[1],
-        outcome=_named(OUTCOMES, columns[4]),
+        outcome=_lookup(OUTCOMES, columns[4]),
         elapsed=float(columns[2]) / MILLISECONDS_PER_SECOND,
         total=float(_optional(columns, 3, "0")),
     )
@@ -171,7 +171,7 @@
 
 def _decode_endpoint_list_update(columns: list[str], endpoint_lists: EndpointLists) -> EndpointListUpdate:
     """Decode `discovery LIST_NUMBER KIND`."""
-    kind = _named(ENDPOINT_LIST_KINDS, columns[2])
+    kind = _lookup(ENDPOINT_LIST_KINDS, columns[2])
     if kind is EndpointListKind.FAILED:
         return EndpointListUpdate(kind, ())
     number = int(columns[1])
@@ -184,7 +184,7 @@
     """Decode `probe_result ENDPOINT OUTCOME ELAPSED LOAD_REPORT`."""
     return HealthCheckResult(
         endpoint_id=columns[1],
-        outcome=_named(OUTCOMES, columns[2]),
+        outcome=_lookup(OUTCOMES, columns[2]),
         elapsed=float(columns[3]) / MILLISECONDS_PER_SECOND,
         load_report=_load_report(columns, 4),
     )
@@ -202,8 +202,8 @@
     return default if value == NO_VALUE else value
 
 
-def _named(names: Mapping[str, T], name: str) -> T:
+def _lookup(members: Mapping[str, T], name: str) -> T:
     try:
-        return names[name]
+        return members[name]
     except KeyError:
         raise SimulatorProtocolError(f"unknown value {name!r}") from None
