--- a/quota_gateway/configuration/descriptor_budget.py
+++ b/quota_gateway/configuration/descriptor_budget.py
@@ -8,8 +8,8 @@
 RESERVED_DESCRIPTORS = 64
 # Maximum fraction of all descriptors that is reserved; it applies if the process has few descriptors
 MAX_RESERVED_FRACTION = 0.25
-# Fraction of the unreserved descriptors for client connections, which are more than upstream connections
-# because queued and rejected requests need none upstream
+# Fraction of the unreserved descriptors for client connections; it is above one half because queued and
+# rejected requests need no upstream connection
 DOWNSTREAM_FRACTION = 0.6
 
 
--- a/quota_gateway/exit_status.py
+++ b/quota_gateway/exit_status.py
@@ -4,7 +4,7 @@
 
 import sys
 
-EXIT_FAILURE = 1  # a system call failed, for example because an address is in use
+EXIT_FAILURE = 1  # an operation of the system failed, for example because an address is in use
 EXIT_INVALID_INPUT = 2  # the configuration or the input is invalid
 
 
--- a/quota_gateway/model/events.py
+++ b/quota_gateway/model/events.py
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestBodyConsumed:
-    """Part of a long request body was forwarded without being kept, so the request cannot be retried."""
+    """Part of a long body was forwarded and is no longer buffered, so the request cannot be retried."""
 
     request_id: int
 
--- a/quota_gateway/model/settings.py
+++ b/quota_gateway/model/settings.py
@@ -64,7 +64,7 @@
     zone: str  # zone of this gateway
 
     # Discovery
-    endpoint_list_pushed: bool  # a local agent receives endpoint lists; otherwise the gateway polls
+    endpoint_list_pushed: bool  # discovery pushes lists to a local agent; otherwise the gateway polls
     poll_interval: float
 
     # Counter service
@@ -83,7 +83,7 @@
     # Endpoints that are warming up or overloaded
     slow_start_minimum: float  # fraction of its full capacity that an endpoint has when it starts
     slow_start_window: float  # time after which an endpoint has its full capacity
-    slow_start_overload_ratio: float  # ratio of load to capacity above which a warming endpoint fails
+    slow_start_overload_ratio: float  # ratio of load to capacity above which a warming-up endpoint fails
     overload_duration: float
 
     # Quota units
