--- a/quota_gateway/engine/__init__.py
+++ b/quota_gateway/engine/__init__.py
@@ -1,1 +1,1 @@
-"""The policy engine: connects the mechanisms, routes events to them, and saves their state."""
+"""The policy engine: connects the mechanisms, dispatches events to them, and saves their state."""
--- a/quota_gateway/engine/policy_engine.py
+++ b/quota_gateway/engine/policy_engine.py
@@ -1,4 +1,4 @@
-"""The policy engine: routes events to the mechanisms and collects their actions."""
+"""The policy engine: dispatches events to the mechanisms and collects their actions."""
 
 from __future__ import annotations
 
@@ -27,14 +27,14 @@
 from quota_gateway.state.peer_process import PeerProcess
 from quota_gateway.state.records import EndpointState, Limiter
 
-RECENTLY_USED = 1.5  # seconds in which an outlier that was used is not reported as unavailable
+RECENTLY_USED = 1.5  # seconds after an attempt for which an outlier still counts as available
 
 
 class PolicyEngine:
-    """Decides for one gateway, by its settings and events only: without I/O, clock or tasks."""
+    """Makes one gateway's decisions from its settings and events alone; has no I/O, clock or tasks."""
 
     def __init__(self, settings: Settings, seed: int, now: float) -> None:
-        """Connect the mechanisms; `seed` is for the random numbers, `now` is in seconds."""
+        """Create and connect the mechanisms; `seed` is for the random numbers, `now` is in seconds."""
         validate_settings(settings)
         self.context = context = EngineContext(settings, random.Random(seed), now, now)
         self.draining = False
@@ -67,7 +67,7 @@
 
     @property
     def endpoints(self) -> dict[str, EndpointState]:
-        """The endpoints of the list, by id."""
+        """The endpoints in the endpoint list, by id."""
         return self.registry.endpoints
 
     @property
@@ -76,7 +76,10 @@
         return self.context.settings
 
     def handle(self, event: events.Event, now: float) -> list[actions.Action]:
-        """Return the actions for an event, in order; `now` is seconds, clamped to never go back."""
+        """Process an event and return the resulting actions, in order.
+
+        `now` is in seconds; the engine's time does not go back if it is lower than for an earlier event.
+        """
         self.context.now = max(self.context.now, now)
         self.context.actions = []
         match event:
@@ -102,7 +105,7 @@
             case events.StateSnapshot(state):
                 self._restore(state)
             case events.HealthCheckResult():
-                pass  # endpoints are known by their responses
+                pass  # endpoint health is judged by the responses to requests
             case _:
                 self._handle_request_event(event)
         return self.context.actions
@@ -178,7 +181,7 @@
             self.context.emit(actions.DrainClientConnections(True))
 
     def snapshot(self, now: float) -> events.StateSnapshot:
-        """Return the state for the next process of this gateway; `now` is in seconds."""
+        """Return the state to restore in the next process of this gateway; `now` is in seconds."""
         return save_state(self, max(now, self.context.now))
 
     def knows_endpoint(self, endpoint_id: str) -> bool:
@@ -186,7 +189,7 @@
         return endpoint_id in self.registry.endpoints or endpoint_id in self.registry.under_maintenance
 
     def unavailable_endpoints(self) -> int:
-        """Return how many listed endpoints get no requests: by status, maintenance, ejection or subset."""
+        """Return how many listed endpoints get no requests due to status, maintenance, ejection or subset."""
         used = sum(1 for endpoint in self.registry.candidates if not self._is_ejected(endpoint))
         return len(self.registry.endpoints) - used
 
@@ -195,5 +198,5 @@
         return is_outlier(endpoint) and self.context.now - endpoint.last_used_at >= RECENTLY_USED
 
     def accepts_clients(self) -> bool:
-        """Return whether a load balancer may send clients here."""
+        """Return whether a load balancer may send clients to this gateway."""
         return bool(self.registry.serving) and not self.draining
--- a/quota_gateway/engine/state_snapshot.py
+++ b/quota_gateway/engine/state_snapshot.py
@@ -1,6 +1,6 @@
-"""Saves an engine's state as plain values for the next process, and restores that of the previous one.
+"""Saves an engine's state as plain values for the next process, and restores the previous process's state.
 
-Keys and the order of list items are a format between versions of the program: they stay the same when
+Different versions of the program read this format: its keys and the order of list items stay the same when
 attributes are renamed.
 """
 
@@ -27,13 +27,14 @@
     newest_time,
 )
 
-UNKNOWN_TIME = 0.0  # seconds: the saving of a state whose process did not tell its clock's time
-# Seconds of difference between the clocks of two processes from which one was stepped: less is the transfer.
+UNKNOWN_TIME = 0.0  # seconds; stands for the save time that older versions do not save
+# Smallest difference in seconds between two processes' clocks that counts as a step of the wall clock. A
+# smaller difference is the duration of the state transfer.
 MIN_CLOCK_STEP = 1.0
 
 
 class Mechanisms(Protocol):
-    """The parts of an engine that have state to save."""
+    """The parts of an engine whose state is saved and restored."""
 
     context: EngineContext
     limiters: LimiterRegistry
@@ -47,7 +48,7 @@
 
 
 def save_state(engine: Mechanisms, now: float) -> StateSnapshot:
-    """Return the state in plain values, as it is sent to the next process at `now`."""
+    """Return the state at `now` as plain values, to be sent to the next process."""
     limiters = [list(_saved_limiter(limiter)) for limiter in engine.limiters.limiters.values()]
     return StateSnapshot(
         {
@@ -69,7 +70,7 @@
             "shortest": engine.counter.fastest_reply,
             "counted_part": engine.counter.sampling_ratio,
             "draining": engine.draining,
-            # from here on not in every version
+            # older versions do not save the values below
             "now": now,
             "quota_time": now + engine.context.quota_time_offset,
             "starts": _start_rows(engine.registry),
@@ -118,7 +119,7 @@
 
 
 def load_state(state: dict[str, Any]) -> SavedState:
-    """Return the state that another process saved; KeyError, TypeError or ValueError if it is malformed."""
+    """Parse another process's saved state; raises KeyError, TypeError or ValueError if it is malformed."""
     saved = SavedState(
         saved_at=state.get("now", UNKNOWN_TIME),
         quota_time=state.get("quota_time"),
@@ -146,9 +147,9 @@
 
 
 def restore_state(engine: Mechanisms, saved: SavedState) -> None:
-    """Merge the state into that of this process, except whether the gateway is draining.
+    """Merge the saved state into that of this process, except for `draining`, which is left to the caller.
 
-    The state is of just now: its times are moved from the other process's clock to this one's.
+    The state was saved just now, so its times are converted by the difference between the two clocks.
     """
     clock_difference = engine.context.now - saved.saved_at
     if saved.quota_time is not None:
@@ -170,7 +171,7 @@
 
 
 def _restore_quota_time(context: EngineContext, quota_time: float, saved_at: float) -> None:
-    """Count quotas by the other process's clock, as the gateways do that were not restarted."""
+    """Keep counting quotas by the other process's clock, to agree with the gateways not restarted."""
     was_stepped = abs(context.now - saved_at) >= MIN_CLOCK_STEP
     context.quota_time_offset = quota_time - (context.now if was_stepped else saved_at)
 
