--- a/quota_gateway/counter/__init__.py
+++ b/quota_gateway/counter/__init__.py
@@ -1,1 +1,1 @@
-"""Client of the quota counter."""
+"""Client of the quota counter, which all gateways share."""
--- a/quota_gateway/counter/client.py
+++ b/quota_gateway/counter/client.py
@@ -1,4 +1,4 @@
-"""Client of the quota counter: RESP2 calls, pipelined over a few connections."""
+"""Client of the quota counter, which pipelines RESP2 calls over a few connections."""
 
 from __future__ import annotations
 
@@ -15,16 +15,21 @@
 from quota_gateway.sockets.addresses import Address
 from quota_gateway.sockets.dialing import connect_with_retry, ignore_descriptor_exhaustion
 
-CONNECTION_COUNT = 4  # names are hashed over the connections, so that one slow call delays fewer others
+CONNECTION_COUNT = 4  # customers are hashed over the connections, so that one slow call delays fewer others
 ADD_COMMAND = "CNT.ADD"
-MIN_EXPIRY_MS = 1  # milliseconds; the counter accepts no shorter expiry
-LATENCY_FACTOR = 4.0  # times the fastest reply that is waited for: one that takes longer was queued
-FASTEST_REPLY_GROWTH = 1.001  # by each reply: lets the fastest reply time follow a path that became slower
-MOVED_CLOSE_FACTOR = 2  # times the timeout after which connections to a former address are closed
+MIN_EXPIRY_MS = 1  # the counter accepts no shorter expiry than 1 millisecond
+# A call waits at least this multiple of the fastest reply time: a slower reply was queued at the counter.
+LATENCY_FACTOR = 4.0
+# Each reply raises the fastest reply time by this factor, so that it follows a path that becomes slower.
+FASTEST_REPLY_GROWTH = 1.001
+MOVED_CLOSE_FACTOR = 2  # connections to a former address are closed after this multiple of the timeout
 
 
 class CounterClient:
-    """Sends one gateway's counter calls; each call is reported once, after its timeout at the latest."""
+    """Sends a gateway's calls to the counter.
+
+    The result of each call is reported exactly once, when the call times out at the latest.
+    """
 
     def __init__(
         self,
@@ -34,37 +39,37 @@
         connect_timeout: float,
         on_reply: Callable[[CounterReply], None],
     ) -> None:
-        """Take the timeouts in seconds; `on_reply` is called with the result of each call."""
+        """Initialize the client; timeouts are in seconds, `on_reply` receives the result of each call."""
         self.clock = clock
         self.address = address
         self.timeout = timeout
         self.connect_timeout = connect_timeout
         self.on_reply = on_reply
         self.on_descriptor_exhaustion = ignore_descriptor_exhaustion
-        self.fastest_reply = 0.0  # seconds of the fastest reply, late ones included; 0: none yet
+        self.fastest_reply = 0.0  # seconds that the fastest reply took, late ones included; 0 before any
         self.loop = asyncio.get_running_loop()
         self.connections: list[CounterConnection | None] = [None] * CONNECTION_COUNT
-        self.closing: set[CounterConnection] = set()  # to a former address, draining
+        self.closing: set[CounterConnection] = set()  # connections to a former address that are draining
         self.connect_tasks: set[asyncio.Task[None]] = set()
 
     @property
     def reply_timeout(self) -> float:
         """Seconds that a call waits for its reply: the configured timeout, or more for a distant counter.
 
-        An overloaded counter still answers some calls fast, and its queued calls fail after the configured
-        timeout. A distant counter answers no call fast and would never be heard in time.
+        An overloaded counter still answers some calls fast, so its queued calls fail after the configured
+        timeout. A distant counter answers no call fast: with the configured timeout all calls would fail.
         """
         return max(self.timeout, LATENCY_FACTOR * self.fastest_reply)
 
     def add(self, name: str, amount: float, expire_after: float) -> None:
-        """Add an amount to a name, with the time in seconds after which the counter may forget it."""
+        """Add `amount` to the total of `name`, which the counter may discard after `expire_after` seconds."""
         now = self.clock()
         call = CounterCall(name, _encode_add(name, amount, expire_after), now)
         call.timer = self.loop.call_later(self.reply_timeout, self.time_out, call)
         self._connection_for(name, now).send(call)
 
     def move(self, address: Address) -> None:
-        """Send further calls to another address; calls in flight end on the connections they use."""
+        """Send further calls to another address; calls in flight stay on their connections."""
         self.address = address
         self.fastest_reply = 0.0  # unknown for the new address
         former = self.connections
@@ -77,7 +82,7 @@
                 self.loop.call_later(MOVED_CLOSE_FACTOR * self.timeout, connection.close)
 
     def close(self) -> None:
-        """Abort all connections and attempts to connect."""
+        """Abort all connections, including those that are being opened."""
         for connection in (*self.connections, *self.closing):
             if connection is not None:
                 connection.close()
@@ -85,11 +90,11 @@
             task.cancel()
 
     def time_out(self, call: CounterCall) -> None:
-        """Complete a call that got no reply in time; one that was never written added nothing."""
+        """Complete a call whose reply did not arrive in time; a call that was never written added nothing."""
         self.complete(call, CounterResult(Outcome.TIMED_OUT if call.written else Outcome.CONNECT_FAILED))
 
     def reply_received(self, call: CounterCall) -> None:
-        """Update the fastest reply time."""
+        """Update the fastest reply time from a reply, which may be late."""
         elapsed = self.clock() - call.started_at
         if self.fastest_reply:
             self.fastest_reply = min(self.fastest_reply * FASTEST_REPLY_GROWTH, elapsed)
@@ -97,7 +102,7 @@
             self.fastest_reply = elapsed
 
     def complete(self, call: CounterCall, result: CounterResult) -> None:
-        """Report a call's result unless the call is completed already."""
+        """Report a call's result unless the call is already completed."""
         if call.completed:
             return
         call.completed = True
@@ -107,11 +112,11 @@
         self.on_reply(CounterReply(call.name, result.outcome, elapsed, result.total))
 
     def connection_ended(self, connection: CounterConnection) -> None:
-        """Forget a connection to a former address."""
+        """Remove a closed connection from those to a former address."""
         self.closing.discard(connection)
 
     def _connection_for(self, name: str, now: float) -> CounterConnection:
-        # hashed by the name's first part, the customer: a customer's calls keep their order
+        # the hash is of the customer, the first part of the name, so that a customer's calls stay in order
         customer = name.partition(".")[0]
         index = zlib.crc32(customer.encode()) % CONNECTION_COUNT
         connection = self.connections[index]
@@ -137,11 +142,11 @@
         except (OSError, TimeoutError):
             connection.fail_calls()
         if connection.closed:
-            connection.close()  # it was closed while it was being opened
+            connection.close()  # close() was called while the connection was being opened
 
 
 def _encode_add(name: str, amount: float, expire_after: float) -> bytes:
     expiry_ms = max(MIN_EXPIRY_MS, round(expire_after * 1000))
     words = (ADD_COMMAND, name, f"{amount:.9g}", str(expiry_ms))
-    command: bytes = hiredis.pack_command(words)  # type: ignore[arg-type]  # its stub allows one word only
+    command: bytes = hiredis.pack_command(words)  # type: ignore[arg-type]  # its stub takes one string
     return command
--- a/quota_gateway/counter/connection.py
+++ b/quota_gateway/counter/connection.py
@@ -11,15 +11,17 @@
 from quota_gateway.counter.reply import CounterResult, parse_reply
 from quota_gateway.model.outcomes import Outcome
 
-STALL_FACTOR = 10.0  # times the call timeout that the oldest call may wait before its connection is replaced
-IDLE_TIMEOUT = 3.0  # seconds; the counter closes idle connections without notice, so they are not reused
+# A connection is replaced once its oldest call has waited for this multiple of the call timeout.
+STALL_FACTOR = 10.0
+# Seconds after which an idle connection is not reused: the counter closes such connections without notice.
+IDLE_TIMEOUT = 3.0
 
 
 class CounterCall:
     """One call to the counter.
 
-    It is completed exactly once. A call that timed out keeps its place among the calls in flight, because
-    replies are matched to calls by their order alone.
+    It is completed exactly once. A call that timed out stays among the calls in flight, because replies are
+    matched to calls by their order alone.
     """
 
     __slots__ = ("command", "completed", "name", "started_at", "timer", "written")
@@ -34,36 +36,36 @@
 
 
 class CounterConnectionOwner(Protocol):
-    """What a connection reports to."""
+    """Interface through which a connection reports to its owner."""
 
-    timeout: float  # seconds allowed for a call
+    timeout: float  # the configured timeout of a call, in seconds
 
     def reply_received(self, call: CounterCall) -> None:
-        """Note that a call has its reply, which may have come after its timeout."""
+        """Handle the arrival of a reply, possibly after its call timed out."""
 
     def complete(self, call: CounterCall, result: CounterResult) -> None:
-        """Report a call's result unless the call is completed already."""
+        """Report a call's result unless the call is already completed."""
 
     def connection_ended(self, connection: CounterConnection) -> None:
-        """Note that a connection is closed or could not be opened."""
+        """Handle a connection that was closed or could not be opened."""
 
 
 class CounterConnection(asyncio.Protocol):
-    """A connection with its calls that wait for it to open and its calls in flight."""
+    """A connection, the calls that are queued until it is open, and the calls in flight on it."""
 
     def __init__(self, owner: CounterConnectionOwner) -> None:
         self.owner = owner
         self.transport: asyncio.Transport | None = None
-        self.pending: list[CounterCall] = []  # to be written when the connection is open
-        self.in_flight: deque[CounterCall] = deque()  # written, without a reply, in the order of writing
+        self.pending: list[CounterCall] = []  # calls to write once the connection is open
+        self.in_flight: deque[CounterCall] = deque()  # written calls without a reply, oldest first
         self.reader = hiredis.Reader()
-        self.last_used_at = 0.0
-        self.write_paused = False  # the last call written is not completely handed to the kernel
+        self.last_used_at = 0.0  # when the last call was sent, in seconds
+        self.write_paused = False  # the kernel has not yet taken all of the last written call
         self.closed = False
         self.draining = False
 
     def is_usable(self, now: float) -> bool:
-        """Return False if the next call needs a new connection: this one is closed, stalled or idle."""
+        """Return whether the next call can use this connection: it is not closed, stalled or long idle."""
         if self.closed or (self.transport is not None and self.transport.is_closing()):
             return False
         if self.in_flight:
@@ -79,13 +81,13 @@
             self._write(call, self.transport)
 
     def drain(self) -> None:
-        """Close the connection when its last call has its reply; no further call may be sent."""
+        """Close the connection once its last call has its reply; no further call may be sent."""
         self.draining = True
         if not (self.in_flight or self.pending):
             self.close()
 
     def close(self) -> None:
-        """Abort the connection; its calls are completed when the event loop reports its end."""
+        """Abort the connection; its calls are completed when the event loop calls connection_lost."""
         self.closed = True
         if self.transport is not None:
             self.transport.abort()
@@ -93,7 +95,8 @@
     def fail_calls(self) -> None:
         """Complete all calls of a connection that ended or could not be opened.
 
-        Calls that were not written completely added nothing: CONNECT_FAILED. The others may have: TIMED_OUT.
+        Calls that were not completely written added nothing and end as CONNECT_FAILED. The others may have
+        added their amount and end as TIMED_OUT.
         """
         self.closed = True
         self.owner.connection_ended(self)
@@ -107,25 +110,25 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Write the calls that were queued while the connection was being opened."""
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's has its methods but not its base class
-        # with a limit of 0 pause_writing reports every write that the kernel has not taken completely
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's class does not inherit from it
+        # with a limit of 0, pause_writing is called for every write that the kernel does not take completely
         self.transport.set_write_buffer_limits(high=0)
         queued = self.pending
         self.pending = []
         for call in queued:
-            if not call.completed:  # a call that timed out meanwhile was reported as not written
+            if not call.completed:  # a call that timed out while queued was reported as not written
                 self._write(call, self.transport)
 
     def pause_writing(self) -> None:
-        """Note that the last write is still buffered."""
+        """Record that part of the last write is still buffered."""
         self.write_paused = True
 
     def resume_writing(self) -> None:
-        """Note that the kernel has taken all writes."""
+        """Record that the kernel has taken all writes."""
         self.write_paused = False
 
     def data_received(self, data: bytes) -> None:
-        """Complete the calls whose replies arrived; close the connection where replies can't be matched."""
+        """Complete the calls whose replies arrived; close the connection if replies can't be matched."""
         self.reader.feed(data)
         try:
             while (reply := self.reader.gets()) is not False:
@@ -136,11 +139,11 @@
             self.close()
 
     def eof_received(self) -> bool:
-        """Have the transport close itself."""
+        """Let the transport close itself."""
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Complete the calls that are left."""
+        """Complete the calls that have no reply."""
         self.fail_calls()
 
     def _write(self, call: CounterCall, transport: asyncio.Transport) -> None:
@@ -151,7 +154,7 @@
     def _handle_reply(self, reply: object) -> bool:
         """Complete the oldest call in flight; return False if the connection has to be closed."""
         if not self.in_flight:
-            return False  # a reply to no call: later replies can't be matched to calls either
+            return False  # a reply without a call: later replies can't be matched to calls either
         result = parse_reply(reply)
         call = self.in_flight.popleft()
         self.owner.reply_received(call)
--- a/quota_gateway/counter/reply.py
+++ b/quota_gateway/counter/reply.py
@@ -1,4 +1,4 @@
-"""Interpretation of the counter's RESP2 replies."""
+"""Conversion of the counter's RESP2 replies to results of calls."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 from quota_gateway.model.outcomes import Outcome
 
-# The decimal numbers that a counter may send. float() alone accepts "nan", "inf" and "1_0" as well; such a
-# total would corrupt a quota level permanently.
+# The decimal numbers that a counter may send as a total. float() also accepts "nan", "inf" and "1_0", which
+# would corrupt a customer's quota permanently.
 TOTAL_PATTERN = re.compile(rb"-?\d{1,20}(\.\d{1,20})?([eE][+-]?\d{1,2})?")
-REJECTED_PREFIX = "BUSY"  # error code of a counter that shed the call
+REJECTED_PREFIX = "BUSY"  # error code of a counter that rejected the call under load
 ERROR_PREFIX = "ERR"  # error code of a counter that could not execute the call
 
 
@@ -20,14 +20,14 @@
     """How one counter call ended."""
 
     outcome: Outcome
-    total: float = 0.0  # units counted under the name so far; meaningful for SUCCESS only
+    total: float = 0.0  # units counted so far under the name of the call; valid only with SUCCESS
 
 
 def parse_reply(reply: object) -> CounterResult | None:
-    """Return the result that a decoded reply stands for; None if it is no number and no known error.
+    """Return the result in a decoded reply; None if it is neither a number nor a known error.
 
-    The policy engine takes every failure but TIMED_OUT as proof that nothing was added. An unknown reply is
-    no such proof, so the caller has to report it as TIMED_OUT.
+    The policy engine takes every failure except TIMED_OUT as proof that nothing was added. An unknown reply
+    is no such proof, so the caller has to report it as TIMED_OUT.
     """
     if isinstance(reply, hiredis.ReplyError):
         return _parse_error(str(reply))
