--- a/quota_gateway/discovery/__init__.py
+++ b/quota_gateway/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Service discovery: polls the endpoint list and decodes it."""
+"""Service discovery: polls the endpoint list and decodes updates to it."""
--- a/quota_gateway/discovery/client.py
+++ b/quota_gateway/discovery/client.py
@@ -1,4 +1,4 @@
-"""Client of service discovery: follows the endpoint list, also across a change of the agent's address."""
+"""Client of service discovery, which follows the endpoint list across changes of the agent's address."""
 
 from __future__ import annotations
 
@@ -13,7 +13,10 @@
 
 
 class DiscoveryClient:
-    """Follows the endpoint list; after a move the old agent is followed until the new one has answered."""
+    """Polls the endpoint list at an agent.
+
+    After a change of the agent's address, the old agent is polled until the new one has sent an update.
+    """
 
     def __init__(
         self,
@@ -24,10 +27,10 @@
         schedule: PollSchedule = DEFAULT_POLL_SCHEDULE,
         on_descriptor_exhaustion: Callable[[], None] = ignore_descriptor_exhaustion,
     ) -> None:
-        """Take the agent's address, the connect timeout in seconds and the receiver of updates.
+        """Initialize the client; `connect_timeout` is in seconds, and `on_update` receives the updates.
 
-        `known_generation` is the version of the list that the gateway starts with, None for none. It is valid
-        for the first agent only.
+        `known_generation` is the version of the list that the gateway starts with, or None. It is valid for
+        the first agent only.
         """
         self.address = address
         self.connect_timeout = connect_timeout
@@ -35,9 +38,9 @@
         self.known_generation = known_generation
         self.schedule = schedule
         self.on_descriptor_exhaustion = on_descriptor_exhaustion
-        # set by the first update, and by the first rejection: waiting longer would not bring a list sooner
+        # set by the first update or rejection: after a rejection, waiting on would not bring a list sooner
         self.answered = asyncio.Event()
-        self.pollers: list[EndpointPoller] = []  # the active one, and then its replacement, if any
+        self.pollers: list[EndpointPoller] = []  # the active poller, then its replacement, if any
 
     def start(self) -> None:
         """Start polling the current address."""
@@ -55,7 +58,7 @@
         self.pollers.append(poller)
 
     def move(self, address: Address) -> None:
-        """Follow the agent at another address, from its first update on."""
+        """Switch to the agent at another address once it sends its first update."""
         self.address = address
         for superseded in self.pollers[1:]:
             superseded.stop()
@@ -64,7 +67,7 @@
             self.start()
 
     def handle_update(self, poller: EndpointPoller, update: EndpointUpdate) -> None:
-        """Pass an update on, and stop the pollers that its sender replaces."""
+        """Pass an update on, and stop the pollers that `poller` replaces."""
         for replaced in self.pollers[: self.pollers.index(poller)]:
             replaced.stop()
             self.pollers.remove(replaced)
--- a/quota_gateway/discovery/connection.py
+++ b/quota_gateway/discovery/connection.py
@@ -11,12 +11,12 @@
 from quota_gateway.errors import DiscoveryUnavailableError, EndpointListError
 
 OK_STATUS = 200
-UNAVAILABLE_STATUSES = (429, 503)  # the agent lacks capacity; the request itself was not at fault
-MAX_BODY_SIZE = 4 * 1024 * 1024  # bytes; holds a list of thousands of endpoints
+UNAVAILABLE_STATUSES = (429, 503)  # the agent lacks capacity; the request was valid
+MAX_BODY_SIZE = 4 * 1024 * 1024  # bytes; enough for a list of thousands of endpoints
 
 
 def parse_retry_after(value: bytes) -> float:
-    """Return a Retry-After value in seconds; 0 for dates, which are not supported, and invalid values."""
+    """Return a Retry-After value in seconds; 0 if it is invalid or a date, which is not supported."""
     try:
         seconds = float(value)
     except ValueError:
@@ -25,7 +25,7 @@
 
 
 class DiscoveryConnection(asyncio.Protocol):
-    """One connection to the agent, with at most one request in flight."""
+    """A connection to the agent, with at most one request in flight."""
 
     def __init__(self) -> None:
         self.transport: asyncio.Transport | None = None
@@ -36,14 +36,14 @@
         self.retry_after = 0.0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport of the new connection."""
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's does not inherit from it
+        """Store the transport of the new connection."""
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's class does not inherit from it
 
     def request(self, target: str, host: str) -> asyncio.Future[bytes]:
         """Send a GET request and return the future of the response body.
 
-        The future fails with DiscoveryUnavailableError where the agent lacks capacity or the connection ends,
-        and with EndpointListError for any other status and for responses that are invalid or too large.
+        The future fails with DiscoveryUnavailableError if the agent lacks capacity or the connection ends,
+        and with EndpointListError for any other status but 200 and for invalid or too large responses.
         """
         assert self.transport is not None
         self.body.clear()
@@ -60,16 +60,16 @@
             self.transport.abort()
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take one response header from the parser."""
+        """Record the Retry-After header; ignore all others."""
         if name.lower() == b"retry-after":
             self.retry_after = parse_retry_after(value)
 
     def on_body(self, body: bytes) -> None:
-        """Take a part of the response body from the parser."""
+        """Append a part of the response body."""
         self.body += body
 
     def on_message_complete(self) -> None:
-        """Resolve the request in flight with the response that the parser has reached the end of."""
+        """Complete the request in flight with the response."""
         if self.response is None or self.response.done():
             return
         self.keep_alive = self.parser.should_keep_alive()  # valid only during this callback
@@ -78,10 +78,10 @@
             self.response.set_result(bytes(self.body))
             return
         error_type = DiscoveryUnavailableError if status in UNAVAILABLE_STATUSES else EndpointListError
-        self.response.set_exception(error_type(f"status {status}", self.retry_after))
+        self.response.set_exception(error_type(f"HTTP status {status}", self.retry_after))
 
     def data_received(self, data: bytes) -> None:
-        """Parse received bytes; invalid HTTP or an oversized body fails the request."""
+        """Parse received bytes; fail the request if they are not HTTP or the body is too large."""
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
@@ -90,5 +90,5 @@
             self.fail(EndpointListError(f"the list is larger than {MAX_BODY_SIZE} bytes"))
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Fail the request in flight, if any: the connection has ended."""
-        self.fail(DiscoveryUnavailableError("the connection ended"))
+        """Fail the request in flight, if any."""
+        self.fail(DiscoveryUnavailableError("the connection was closed"))
--- a/quota_gateway/discovery/endpoint_update.py
+++ b/quota_gateway/discovery/endpoint_update.py
@@ -1,4 +1,4 @@
-"""The endpoint list as discovery sends it, and its conversion from JSON."""
+"""Updates of the endpoint list, and their conversion from discovery's JSON."""
 
 from __future__ import annotations
 
@@ -14,7 +14,8 @@
 from quota_gateway.sockets.addresses import Address, parse_address
 
 MILLISECONDS_PER_SECOND = 1000.0
-NO_ADDRESS: Address = ("", 0)  # of a removed endpoint that was sent without one: nothing connects to it
+NO_ADDRESS: Address = ("", 0)  # address of a removed endpoint that was sent without one; never connected to
+# Errors raised for a field that is missing or has an invalid value.
 CONVERSION_ERRORS = (KeyError, TypeError, ValueError, OverflowError)
 
 T = TypeVar("T")
@@ -38,12 +39,12 @@
 
     @property
     def is_full(self) -> bool:
-        """Whether endpoints that are not in this update are no longer part of the list."""
+        """Whether the update is the full list: endpoints missing from it are no longer listed."""
         return self.kind is not EndpointListKind.DELTA
 
 
 def decode_endpoint_update(body: bytes) -> EndpointUpdate:
-    """Decode the body of a discovery response; EndpointListError says what is wrong with it."""
+    """Decode the body of a discovery response; raises EndpointListError if it is no valid list."""
     try:
         return read_endpoint_update(json.loads(body))
     except ValueError as error:
@@ -53,9 +54,9 @@
 
 
 def read_endpoint_update(document: Any, kind: EndpointListKind | None = None) -> EndpointUpdate:
-    """Convert a list in discovery's JSON form; EndpointListError names the field that is wrong.
+    """Convert an endpoint list in discovery's JSON form; EndpointListError names the invalid field.
 
-    Without a `kind` the document's own `reset` field tells a full list from changes to it.
+    Without a `kind`, the document's `reset` field tells the full list from changes to it.
     """
     instances = _required_field(document, "instances", tuple)
     entries = tuple(_read_instance(instance, index) for index, instance in enumerate(instances))
@@ -66,7 +67,7 @@
 
 
 def read_endpoint_entry(instance: Any) -> EndpointEntry:
-    """Convert one element of `instances`; EndpointListError names the field that is wrong."""
+    """Convert one element of `instances`; EndpointListError names the invalid field."""
     status = _required_field(instance, "lifecycle", STATUSES.__getitem__)
     endpoint = Endpoint(
         endpoint_id=_required_field(instance, "instanceId", str),
@@ -90,7 +91,7 @@
 
 
 def _parse_start_time(milliseconds: Any) -> float | None:
-    """Return Unix time in seconds; None for a start time of 0 or null, which means unknown."""
+    """Return the start time as Unix time in seconds; None for 0 or null, which mean that it is unknown."""
     seconds = float(milliseconds or 0.0) / MILLISECONDS_PER_SECOND
     return seconds or None
 
@@ -100,7 +101,7 @@
 
 
 def _required_field(record: Any, field: str, convert: Callable[[Any], T]) -> T:
-    """Return the converted field; EndpointListError if it is missing or can't be converted."""
+    """Return the converted field; raises EndpointListError if it is missing or invalid."""
     try:
         return convert(record[field])
     except CONVERSION_ERRORS as error:
@@ -108,7 +109,7 @@
 
 
 def _optional_field(record: dict[str, Any], field: str, convert: Callable[[Any], T], default: Any) -> T:
-    """Return the converted field, or the converted default; EndpointListError if that fails."""
+    """Return the converted field, or the converted default; raises EndpointListError if it is invalid."""
     try:
         return convert(record.get(field, default))
     except CONVERSION_ERRORS as error:
@@ -116,7 +117,7 @@
 
 
 def _field_error(record: Any, field: str) -> EndpointListError:
-    """Say what is wrong with a field that could not be read."""
+    """Return an error that describes why a field could not be converted."""
     if not isinstance(record, dict):
         return EndpointListError("not a JSON object")
     if field not in record:
--- a/quota_gateway/discovery/poller.py
+++ b/quota_gateway/discovery/poller.py
@@ -1,4 +1,4 @@
-"""Polling of one discovery agent: the full list once, then one watch after the other."""
+"""Polls one discovery agent: the full endpoint list once, then watches for changes, one at a time."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from quota_gateway.sockets.dialing import connect_with_retry, ignore_descriptor_exhaustion
 
 ENDPOINTS_PATH = "/v1/endpoints"
-MAX_REASON_LENGTH = 200  # characters of an error in the log; it may quote the response
+MAX_REASON_LENGTH = 200  # characters of an error that are logged; it may quote the response
 
 log = logging.getLogger("quota_gateway")
 
@@ -36,10 +36,10 @@
         on_unavailable: Callable[[], None] | None = None,
         on_descriptor_exhaustion: Callable[[], None] = ignore_descriptor_exhaustion,
     ) -> None:
-        """Start polling, in a task of the running loop.
+        """Start polling in a task of the running event loop.
 
-        `generation` is the version of the list that is known already, None for none. `on_unavailable` is
-        called after each poll that the agent rejected or dropped.
+        `connect_timeout` is in seconds. `generation` is the version of the list that is already known, or
+        None. `on_unavailable` is called after each poll that the agent rejected or dropped.
         """
         self.address = address
         self.connect_timeout = connect_timeout  # seconds
@@ -49,15 +49,15 @@
         self.on_descriptor_exhaustion = on_descriptor_exhaustion
         self.host = format_address(address)
         self.connection: DiscoveryConnection | None = None
-        self.generation = generation  # None: the next poll is for the full list
-        # with a known generation the first watch returns at once: it may be out of date
+        self.generation = generation  # None: the next poll requests the full list
+        # the first watch from a known generation returns at once, as the list may be out of date
         self.next_watch_timeout = schedule.watch_timeout if generation is None else 0.0
         self.consecutive_timeouts = 0
-        self.failure_logged = False  # since the last update: a series of failures is logged once
+        self.failure_logged = False  # since the last update: only the first failure of a series is logged
         self.task = asyncio.get_running_loop().create_task(self.run())
 
     async def run(self) -> None:
-        """Poll forever, with a growing backoff between failures."""
+        """Poll until cancelled, with exponential backoff after failures."""
         backoff = self.schedule.first_backoff
         while True:
             try:
@@ -73,10 +73,10 @@
             self.handle_update(update)
 
     async def poll(self) -> EndpointUpdate:
-        """Make one poll: a watch if a generation is known, else a request for the full list.
+        """Make one poll: a watch if a generation is known, otherwise a request for the full list.
 
-        Raises OSError or ValueError if connecting fails, TimeoutError without an answer in time, and
-        EndpointListError for an answer that is no list.
+        Raises OSError or ValueError if connecting fails, TimeoutError if no response arrives in time, and
+        EndpointListError if the response is not a valid list.
         """
         watch_timeout = 0.0 if self.generation is None else self.next_watch_timeout
         answer_timeout = self.schedule.answer_timeout_after(self.consecutive_timeouts)
@@ -88,43 +88,43 @@
         return decode_endpoint_update(body)
 
     def request_target(self, watch_timeout: float) -> str:
-        """Return path and query of the next poll."""
+        """Return the path and query of the next poll."""
         if self.generation is None:
             return ENDPOINTS_PATH
         timeout_ms = round(MILLISECONDS_PER_SECOND * watch_timeout)
         return f"{ENDPOINTS_PATH}?since={self.generation}&timeout_ms={timeout_ms}"
 
     def handle_update(self, update: EndpointUpdate) -> None:
-        """Pass an update on; changes with a generation older than the known one are discarded."""
+        """Pass an update on, but discard changes whose generation is older than the known one."""
         self.next_watch_timeout = self.schedule.watch_timeout
         self.consecutive_timeouts = 0
         self.failure_logged = False
         if not update.is_full and self.generation is not None and update.generation < self.generation:
-            self.generation = None  # discovery restarted its count: the changes apply to another list
+            self.generation = None  # discovery restarted its generations: this is a change to another list
             return
         self.generation = update.generation
         try:
             self.on_update(self, update)
         except Exception:  # an update that can't be applied must not end the polling
-            log.exception("applying an endpoint list update failed")
+            log.exception("failed to apply an endpoint list update")
 
     def handle_failure(self, error: Exception) -> None:
-        """Log the failure of a poll, and set how the next one is made."""
+        """Log the failure of a poll, and decide how the next one is made."""
         failed_watch_timeout = self.next_watch_timeout
-        self.next_watch_timeout = 0.0  # a poll that returns at once shows sooner whether the agent is back
+        self.next_watch_timeout = 0.0  # a poll that returns at once detects sooner that the agent is back
         self.log_failure(error)
         match error:
             case DiscoveryUnavailableError():
                 if self.on_unavailable is not None:
                     self.on_unavailable()
             case TimeoutError():
-                if not failed_watch_timeout:  # a watch without an answer broke; the agent is not overloaded
+                if not failed_watch_timeout:  # an unanswered watch means a broken connection, not overload
                     self.consecutive_timeouts += 1
             case EndpointListError() | ValueError():
-                self.generation = None  # the same request might get the same invalid answer
+                self.generation = None  # the same request might get the same invalid response
 
     def log_failure(self, error: Exception) -> None:
-        """Log the first of a series of failures, on one line."""
+        """Log a failure on one line, if it is the first of a series."""
         if self.failure_logged:
             return
         self.failure_logged = True
@@ -132,7 +132,7 @@
         log.warning("endpoint list poll of %s failed, keeping the last known list: %s", self.host, reason)
 
     async def connect(self) -> DiscoveryConnection:
-        """Open the connection for the following polls; OSError or TimeoutError if that fails."""
+        """Open the connection for the following polls; raises OSError or TimeoutError if that fails."""
         async with asyncio.timeout(self.connect_timeout):
             self.connection = await connect_with_retry(
                 DiscoveryConnection, self.address, self.on_descriptor_exhaustion
