--- a/quota_gateway/hot_restart/__init__.py
+++ b/quota_gateway/hot_restart/__init__.py
@@ -1,1 +1,1 @@
-"""Hands state from an older process of a gateway to a newer one."""
+"""Hot restart: an older process of a gateway transfers its state to a newer one."""
--- a/quota_gateway/hot_restart/coordinator.py
+++ b/quota_gateway/hot_restart/coordinator.py
@@ -1,9 +1,9 @@
 """Coordinates a hot restart, in which a newer process of a gateway takes over from an older one.
 
-The older process listens on a Unix socket in the folder that both share. The newer one requests the older
-one's state, restores it and announces when it serves clients. From then until one of them ends, each sends
-the other the operators' commands and the units that it charges. The end of the link means that the other
-process is gone.
+The older process listens on a Unix socket in a folder that both share. The newer one requests the older
+one's state, restores it, and announces when it serves clients. From then until one of them ends, each sends
+the other the operators' commands and the units that it charges. When the link closes, the other process has
+ended.
 """
 
 from __future__ import annotations
@@ -31,16 +31,16 @@
 from quota_gateway.sockets.acceptor import Acceptor
 from quota_gateway.transient_errors import is_transient
 
-STATE_TRANSFER_TIMEOUT = 2.0  # seconds; an older process that hangs must not delay the start for longer
-SHARED_CAPACITY_FRACTION = 0.5  # of the upstream connections, for each of two processes
-UNKNOWN_ADDRESS = ("", 0)  # of an endpoint that has no connections
-RETRY_DELAY = 0.1  # seconds after which a folder, or an accept, that failed is tried again
+STATE_TRANSFER_TIMEOUT = 2.0  # seconds; an older process that hangs must not delay the start longer
+SHARED_CAPACITY_FRACTION = 0.5  # fraction of the upstream connections that each of two processes may use
+UNKNOWN_ADDRESS = ("", 0)  # address sent for an endpoint without connections
+RETRY_DELAY = 0.1  # seconds after which a failed access to the folder or a failed accept is retried
 
 log = logging.getLogger("quota_gateway")
 
 
 class HotRestartCoordinator:
-    """Links this process to an older one at its start, and later to a newer one."""
+    """Links this process to an older one when it starts, and later to a newer one."""
 
     def __init__(
         self,
@@ -49,54 +49,52 @@
         list_received: asyncio.Event,
         on_superseded: Callable[[bool], None],
     ) -> None:
-        """Take the folder's path and what is handed over.
+        """Initialize the coordinator; `shared_folder` is the path of the folder that the processes share.
 
-        `list_received` is set once discovery has sent an endpoint list, which is then the newer one.
-        `on_superseded` is called with True when a newer process serves, and with False when it is gone.
+        `list_received` is set once discovery has sent an endpoint list, which is newer than a restored one.
+        `on_superseded` is called with True when a newer process serves, and with False when it has ended.
         """
         self.dispatcher = dispatcher
         self.list_received = list_received
         self.on_superseded = on_superseded
         self.loop = asyncio.get_running_loop()
         self.links: set[ProcessLink] = set()
-        self.successor: ProcessLink | None = None  # to the newer process, once it serves
+        self.successor: ProcessLink | None = None  # link to the newer process, once it serves
         self._folder = SharedFolder(shared_folder)
         self._acceptor = Acceptor(self._create_link, RETRY_DELAY)
-        self._publish_timer: asyncio.TimerHandle | None = None  # while the folder fails
+        self._publish_timer: asyncio.TimerHandle | None = None  # set while publishing the socket is retried
         self._is_closed = False
         self._is_serving = False
-        self._search: asyncio.Task[None] | None = None  # for the older process
+        self._search: asyncio.Task[None] | None = None  # search for the older process
         self._restore_finished = asyncio.Event()
-        # operators' commands to apply again after the restore; None once no state can arrive any more
+        # operators' commands to apply again after the restore; None once no more state can arrive
         self._deferred_commands: list[OperatorCommand] | None = []
 
     async def restore_from_older(self) -> None:
-        """Request and restore the state of an older process; start without it if there is none in time."""
+        """Request and restore an older process's state; continue without it if it does not arrive in time."""
         self._search = self.loop.create_task(self._link_to_older())
         try:
             async with asyncio.timeout(STATE_TRANSFER_TIMEOUT):
-                await asyncio.shield(self._search)  # it goes on while the folder fails
+                await asyncio.shield(self._search)  # the search continues after a timeout
                 if self.links:
                     await self._restore_finished.wait()
         except TimeoutError:
             log.warning("the older process did not send its state in time")
 
     def is_older_alive(self) -> bool:
-        """Return whether an older process has sent its state, and its link is open."""
+        """Return whether an older process has sent its state and its link is still open."""
         return bool(self.links) and self._restore_finished.is_set()
 
     async def _link_to_older(self) -> None:
-        """Request the older process's state, as soon as it is found; it may be after this process serves."""
+        """Request the older process's state once it is found, which may be after this process serves."""
         connection = await self._connect_to_older()
         if connection is None:
             self._deferred_commands = None
             return
         try:
             _, link = await self.loop.create_unix_connection(self._create_link, sock=connection)
-        except (
-            OSError
-        ) as error:  # it has ended meanwhile, or there is no memory: clients are served all the same
-            log.warning("the older process can't be linked to: %s", error.strerror or error)
+        except OSError as error:  # it has just ended, or memory is short: clients are served without the link
+            log.warning("failed to connect to the older process: %s", error.strerror or error)
             connection.close()
             self._deferred_commands = None
             return
@@ -105,12 +103,12 @@
             link.send(Serving())
 
     async def _connect_to_older(self) -> socket.socket | None:
-        """Return a connection to the older process, None if there is none; a folder that fails is retried."""
+        """Return a connection to the older process, or None; retry while access to the folder fails."""
         while True:
             try:
                 return await self._connect()
             except OSError as error:
-                if not is_transient(error):  # no process listens, or only the file of one is left
+                if not is_transient(error):  # there is no socket, or no process listens on it
                     return None
             await asyncio.sleep(RETRY_DELAY)
 
@@ -118,18 +116,18 @@
         connection = _unix_socket()
         try:
             await self.loop.sock_connect(connection, self._folder.socket_path(SOCKET_NAME))
-        except BaseException:  # also where it is cancelled
+        except BaseException:  # cancellation included
             connection.close()
             raise
         return connection
 
     def announce_serving(self) -> None:
-        """Notify the older process that this one serves clients, and listen for a newer one."""
+        """Notify the older process that this one serves clients, and listen for a newer process."""
         self._is_serving = True
         for link in self.links:
             link.send(Serving())
         if self._search is not None and not self._search.done():
-            self._search.add_done_callback(self._publish_after_search)  # the older one's socket is needed yet
+            self._search.add_done_callback(self._publish_after_search)  # the search needs the older socket
         else:
             self._publish()
 
@@ -138,7 +136,7 @@
             self._publish()
 
     def _publish(self) -> None:
-        """Listen for a newer process in the folder; while that fails it is tried again."""
+        """Listen for a newer process on a socket in the folder; retry while that fails."""
         is_first_try = self._publish_timer is None
         if self._publish_timer is not None:
             self._publish_timer.cancel()
@@ -147,25 +145,25 @@
         try:
             listener = _unix_socket()
             self._folder.publish(listener)
-        except OSError as error:  # clients are served all the same
+        except OSError as error:  # clients are served regardless
             if listener is not None:
                 listener.close()
             if is_first_try:
-                log.warning("a newer process can't take over from this one yet: %s", error.strerror or error)
+                log.warning("failed to listen for a newer process, retrying: %s", error.strerror or error)
             self._publish_timer = self.loop.call_later(RETRY_DELAY, self._publish)
             return
         self._acceptor.close()
         self._acceptor.start(listener)
 
     def broadcast(self, notification: Notification) -> None:
-        """Send an operator's command or charged units to the other process, if there is one."""
+        """Send an operator's command, or units charged here, to the other process if there is one."""
         if not isinstance(notification, UnitsCharged):
             self._defer(notification)
         for link in self.links:
             link.send(notification)
 
     def _defer(self, command: OperatorCommand) -> None:
-        """Keep a command to apply it again, while a state may arrive that does not know of it."""
+        """Keep a command to apply again, while a state saved before it may still arrive."""
         is_searching = self._search is not None and not self._search.done()
         if self._deferred_commands is not None and (self.links or is_searching):
             self._deferred_commands.append(command)
@@ -183,23 +181,23 @@
         self._folder.close()
 
     def link_opened(self, link: ProcessLink) -> None:
-        """Share the capacity with the other process."""
+        """Share the upstream connections with the other process."""
         self.links.add(link)
         self._update_peer_state()
 
     def link_closed(self, link: ProcessLink) -> None:
-        """Take the capacity back, and the clients if the newer process is gone."""
+        """Reclaim the upstream connections, and accept clients again if the newer process has ended."""
         self.links.discard(link)
         self._update_peer_state()
         if link is self.successor:
             self.successor = None
             self.on_superseded(False)
             if not self._is_closed:
-                self._publish()  # the newer process has put its own socket in place of this one's
+                self._publish()  # the newer process had replaced this one's socket
         self._restore_finished.set()
 
     def handle_message(self, link: ProcessLink, message: Message) -> None:
-        """Act on a message of the other process; raises HotRestartError if its contents can't be read."""
+        """Handle a message from the other process; raises HotRestartError if its contents are malformed."""
         match message:
             case Hello():
                 link.send(self._state_transfer())
@@ -211,7 +209,7 @@
             case UnitsCharged():
                 self.dispatcher.post(message)
             case SetDraining() | SetMaintenance():
-                self.dispatcher.post(message)  # also for an endpoint that this process's list has yet to name
+                self.dispatcher.post(message)  # the endpoint may not be in this process's list yet
 
     def _create_link(self) -> ProcessLink:
         return ProcessLink(self)
@@ -231,7 +229,7 @@
             yield EndpointEntry(server.endpoint, address)
 
     def _restore(self, transfer: StateTransfer) -> None:
-        if not self.list_received.is_set():  # else discovery's list is newer
+        if not self.list_received.is_set():  # discovery's list is newer than the transferred one
             self.dispatcher.apply_endpoint_update(transfer.endpoint_update())
         self.dispatcher.post(StateSnapshot(transfer.state))
         commands = self._deferred_commands or []
--- a/quota_gateway/hot_restart/messages.py
+++ b/quota_gateway/hot_restart/messages.py
@@ -1,7 +1,7 @@
-"""Messages between two processes of a gateway, and their encoding: one JSON object a line.
+"""Messages between two processes of a gateway, and their encoding as one JSON object per line.
 
-The processes may be of different versions, so keys, their order and the positions in lists are fixed.
-Messages that a process does not know are ignored.
+The processes may run different versions, so keys, their order and the positions in lists are fixed.
+A process ignores messages that its version does not know.
 """
 
 from __future__ import annotations
@@ -18,13 +18,13 @@
 from quota_gateway.model.endpoints import Endpoint, EndpointListKind, EndpointStatus
 from quota_gateway.model.events import SetDraining, SetMaintenance
 
-UNKNOWN_GENERATION = 0  # an endpoint list that does not come from discovery has none
+UNKNOWN_GENERATION = 0  # generation of an endpoint list that does not come from discovery
 
 EndpointRow = list[Any]  # see encode_endpoint
 
 
 class Key(StrEnum):
-    """Names of the members of a message's JSON object."""
+    """Keys of a message's JSON object."""
 
     HELLO = "hello"
     STATE = "estate"
@@ -37,33 +37,33 @@
 
 @dataclass(frozen=True, slots=True)
 class Hello:
-    """Request of a newer process for the older one's state."""
+    """A newer process's request for the older one's state."""
 
 
 @dataclass(frozen=True, slots=True)
 class StateTransfer:
     """The older process's state and its endpoint list, in reply to Hello.
 
-    The rows are decoded on demand, so that a list that isn't needed can't prevent the restore of the state.
+    The rows are decoded on demand, so that a malformed list that isn't needed can't prevent the restore.
     """
 
     state: dict[str, Any]
     endpoint_rows: list[EndpointRow] | None  # None: the message had no list
 
     def endpoint_update(self) -> EndpointUpdate:
-        """Return the endpoint list; raises HotRestartError if there is none or a row can't be read."""
+        """Return the endpoint list; raises HotRestartError if there is none or a row is malformed."""
         if self.endpoint_rows is None:
-            raise HotRestartError("no endpoint list")
+            raise HotRestartError("the state transfer has no endpoint list")
         try:
             entries = tuple(decode_endpoint(row) for row in self.endpoint_rows)
         except (TypeError, ValueError) as error:
-            raise HotRestartError(f"endpoint list: {error}") from error
+            raise HotRestartError(f"malformed endpoint list: {error}") from error
         return EndpointUpdate(EndpointListKind.CACHED, UNKNOWN_GENERATION, entries)
 
 
 @dataclass(frozen=True, slots=True)
 class Serving:
-    """Notice of a newer process that it accepts clients from now on."""
+    """A newer process's notice that it accepts clients from now on."""
 
 
 OperatorCommand = SetDraining | SetMaintenance
@@ -72,15 +72,15 @@
 
 
 def encode_message(message: Message) -> bytes:
-    """Return a message as a line of JSON."""
+    """Encode a message as a line of JSON."""
     return json.dumps(_to_object(message)).encode() + b"\n"
 
 
 def decode_message(line: bytes | bytearray) -> Message | None:
-    """Return the message in a line, None for one that this version does not know.
+    """Decode a line; return None for a message that this version does not know.
 
-    Raises HotRestartError if the line is not JSON or a known message does not have the form it should. The
-    types of values are not checked: a process trusts the other one of its gateway in this.
+    Raises HotRestartError if the line is not JSON or a known message is malformed. The types of values are
+    not checked, since the processes of a gateway trust each other.
     """
     try:
         members = json.loads(line)
@@ -110,7 +110,7 @@
 
 
 def decode_endpoint(row: EndpointRow) -> EndpointEntry:
-    """Return the endpoint and address in a row; raises TypeError or ValueError for a malformed one."""
+    """Return the endpoint and address in a row; raises TypeError or ValueError if it is malformed."""
     endpoint_id, zone, machine_type, cell, status, weight, started_at, host, port = row
     endpoint = Endpoint(endpoint_id, zone, machine_type, cell, EndpointStatus(status), weight, started_at)
     return EndpointEntry(endpoint, (host, port))
--- a/quota_gateway/hot_restart/shared_folder.py
+++ b/quota_gateway/hot_restart/shared_folder.py
@@ -1,4 +1,4 @@
-"""The folder that the processes of a gateway share, in which a newer process finds the older one's socket."""
+"""The folder shared by a gateway's processes, in which a newer process finds the older one's socket."""
 
 from __future__ import annotations
 
@@ -6,21 +6,21 @@
 import os
 import socket
 
-SOCKET_NAME = "embersill.handover"  # fixed: processes of other versions look for it
-MAX_SOCKET_PATH = 99  # bytes; the kernel allows 107 for the path of a Unix socket
+SOCKET_NAME = "embersill.handover"  # fixed, because processes of other versions look for it
+MAX_SOCKET_PATH = 99  # bytes; below the kernel's limit of 107 for the path of a Unix socket
 
-NO_DESCRIPTOR = -1
+NO_DESCRIPTOR = -1  # stands for a descriptor that is not open
 
 
 class SharedFolder:
-    """Publishes this process's socket in the folder, and gives the paths of sockets in it."""
+    """Publishes this process's socket in the folder, and returns paths to sockets in it."""
 
     def __init__(self, path: str) -> None:
         self.path = path
-        self._descriptor = NO_DESCRIPTOR  # of the folder, opened if the paths in it are too long for sockets
+        self._descriptor = NO_DESCRIPTOR  # of the folder; opened if a path in it is too long for a socket
 
     def socket_path(self, name: str) -> str:
-        """Return a path to connect or bind to; a long one leads through a descriptor of the folder."""
+        """Return a path to connect or bind to; a long one goes through a descriptor of the folder."""
         path = os.path.join(self.path, name)
         if len(os.fsencode(path)) <= MAX_SOCKET_PATH:
             return path
@@ -29,9 +29,9 @@
         return f"/proc/self/fd/{self._descriptor}/{name}"
 
     def publish(self, listener: socket.socket) -> None:
-        """Bind a socket, listen, and replace the older process's socket by it in one step.
+        """Bind a socket, listen on it, and atomically replace the older process's socket with it.
 
-        Raises OSError and leaves the older socket in place if this is not possible.
+        Raises OSError if that fails, and leaves the older socket in place.
         """
         own_name = f"{SOCKET_NAME}.{os.getpid()}"
         try:
@@ -44,7 +44,7 @@
             raise
 
     def close(self) -> None:
-        """Close the descriptor of the folder. The published socket's file stays for a newer process's."""
+        """Close the folder's descriptor; the published socket's file stays for a newer process to replace."""
         if self._descriptor != NO_DESCRIPTOR:
             os.close(self._descriptor)
             self._descriptor = NO_DESCRIPTOR
