--- a/quota_gateway/admin/connection.py
+++ b/quota_gateway/admin/connection.py
@@ -1,4 +1,4 @@
-"""One connection of the admin API: a single HTTP/1.1 request, bounded in size and time."""
+"""A connection of the admin API: a single HTTP/1.1 request, limited in size and time."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 from quota_gateway.admin.operations import AdminOperations
 
-MAX_REQUEST_SIZE = 8 * 1024  # bytes of head and body: no operation needs a body
-REQUEST_TIMEOUT = 1.0  # seconds until the request has to be complete: operators' tools send it at once
+MAX_REQUEST_SIZE = 8 * 1024  # bytes of head and body; no operation needs a body
+REQUEST_TIMEOUT = 1.0  # seconds in which the request has to arrive; operators' tools send it at once
 LINGER_TIMEOUT = 1.0  # seconds for the peer to read the response and close before the connection is aborted
 
-# from RFC 9110; HTTPStatus in Python 3.11 has an older phrase for 413
+# Reason phrases of RFC 9110; HTTPStatus in Python 3.11 has an older one for 413.
 REASON_PHRASES = {
     HTTPStatus.OK: "OK",
     HTTPStatus.BAD_REQUEST: "Bad Request",
@@ -33,7 +33,7 @@
     def __init__(
         self, operations: AdminOperations, on_connection_lost: Callable[[AdminConnection], None]
     ) -> None:
-        """Take the operations that requests are routed to, and what is called when the connection ends."""
+        """Initialize the connection; `on_connection_lost` is called when it has ended."""
         self.operations = operations
         self.on_connection_lost = on_connection_lost
         self.loop = asyncio.get_running_loop()
@@ -42,22 +42,22 @@
         self.target = b""
         self.received_size = 0  # bytes
         self.responded = False
-        self.timer: asyncio.TimerHandle | None = None  # until the request is complete, then until the abort
+        self.timer: asyncio.TimerHandle | None = None  # of REQUEST_TIMEOUT, then of LINGER_TIMEOUT
 
     def abort(self) -> None:
-        """Close the connection without waiting for the peer."""
+        """Abort the connection without waiting for the peer."""
         if self.transport is not None:
             self.transport.abort()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Start the timeout of the request."""
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's has its methods but not its base class
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's class does not inherit from it
         self._restart_timer(REQUEST_TIMEOUT, self._time_out_request)
 
     def data_received(self, data: bytes) -> None:
         """Feed the parser, which calls on_url and on_message_complete."""
         if self.responded or self.parser is None:
-            return  # unread input would make the kernel reset the connection before the response is read
+            return  # read and discarded: unread input would reset the connection before its response is read
         self.received_size += len(data)
         try:
             self.parser.feed_data(data)
@@ -67,13 +67,13 @@
             self._respond(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "the call is over 8 KiB\n")
 
     def eof_received(self) -> bool:
-        """Respond to a request that can't be completed any more, and have the transport close itself."""
+        """Reject a request that is incomplete, and let the transport close itself."""
         if not self.responded:
             self._respond(HTTPStatus.BAD_REQUEST, "no whole call came\n")
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Release the timer and the parser."""
+        """Release the timer and the parser, and report the end of the connection."""
         if self.timer is not None:
             self.timer.cancel()
         self.transport = None
@@ -81,7 +81,7 @@
         self.on_connection_lost(self)
 
     def on_url(self, url: bytes) -> None:
-        """Collect the request target, which the parser may pass in parts."""
+        """Append to the request target, which the parser may pass in parts."""
         self.target += url
 
     def on_message_complete(self) -> None:
--- a/quota_gateway/admin/operations.py
+++ b/quota_gateway/admin/operations.py
@@ -1,4 +1,4 @@
-"""The operations of the admin API and the routing of requests to them."""
+"""The operations of the admin API, and the routing of requests to them."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AdminOperations:
-    """What operators may ask of the gateway."""
+    """The gateway's functions that operators can call."""
 
     is_healthy: Callable[[], bool]
     metrics: Callable[[], str]
@@ -34,7 +34,7 @@
     set_draining: Callable[[bool], None]
 
     def handle_request(self, method: str, path: str) -> AdminResponse:
-        """Execute the operation at a path: 404 for an unknown path, 405 for another method than its own."""
+        """Execute the operation at a path; respond 404 to an unknown path and 405 to a wrong method."""
         route = self._find_route(path)
         if route is None:
             return AdminResponse(HTTPStatus.NOT_FOUND, "no such call\n")
--- a/quota_gateway/admin/server.py
+++ b/quota_gateway/admin/server.py
@@ -10,20 +10,20 @@
 from quota_gateway.sockets.addresses import Address
 from quota_gateway.sockets.listening import bind
 
-MAX_CONNECTIONS = 16  # at once: far more than operators' tools open
-ACCEPT_RETRY_DELAY = 0.02  # seconds without accepting after a descriptor shortage: others close by then
+MAX_CONNECTIONS = 16  # concurrent connections; far more than operators' tools need
+ACCEPT_RETRY_DELAY = 0.02  # seconds before a retry after descriptors ran out; some are free by then
 
 
 class AdminServer:
     """Serves the admin API.
 
-    Its connections have a limit of their own, so that clients of the gateway can't keep operators out.
+    Its connections have a separate limit, so that clients of the gateway can't keep operators out.
     """
 
     def __init__(self, operations: AdminOperations) -> None:
-        """Take the operations that requests are routed to."""
+        """Initialize the server; `operations` handles the requests."""
         self.operations = operations
-        self.connections: dict[AdminConnection, None] = {}  # a set in the order of accepting
+        self.connections: dict[AdminConnection, None] = {}  # an ordered set, oldest first
         self._acceptor = Acceptor(self._create_connection, ACCEPT_RETRY_DELAY)
 
     @property
@@ -48,7 +48,7 @@
         return connection
 
     def _make_room(self) -> None:
-        """Abort the oldest connection at the limit: peers that send no request must not keep others out."""
+        """Abort the oldest connection if the limit is reached, so that idle peers can't keep others out."""
         if len(self.connections) >= MAX_CONNECTIONS:
             oldest = next(iter(self.connections))
             del self.connections[oldest]
