--- a/quota_gateway/engine/policy_engine.py
+++ b/quota_gateway/engine/policy_engine.py
@@ -27,7 +27,7 @@
 from quota_gateway.state.peer_process import PeerProcess
 from quota_gateway.state.records import EndpointState, Limiter
 
-RECENTLY_USED = 1.5  # seconds after an attempt for which an outlier still counts as available
+RECENT_USE_WINDOW = 1.5  # seconds after an attempt for which an outlier still counts as available
 
 
 class PolicyEngine:
@@ -94,7 +94,7 @@
             case events.EndpointListUpdate():
                 self.registry.apply(event)
             case charges.UnitsCharged():
-                self._charge_for_peer(event)
+                self._apply_peer_charge(event)
             case events.PeerProcessChanged(present):
                 self.peer.present = present
             case events.SetMaintenance():
@@ -163,12 +163,12 @@
         if limiter.is_fine_grained:
             changed = self.fine_grained.apply_reply(limiter, reply)
         else:
-            expected = reply.outcome is Outcome.SUCCESS and reply.name == limiter.expected_reading
-            changed = expected and self.quota.apply_reading(limiter, reply.total)
+            is_expected = reply.outcome is Outcome.SUCCESS and reply.name == limiter.expected_reading
+            changed = is_expected and self.quota.apply_reading(limiter, reply.total)
         if changed:
             self.queue.release(limiter)
 
-    def _charge_for_peer(self, event: charges.UnitsCharged) -> None:
+    def _apply_peer_charge(self, event: charges.UnitsCharged) -> None:
         plan = self.context.plans.get(event.plan)
         if plan is not None:
             self.peer.charge(self.limiters.get(event.customer, event.quota_spread, plan), event.units)
@@ -190,12 +190,12 @@
 
     def unavailable_endpoints(self) -> int:
         """Return how many listed endpoints get no requests due to status, maintenance, ejection or subset."""
-        used = sum(1 for endpoint in self.registry.candidates if not self._is_ejected(endpoint))
-        return len(self.registry.endpoints) - used
+        available_count = sum(1 for endpoint in self.registry.candidates if not self._is_ejected(endpoint))
+        return len(self.registry.endpoints) - available_count
 
     def _is_ejected(self, endpoint: EndpointState) -> bool:
         decay(endpoint, self.context.now)
-        return is_outlier(endpoint) and self.context.now - endpoint.last_used_at >= RECENTLY_USED
+        return is_outlier(endpoint) and self.context.now - endpoint.last_used_at >= RECENT_USE_WINDOW
 
     def accepts_clients(self) -> bool:
         """Return whether a load balancer may send clients to this gateway."""
--- a/quota_gateway/engine/state_snapshot.py
+++ b/quota_gateway/engine/state_snapshot.py
@@ -27,13 +27,13 @@
     newest_time,
 )
 
-UNKNOWN_TIME = 0.0  # seconds; stands for the save time that older versions do not save
+UNKNOWN_SAVE_TIME = 0.0  # seconds; stands for the save time that older versions do not save
 # Smallest difference in seconds between two processes' clocks that counts as a step of the wall clock. A
 # smaller difference is the duration of the state transfer.
 MIN_CLOCK_STEP = 1.0
 
 
-class Mechanisms(Protocol):
+class StatefulEngine(Protocol):
     """The parts of an engine whose state is saved and restored."""
 
     context: EngineContext
@@ -47,7 +47,7 @@
     draining: bool
 
 
-def save_state(engine: Mechanisms, now: float) -> StateSnapshot:
+def save_state(engine: StatefulEngine, now: float) -> StateSnapshot:
     """Return the state at `now` as plain values, to be sent to the next process."""
     limiters = [list(_saved_limiter(limiter)) for limiter in engine.limiters.limiters.values()]
     return StateSnapshot(
@@ -121,7 +121,7 @@
 def load_state(state: dict[str, Any]) -> SavedState:
     """Parse another process's saved state; raises KeyError, TypeError or ValueError if it is malformed."""
     saved = SavedState(
-        saved_at=state.get("now", UNKNOWN_TIME),
+        saved_at=state.get("now", UNKNOWN_SAVE_TIME),
         quota_time=state.get("quota_time"),
         starts=[SavedStart(*row) for row in state.get("starts", ())],
         started_at=state["born"],
@@ -143,10 +143,10 @@
         sampling_ratio=state["counted_part"],
         draining=state["draining"],
     )
-    return saved._replace(saved_at=newest_time(saved)) if saved.saved_at == UNKNOWN_TIME else saved
+    return saved._replace(saved_at=newest_time(saved)) if saved.saved_at == UNKNOWN_SAVE_TIME else saved
 
 
-def restore_state(engine: Mechanisms, saved: SavedState) -> None:
+def restore_state(engine: StatefulEngine, saved: SavedState) -> None:
     """Merge the saved state into that of this process, except for `draining`, which is left to the caller.
 
     The state was saved just now, so its times are converted by the difference between the two clocks.
@@ -156,11 +156,11 @@
         _restore_quota_time(engine.context, saved.quota_time, saved.saved_at)
     saved = saved.moved_by(clock_difference)
     engine.context.started_at = min(engine.context.started_at, saved.started_at)
-    _restore_figures(engine, saved)
+    _restore_estimates(engine, saved)
     engine.registry.under_maintenance.update(saved.under_maintenance)
     for start in saved.starts:
-        known = KnownStart(start.listed_at, start.counts_from)
-        engine.registry.start_times.merge(start.endpoint_id, known)
+        known_start = KnownStart(start.listed_at, start.counts_from)
+        engine.registry.start_times.merge(start.endpoint_id, known_start)
     engine.registry.merge_returns(saved.returned_at)
     for endpoint in saved.endpoints:
         engine.registry.restore(endpoint)
@@ -176,7 +176,7 @@
     context.quota_time_offset = quota_time - (context.now if was_stepped else saved_at)
 
 
-def _restore_figures(engine: Mechanisms, saved: SavedState) -> None:
+def _restore_estimates(engine: StatefulEngine, saved: SavedState) -> None:
     engine.admission.fleet_failure_rate = saved.fleet_failure_rate
     engine.admission.admit_ratio = saved.admit_ratio
     engine.admission.concurrency_limit = saved.concurrency_limit
@@ -193,7 +193,7 @@
         grant_ratios[key] = saved.grant_ratios.get(key, ratio)
 
 
-def _restore_limiter(engine: Mechanisms, saved: SavedLimiter) -> None:
+def _restore_limiter(engine: StatefulEngine, saved: SavedLimiter) -> None:
     existing = engine.limiters.limiters.get(saved.customer)
     balance = saved.balance + saved.queued_units
     if existing is not None:
