--- a/quota_gateway/counter/client.py
+++ b/quota_gateway/counter/client.py
@@ -19,10 +19,10 @@
 ADD_COMMAND = "CNT.ADD"
 MIN_EXPIRY_MS = 1  # the counter accepts no shorter expiry than 1 millisecond
 # A call waits at least this multiple of the fastest reply time: a slower reply was queued at the counter.
-LATENCY_FACTOR = 4.0
+REPLY_TIMEOUT_FACTOR = 4.0
 # Each reply raises the fastest reply time by this factor, so that it follows a path that becomes slower.
 FASTEST_REPLY_GROWTH = 1.001
-MOVED_CLOSE_FACTOR = 2  # connections to a former address are closed after this multiple of the timeout
+DRAIN_TIMEOUT_FACTOR = 2  # connections to a former address are closed after this multiple of the timeout
 
 
 class CounterClient:
@@ -59,7 +59,7 @@
         An overloaded counter still answers some calls fast, so its queued calls fail after the configured
         timeout. A distant counter answers no call fast: with the configured timeout all calls would fail.
         """
-        return max(self.timeout, LATENCY_FACTOR * self.fastest_reply)
+        return max(self.timeout, REPLY_TIMEOUT_FACTOR * self.fastest_reply)
 
     def add(self, name: str, amount: float, expire_after: float) -> None:
         """Add `amount` to the total of `name`, which the counter may discard after `expire_after` seconds."""
@@ -72,14 +72,14 @@
         """Send further calls to another address; calls in flight stay on their connections."""
         self.address = address
         self.fastest_reply = 0.0  # unknown for the new address
-        former = self.connections
+        former_connections = self.connections
         self.connections = [None] * CONNECTION_COUNT
-        for connection in former:
+        for connection in former_connections:
             if connection is not None and not connection.closed:
                 self.closing.add(connection)
                 connection.drain()
                 # all its calls have timed out by then
-                self.loop.call_later(MOVED_CLOSE_FACTOR * self.timeout, connection.close)
+                self.loop.call_later(DRAIN_TIMEOUT_FACTOR * self.timeout, connection.close)
 
     def close(self) -> None:
         """Abort all connections, including those that are being opened."""
@@ -147,6 +147,6 @@
 
 def _encode_add(name: str, amount: float, expire_after: float) -> bytes:
     expiry_ms = max(MIN_EXPIRY_MS, round(expire_after * 1000))
-    words = (ADD_COMMAND, name, f"{amount:.9g}", str(expiry_ms))
-    command: bytes = hiredis.pack_command(words)  # type: ignore[arg-type]  # its stub takes one string
+    arguments = (ADD_COMMAND, name, f"{amount:.9g}", str(expiry_ms))
+    command: bytes = hiredis.pack_command(arguments)  # type: ignore[arg-type]  # its stub takes one string
     return command
--- a/quota_gateway/counter/connection.py
+++ b/quota_gateway/counter/connection.py
@@ -113,9 +113,9 @@
         self.transport = cast(asyncio.Transport, transport)  # uvloop's class does not inherit from it
         # with a limit of 0, pause_writing is called for every write that the kernel does not take completely
         self.transport.set_write_buffer_limits(high=0)
-        queued = self.pending
+        queued_calls = self.pending
         self.pending = []
-        for call in queued:
+        for call in queued_calls:
             if not call.completed:  # a call that timed out while queued was reported as not written
                 self._write(call, self.transport)
 
