--- a/quota_gateway/discovery/poll_schedule.py
+++ b/quota_gateway/discovery/poll_schedule.py
@@ -10,8 +10,8 @@
 
 # Discovery serves the list on request, and each poll uses some of its limited capacity.
 POLLED_WATCH_TIMEOUT = 2.0  # seconds; a connection lost without notice is detected only after this time
-POLLED_ANSWER_TIMEOUT = 1.0  # seconds for connecting and the response, on top of the watch timeout
-# Limit of the answer timeout's growth after timeouts: an abandoned poll loses its place in discovery's queue.
+POLLED_RESPONSE_TIMEOUT = 1.0  # seconds for connecting and the response, on top of the watch timeout
+# Limit of the response timeout's growth: a poll that is abandoned loses its place in discovery's queue.
 MAX_TIMEOUT_FACTOR = 2
 # Seconds of first backoff for each gateway: all may have failed at once, and share discovery's capacity.
 BACKOFF_PER_GATEWAY = 0.05
@@ -19,7 +19,7 @@
 
 # The list is pushed to a local agent: polls are cheap, and changes count as known at once.
 PUSHED_WATCH_TIMEOUT = 1.0  # seconds; a connection lost without notice is detected only after this time
-PUSHED_ANSWER_TIMEOUT_RATIO = 0.375  # fraction of the drain timeout, into which two polls have to fit
+PUSHED_RESPONSE_TIMEOUT_RATIO = 0.375  # fraction of the drain timeout, into which two polls have to fit
 PUSHED_MAX_BACKOFF_RATIO = 0.125  # fraction of the drain timeout; with the two polls it leaves a margin
 
 MIN_JITTER = 0.5  # smallest fraction of a backoff that is waited; the rest is random, to spread retries
@@ -31,7 +31,7 @@
 
     watch_timeout: float  # how long discovery may hold a watch before it answers that nothing changed
     answer_timeout: float  # for connecting and the response, on top of the watch timeout
-    max_timeout_factor: int  # limit of the answer timeout's growth after consecutive timeouts
+    max_timeout_factor: int  # limit of the response timeout's growth after consecutive timeouts
     first_backoff: float  # backoff after the first failure of a series
     max_backoff: float  # limit of the backoff, whatever Retry-After says
 
@@ -39,24 +39,24 @@
     def propagation_bound(self) -> float:
         """Return the longest time in seconds until a change is known, once discovery responds in time.
 
-        The poll in flight may have just started, as a watch or with the longest answer timeout, and may get
-        no response. The longest backoff follows it, and then a poll that takes as long as it may.
+        The poll in flight may have just started, as a watch or with the longest response timeout, and may
+        get no response. The longest backoff follows it, and then a poll that takes as long as it may.
         """
         longest_poll = self.max_timeout_factor * self.answer_timeout
         lost_poll = max(self.watch_timeout + self.answer_timeout, longest_poll)
         return lost_poll + self.max_backoff + longest_poll
 
-    def answer_timeout_after(self, timeouts: int) -> float:
-        """Return the answer timeout in seconds after `timeouts` consecutive timeouts."""
-        return self.answer_timeout * min(1 + timeouts, self.max_timeout_factor)
+    def response_timeout_after(self, consecutive_timeouts: int) -> float:
+        """Return the response timeout in seconds of the poll that follows consecutive timeouts."""
+        return self.answer_timeout * min(1 + consecutive_timeouts, self.max_timeout_factor)
 
     def jittered_delay(self, backoff: float, retry_after: float) -> float:
         """Return a random delay in seconds before the next retry, at most the maximum backoff.
 
         It is at least `retry_after`, unless the maximum backoff leaves no room for jitter above that.
         """
-        upper = min(max(backoff, retry_after / MIN_JITTER), self.max_backoff)
-        return upper * random.uniform(MIN_JITTER, 1.0)
+        longest_delay = min(max(backoff, retry_after / MIN_JITTER), self.max_backoff)
+        return longest_delay * random.uniform(MIN_JITTER, 1.0)
 
 
 def poll_schedule_for(gateway_count: int, endpoint_list_pushed: bool, drain_timeout: float) -> PollSchedule:
@@ -76,7 +76,7 @@
     max_backoff = PUSHED_MAX_BACKOFF_RATIO * available
     return PollSchedule(
         watch_timeout=PUSHED_WATCH_TIMEOUT,
-        answer_timeout=PUSHED_ANSWER_TIMEOUT_RATIO * available,
+        answer_timeout=PUSHED_RESPONSE_TIMEOUT_RATIO * available,
         max_timeout_factor=1,
         first_backoff=min(BACKOFF_PER_GATEWAY, max_backoff),
         max_backoff=max_backoff,
@@ -89,12 +89,12 @@
     Neither errors, missing responses nor Retry-After extend the propagation delay, so the maximum backoff is
     what remains of it after a lost watch and one more poll.
     """
-    longest_poll = MAX_TIMEOUT_FACTOR * POLLED_ANSWER_TIMEOUT
-    lost_poll = max(POLLED_WATCH_TIMEOUT + POLLED_ANSWER_TIMEOUT, longest_poll)
+    longest_poll = MAX_TIMEOUT_FACTOR * POLLED_RESPONSE_TIMEOUT
+    lost_poll = max(POLLED_WATCH_TIMEOUT + POLLED_RESPONSE_TIMEOUT, longest_poll)
     max_backoff = MAX_PROPAGATION_DELAY - lost_poll - longest_poll
     return PollSchedule(
         watch_timeout=POLLED_WATCH_TIMEOUT,
-        answer_timeout=POLLED_ANSWER_TIMEOUT,
+        answer_timeout=POLLED_RESPONSE_TIMEOUT,
         max_timeout_factor=MAX_TIMEOUT_FACTOR,
         first_backoff=min(BACKOFF_PER_GATEWAY * gateway_count, MAX_FIRST_BACKOFF, max_backoff),
         max_backoff=max_backoff,
--- a/quota_gateway/discovery/poller.py
+++ b/quota_gateway/discovery/poller.py
@@ -79,8 +79,8 @@
         EndpointListError if the response is not a valid list.
         """
         watch_timeout = 0.0 if self.generation is None else self.next_watch_timeout
-        answer_timeout = self.schedule.answer_timeout_after(self.consecutive_timeouts)
-        async with asyncio.timeout(watch_timeout + answer_timeout):
+        response_timeout = self.schedule.response_timeout_after(self.consecutive_timeouts)
+        async with asyncio.timeout(watch_timeout + response_timeout):
             connection = self.connection or await self.connect()
             body = await connection.request(self.request_target(watch_timeout), self.host)
         if not connection.keep_alive:
