--- a/quota_gateway/admin/server.py
+++ b/quota_gateway/admin/server.py
@@ -42,17 +42,17 @@
             connection.abort()
 
     def _create_connection(self) -> AdminConnection:
-        self._make_room()
-        connection = AdminConnection(self.operations, self._forget_connection)
+        self._evict_oldest()
+        connection = AdminConnection(self.operations, self._remove_connection)
         self.connections[connection] = None
         return connection
 
-    def _make_room(self) -> None:
+    def _evict_oldest(self) -> None:
         """Abort the oldest connection if the limit is reached, so that idle peers can't keep others out."""
         if len(self.connections) >= MAX_CONNECTIONS:
             oldest = next(iter(self.connections))
             del self.connections[oldest]
             oldest.abort()
 
-    def _forget_connection(self, connection: AdminConnection) -> None:
+    def _remove_connection(self, connection: AdminConnection) -> None:
         self.connections.pop(connection, None)
--- a/quota_gateway/hot_restart/coordinator.py
+++ b/quota_gateway/hot_restart/coordinator.py
@@ -65,17 +65,17 @@
         self._publish_timer: asyncio.TimerHandle | None = None  # set while publishing the socket is retried
         self._is_closed = False
         self._is_serving = False
-        self._search: asyncio.Task[None] | None = None  # search for the older process
+        self._search_task: asyncio.Task[None] | None = None  # search for the older process
         self._restore_finished = asyncio.Event()
         # operators' commands to apply again after the restore; None once no more state can arrive
         self._deferred_commands: list[OperatorCommand] | None = []
 
     async def restore_from_older(self) -> None:
         """Request and restore an older process's state; continue without it if it does not arrive in time."""
-        self._search = self.loop.create_task(self._link_to_older())
+        self._search_task = self.loop.create_task(self._link_to_older_process())
         try:
             async with asyncio.timeout(STATE_TRANSFER_TIMEOUT):
-                await asyncio.shield(self._search)  # the search continues after a timeout
+                await asyncio.shield(self._search_task)  # the search continues after a timeout
                 if self.links:
                     await self._restore_finished.wait()
         except TimeoutError:
@@ -85,9 +85,9 @@
         """Return whether an older process has sent its state and its link is still open."""
         return bool(self.links) and self._restore_finished.is_set()
 
-    async def _link_to_older(self) -> None:
+    async def _link_to_older_process(self) -> None:
         """Request the older process's state once it is found, which may be after this process serves."""
-        connection = await self._connect_to_older()
+        connection = await self._connect_to_older_process()
         if connection is None:
             self._deferred_commands = None
             return
@@ -102,7 +102,7 @@
         if self._is_serving:
             link.send(Serving())
 
-    async def _connect_to_older(self) -> socket.socket | None:
+    async def _connect_to_older_process(self) -> socket.socket | None:
         """Return a connection to the older process, or None; retry while access to the folder fails."""
         while True:
             try:
@@ -126,8 +126,8 @@
         self._is_serving = True
         for link in self.links:
             link.send(Serving())
-        if self._search is not None and not self._search.done():
-            self._search.add_done_callback(self._publish_after_search)  # the search needs the older socket
+        if self._search_task is not None and not self._search_task.done():
+            self._search_task.add_done_callback(self._publish_after_search)  # the search needs the old socket
         else:
             self._publish()
 
@@ -158,21 +158,21 @@
     def broadcast(self, notification: Notification) -> None:
         """Send an operator's command, or units charged here, to the other process if there is one."""
         if not isinstance(notification, UnitsCharged):
-            self._defer(notification)
+            self._defer_command(notification)
         for link in self.links:
             link.send(notification)
 
-    def _defer(self, command: OperatorCommand) -> None:
+    def _defer_command(self, command: OperatorCommand) -> None:
         """Keep a command to apply again, while a state saved before it may still arrive."""
-        is_searching = self._search is not None and not self._search.done()
+        is_searching = self._search_task is not None and not self._search_task.done()
         if self._deferred_commands is not None and (self.links or is_searching):
             self._deferred_commands.append(command)
 
     def close(self) -> None:
         """Stop listening and close the links."""
         self._is_closed = True
-        if self._search is not None:
-            self._search.cancel()
+        if self._search_task is not None:
+            self._search_task.cancel()
         if self._publish_timer is not None:
             self._publish_timer.cancel()
         self._acceptor.close()
@@ -223,10 +223,10 @@
         return StateTransfer(state, encode_endpoint_list(self._endpoint_entries()))
 
     def _endpoint_entries(self) -> Iterator[EndpointEntry]:
-        for server in self.dispatcher.engine.endpoints.values():
-            connections = self.dispatcher.pool.endpoints.get(server.endpoint.endpoint_id)
+        for endpoint_state in self.dispatcher.engine.endpoints.values():
+            connections = self.dispatcher.pool.endpoints.get(endpoint_state.endpoint.endpoint_id)
             address = connections.address if connections is not None else UNKNOWN_ADDRESS
-            yield EndpointEntry(server.endpoint, address)
+            yield EndpointEntry(endpoint_state.endpoint, address)
 
     def _restore(self, transfer: StateTransfer) -> None:
         if not self.list_received.is_set():  # discovery's list is newer than the transferred one
