--- a/quota_gateway/discovery/poll_schedule.py
+++ b/quota_gateway/discovery/poll_schedule.py
@@ -13,7 +13,7 @@
 POLLED_RESPONSE_TIMEOUT = 1.0  # seconds for connecting and the response, on top of the watch timeout
 # Limit of the response timeout's growth: a poll that is abandoned loses its place in discovery's queue.
 MAX_TIMEOUT_FACTOR = 2
-# Seconds of first backoff for each gateway: all may have failed at once, and share discovery's capacity.
+# Seconds of first backoff per gateway of the fleet: all may fail at once, and share discovery's capacity.
 BACKOFF_PER_GATEWAY = 0.05
 MAX_FIRST_BACKOFF = 0.75  # seconds; the first failure may be a broken watch that missed a change
 
@@ -47,7 +47,7 @@
         return lost_poll + self.max_backoff + longest_poll
 
     def response_timeout_after(self, consecutive_timeouts: int) -> float:
-        """Return the response timeout in seconds of the poll that follows consecutive timeouts."""
+        """Return the next poll's response timeout in seconds, which grows with consecutive timeouts."""
         return self.answer_timeout * min(1 + consecutive_timeouts, self.max_timeout_factor)
 
     def jittered_delay(self, backoff: float, retry_after: float) -> float:
--- a/quota_gateway/engine/policy_engine.py
+++ b/quota_gateway/engine/policy_engine.py
@@ -27,7 +27,7 @@
 from quota_gateway.state.peer_process import PeerProcess
 from quota_gateway.state.records import EndpointState, Limiter
 
-RECENT_USE_WINDOW = 1.5  # seconds after an attempt for which an outlier still counts as available
+RECENT_USE_WINDOW = 1.5  # seconds since its last attempt for which an outlier still counts as available
 
 
 class PolicyEngine:
--- a/quota_gateway/engine/state_snapshot.py
+++ b/quota_gateway/engine/state_snapshot.py
@@ -27,14 +27,14 @@
     newest_time,
 )
 
-UNKNOWN_SAVE_TIME = 0.0  # seconds; stands for the save time that older versions do not save
+UNKNOWN_SAVE_TIME = 0.0  # seconds; stands for the save time, which older versions do not save
 # Smallest difference in seconds between two processes' clocks that counts as a step of the wall clock. A
 # smaller difference is the duration of the state transfer.
 MIN_CLOCK_STEP = 1.0
 
 
 class StatefulEngine(Protocol):
-    """The parts of an engine whose state is saved and restored."""
+    """The parts of a policy engine whose state is saved and restored."""
 
     context: EngineContext
     limiters: LimiterRegistry
--- a/quota_gateway/hot_restart/coordinator.py
+++ b/quota_gateway/hot_restart/coordinator.py
@@ -62,7 +62,7 @@
         self.successor: ProcessLink | None = None  # link to the newer process, once it serves
         self._folder = SharedFolder(shared_folder)
         self._acceptor = Acceptor(self._create_link, RETRY_DELAY)
-        self._publish_timer: asyncio.TimerHandle | None = None  # set while publishing the socket is retried
+        self._publish_timer: asyncio.TimerHandle | None = None  # scheduled retry of publishing the socket
         self._is_closed = False
         self._is_serving = False
         self._search_task: asyncio.Task[None] | None = None  # search for the older process
@@ -127,7 +127,8 @@
         for link in self.links:
             link.send(Serving())
         if self._search_task is not None and not self._search_task.done():
-            self._search_task.add_done_callback(self._publish_after_search)  # the search needs the old socket
+            # publishing replaces the older process's socket, which the search still needs
+            self._search_task.add_done_callback(self._publish_after_search)
         else:
             self._publish()
 
