--- a/quota_gateway/policy/__init__.py
+++ b/quota_gateway/policy/__init__.py
@@ -1,1 +1,1 @@
-"""The gateway's decisions, one mechanism per module."""
+"""Policy of the gateway: one mechanism per module, without I/O."""
--- a/quota_gateway/policy/admission.py
+++ b/quota_gateway/policy/admission.py
@@ -1,4 +1,4 @@
-"""Admission control: adaptive concurrency limits, and load shedding while answers are late."""
+"""Admission control: adaptive concurrency limits, and load shedding while responses are late."""
 
 from dataclasses import dataclass
 
@@ -6,16 +6,23 @@
 from quota_gateway.state.context import EngineContext
 from quota_gateway.state.records import AttemptState, EndpointState, PendingRequest
 
-LATE_FRACTION = 0.35  # of the latency objective from which an answer is late: short queues are no overload
-MIN_IN_FLIGHT = 1.0  # attempts that a gateway may always have in flight; a fraction of one is drawn
-LIMIT_SLACK = 2.0  # attempts above those in flight that a late answer leaves: chance alone needs them
-LIMIT_DECREASE = 0.5  # subtracted from the limit for a late answer
-LIMIT_INCREASE = 0.5  # added for one in time while half of the limit is in use
-ADMIT_DECREASE = 0.7  # factor of the admitted part for a late answer
-ADMIT_INCREASE = 1.25  # and for one in time: the part is stable where 38% are late
-MIN_ADMIT_RATIO = 0.05  # with less, the end of an overload would not be noticed
-SAMPLE_INTERVAL = 1.0  # seconds from which an answer counts in full: where more come each counts for less
-FAILURE_SAMPLE_WEIGHT = 0.0375  # of one answer in the fleet's failure rate
+# Fraction of the latency objective after which a response is late. It is high enough that a short queue at an
+# endpoint does not count as an overload.
+LATE_FRACTION = 0.35
+
+# Concurrency limits and their steps, in attempts in flight; a fractional limit is rounded at random.
+MIN_IN_FLIGHT = 1.0  # lowest limit of a gateway
+LIMIT_SLACK = 2.0  # margin above the attempts in flight after a late response: random arrivals need it
+LIMIT_DECREASE = 0.5  # subtracted from the limit for each late response
+LIMIT_INCREASE = 0.5  # added for each response in time while at least half of the limit is in use
+
+# Factors of the admit ratio for a late response and for one in time: the ratio is stable while 38% are late.
+ADMIT_DECREASE = 0.7
+ADMIT_INCREASE = 1.25
+MIN_ADMIT_RATIO = 0.05  # a lower ratio would leave too few responses to notice the end of an overload
+
+SAMPLE_INTERVAL = 1.0  # seconds since the last sample for a sample to have its full weight
+FAILURE_SAMPLE_WEIGHT = 0.0375  # weight of one response in the moving average of the fleet's failure rate
 
 
 @dataclass(slots=True, eq=False)
@@ -26,12 +33,12 @@
     registry: EndpointRegistry
     last_sample_at: float
     admit_ratio: float = 1.0
-    in_flight: int = 0  # attempts that are not late
+    in_flight: int = 0  # attempts in flight that are not late yet
     concurrency_limit: float = float("inf")
-    fleet_failure_rate: float = 0.0  # passed on in a hot restart
+    fleet_failure_rate: float = 0.0  # fraction of failed or late responses; handed over in a hot restart
 
     def should_shed(self, request: PendingRequest) -> bool:
-        """Shed load while answers are late, first of customers with little quota left."""
+        """Return whether to shed the request; customers with less than half of their tokens go first."""
         chance = self.context.random
         if self.in_flight >= self.concurrency_limit + chance.random() - 0.5:
             return True
@@ -39,30 +46,33 @@
         return chance.random() > 2 * self.admit_ratio - penalty
 
     def has_spare_capacity(self, limit_fraction: float) -> bool:
-        """Return whether nothing is shed and less than this part of the limit is in flight."""
+        """Return whether no load is shed and less than this fraction of the limit is in flight."""
         return self.admit_ratio >= 1.0 and self.in_flight < limit_fraction * self.concurrency_limit
 
     def attempt_started(self, endpoint: EndpointState) -> None:
-        """Count an attempt."""
+        """Count a started attempt against the limits of the gateway and the endpoint."""
         endpoint.in_flight += 1
         endpoint.last_used_at = self.context.now
         self.in_flight += 1
 
     def attempt_finished(self, attempt: AttemptState) -> None:
-        """Release the concurrency slot of an attempt."""
+        """Release the concurrency slot of a finished attempt."""
         attempt.endpoint.in_flight -= 1
         attempt.endpoint.late_in_flight -= attempt.is_late
         self.in_flight -= not attempt.is_late
 
     def attempt_late(self, attempt: AttemptState) -> None:
-        """Sample an attempt once it is late; it no longer counts against the gateway's limit."""
+        """Record a late sample for an attempt in flight, which then leaves the gateway's limit."""
         attempt.is_late = True
         attempt.endpoint.late_in_flight += 1
         self.in_flight -= 1
         self.record_sample(True, attempt.endpoint)
 
     def record_sample(self, late: bool, endpoint: EndpointState) -> None:
-        """Adjust the limits and the admit ratio; the ratio's step is weighted by the time since the last."""
+        """Adjust the limits and the admit ratio.
+
+        A sample changes the ratio in proportion to the time since the last one, up to SAMPLE_INTERVAL.
+        """
         endpoint.concurrency_limit = _adjusted(
             endpoint.concurrency_limit, late, endpoint.in_flight, endpoint.minimum_limit
         )
@@ -75,12 +85,12 @@
         self.admit_ratio = min(max(self.admit_ratio, MIN_ADMIT_RATIO), 1.0)
 
     def record_failure_rate(self, failed: bool) -> None:
-        """Count one answer in the moving average of failed or late ones."""
+        """Add one response to the moving average of those that failed or were late."""
         self.fleet_failure_rate += FAILURE_SAMPLE_WEIGHT * (failed - self.fleet_failure_rate)
 
 
 def _adjusted(limit: float, late: bool, in_flight: int, minimum: float) -> float:
-    """Return a limit after an answer: below what was in flight for a late one, higher if it was in use."""
+    """Return the limit after a response: lower if that was late, higher if not and the limit was in use."""
     if late:
         return max(min(limit, in_flight + LIMIT_SLACK) - LIMIT_DECREASE, minimum)
     return limit + LIMIT_INCREASE if in_flight + 1 > limit / 2 else limit
--- a/quota_gateway/policy/attempt_results.py
+++ b/quota_gateway/policy/attempt_results.py
@@ -1,4 +1,4 @@
-"""Handling of finished attempts: samples, charges and retries."""
+"""Handling of attempt results: samples, charges and retries."""
 
 from dataclasses import dataclass
 
@@ -17,7 +17,7 @@
 
 @dataclass(slots=True, eq=False)
 class AttemptResults:
-    """Passes the result of each attempt to the mechanisms that learn from it."""
+    """Updates estimates and limits with the result of each attempt, and retries or answers its request."""
 
     context: EngineContext
     admission: AdmissionController
@@ -26,7 +26,7 @@
     queue: RequestQueue
 
     def attempt_ended(self, event: AttemptEnded) -> None:
-        """Learn from the outcome, charge the actual units, and retry or forget the request."""
+        """Record the outcome, charge the actual units, and retry, answer or remove the request."""
         request = self.forwarder.requests.get(event.request_id)
         attempt = request.attempt_in_flight(event.attempt_index) if request is not None else None
         if request is None or attempt is None:
@@ -51,13 +51,13 @@
             self.queue.release(request.limiter)
 
     def attempt_late(self, request: PendingRequest, attempt_index: int) -> None:
-        """Sample an attempt that has no response when it becomes late."""
+        """Record a late sample for an attempt that is still waiting for its response."""
         attempt = request.attempts[attempt_index]
         if attempt.awaits_response:
             self.admission.attempt_late(attempt)
 
     def stream_started(self, request: PendingRequest, event: ResponseStreamStarted) -> None:
-        """Sample a response by its first bytes, and release its slot while the rest is streamed."""
+        """Record the time to the first byte, and release the concurrency slot while the rest is streamed."""
         request.streaming = True
         attempt = request.attempt_in_flight(event.attempt_index)
         if attempt is not None:
@@ -81,7 +81,8 @@
 
     def _retry_or_answer(self, request: PendingRequest, outcome: Outcome) -> None:
         end = min(request.request.deadline, request.first_sent_at + request.latency_objective)
-        # a rejected attempt took no work: its retry is free, unless load is shed
+        # An attempt that was not executed took no work, so its retry does not use the retry budget. While
+        # load is shed, this holds for the admitted fraction of such retries only.
         free = outcome.proves_not_executed and self.context.random.random() < self.admission.admit_ratio
         in_time = end - self.context.now > self.latency.expected(request)
         affordable = free or self.forwarder.retry_budget.is_available()
--- a/quota_gateway/policy/endpoint_registry.py
+++ b/quota_gateway/policy/endpoint_registry.py
@@ -1,4 +1,4 @@
-"""The endpoints that the list names, operators' maintenance of them, and this gateway's subset."""
+"""The endpoints of the discovery list, their maintenance by operators, and this gateway's subset."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass, field
@@ -15,27 +15,29 @@
 from quota_gateway.state.records import EndpointState
 from quota_gateway.state.saved_state import SavedEndpoint
 
-FLEET_START_LIMIT = 8.0  # attempts in flight at an endpoint, all gateways together, before it is known
-START_TO_MINIMUM = 0.5  # times that, under pressure: with less the endpoint's cores would stand idle
-RETRY_POLL_FRACTION = 1 / 8  # of the poll interval until a poll that failed is made again
+FLEET_START_LIMIT = 8.0  # attempts in flight at a newly listed endpoint, over all gateways together
+# Ratio of the lowest limit, reached under overload, to the initial one: a lower limit would leave some of the
+# endpoint's cores idle.
+START_TO_MINIMUM = 0.5
+RETRY_POLL_FRACTION = 1 / 8  # mean delay before a failed poll is repeated, as a fraction of the poll interval
 
 
 @dataclass(slots=True, eq=False)
 class EndpointRegistry:
-    """Owns the endpoints' states, by id."""
+    """Keeps the state of each endpoint, and which of them this gateway uses."""
 
     context: EngineContext
-    endpoints: dict[str, EndpointState] = field(default_factory=dict)
+    endpoints: dict[str, EndpointState] = field(default_factory=dict)  # by endpoint id
     serving: list[EndpointState] = field(default_factory=list)
-    candidates: Sequence[EndpointState] = ()  # this gateway's subset, widened while it is unhealthy
-    assigned_subset: set[EndpointState] = field(default_factory=set)  # the same, never widened
-    under_maintenance: set[str] = field(default_factory=set)  # by operators, independent of the list
+    candidates: Sequence[EndpointState] = ()  # this gateway's subset, widened while too few are healthy
+    assigned_subset: set[EndpointState] = field(default_factory=set)  # this gateway's subset, never widened
+    under_maintenance: set[str] = field(default_factory=set)  # ids; set by operators, independent of the list
     ring: SubsetRing = field(default_factory=lambda: SubsetRing((), 0, 1))
-    returned_at: dict[str, float] = field(default_factory=dict)  # when operators ended a maintenance
+    returned_at: dict[str, float] = field(default_factory=dict)  # end of the last maintenance, by endpoint id
     start_times: StartTimes = field(default_factory=StartTimes)
 
     def apply(self, update: EndpointListUpdate) -> None:
-        """Apply an update; after a failed poll the list stays as it is, and is polled again soon."""
+        """Apply an update; after a failed poll, keep the current list and schedule another poll."""
         context = self.context
         if update.kind is EndpointListKind.FAILED:
             delay = context.settings.poll_interval * RETRY_POLL_FRACTION * (0.5 + context.random.random())
@@ -77,7 +79,7 @@
         return returned_at
 
     def set_maintenance(self, event: SetMaintenance) -> None:
-        """Start or end maintenance, which no list ends; an endpoint that returns from it is warming up."""
+        """Start or end maintenance, which no list update ends; an endpoint warms up again after it."""
         key = event.endpoint_id
         if event.enabled:
             self.under_maintenance.add(key)
@@ -90,7 +92,7 @@
         self.refresh_serving()
 
     def merge_returns(self, returned_at: dict[str, float]) -> None:
-        """Add another process's ends of maintenance; of two the later one counts."""
+        """Merge the ends of maintenance that another process knows; the later of two counts."""
         for key, time in returned_at.items():
             self.returned_at[key] = max(time, self.returned_at.get(key, time))
 
@@ -99,19 +101,22 @@
         state = self.endpoints.get(saved.endpoint_id)
         if state is None:
             return
-        state.started_at = self._started_at(state.endpoint)  # the list does not know of its return
+        state.started_at = self._started_at(state.endpoint)  # the list does not tell when maintenance ended
         if saved.started_at == self.saved_start(state):
             state.concurrency_limit = saved.concurrency_limit
             state.failure_score = saved.failure_score
             state.decayed_at = saved.decayed_at
 
     def saved_start(self, state: EndpointState) -> float | None:
-        """Return what tells an endpoint's start in the saved state: its return, or its start as listed."""
+        """Return the start that identifies an endpoint in the saved state.
+
+        It is the end of its maintenance or, without one, the start as listed.
+        """
         returned_at = self.returned_at.get(state.id)
         return returned_at if returned_at == state.started_at else state.endpoint.started_at
 
     def refresh_serving(self) -> None:
-        """Recompute which endpoints serve, and this gateway's subset of them."""
+        """Recompute the serving endpoints and this gateway's subset of them."""
         self.serving = [
             endpoint
             for endpoint in self.endpoints.values()
@@ -123,11 +128,11 @@
         self.refresh_candidates()
 
     def refresh_candidates(self) -> None:
-        """Recompute the subset, which is wider while too few of its endpoints are healthy."""
+        """Recompute the subset, which is widened while too few of its endpoints are healthy."""
         self.candidates = self.ring.select(lambda endpoint: not is_outlier(endpoint))
 
     def is_usable(self, endpoint: EndpointState) -> bool:
-        """Return whether the list, the operators and its concurrency limit allow another attempt."""
+        """Return whether the endpoint is serving, not under maintenance, and below its concurrency limit."""
         current = self.endpoints.get(endpoint.id) is endpoint
         serving = endpoint.is_serving and endpoint.id not in self.under_maintenance
         return current and serving and endpoint.in_flight < endpoint.concurrency_limit
--- a/quota_gateway/policy/fine_grained_quota.py
+++ b/quota_gateway/policy/fine_grained_quota.py
@@ -1,7 +1,8 @@
-"""Quotas that are too small to split: many gateways share a burst of which none could hold a request.
+"""Quotas that are too small to split: a gateway's part of the burst might not cover a single request.
 
-Such a quota is not split. A reading of the counter gives the balance of the whole quota from the units that
-all gateways forwarded; while the counter is overloaded, a sample of the requests is read for all of them.
+Such a quota is shared. The counter sums the units that all gateways forwarded, and a reading of it gives the
+balance of the entire quota. While the counter is overloaded, only a sample of the requests calls it, on
+behalf of all of them.
 """
 
 from dataclasses import dataclass
@@ -17,15 +18,15 @@
 from quota_gateway.state.limiter_state import PERIOD, CounterCall
 from quota_gateway.state.records import Limiter, PendingRequest
 
-EPOCH = 60.0  # seconds of use that one name adds up: the longest that the counter keeps a name
-FRESH_FOR = PERIOD / 10  # that a reading serves further requests
-REPORT_DELAY = 0.25 * PERIOD  # until units are reported that no request waits for
-CORRECTION_THRESHOLD = 0.25  # of the burst: unused units from which the sum is corrected
-GRANT_WEIGHT = 0.15  # of one reading in a grant ratio: about the last dozen count
+EPOCH = 60.0  # seconds of use summed under one counter name: the counter keeps no name for longer
+FRESH_FOR = PERIOD / 10  # seconds for which a reading also decides on further requests
+REPORT_DELAY = 0.25 * PERIOD  # seconds until units are reported that no request waits for
+CORRECTION_THRESHOLD = 0.25  # unused units, as a fraction of the burst, from which the counter is corrected
+GRANT_WEIGHT = 0.15  # weight of one reading in a grant ratio: about the last dozen readings count
 
 
 def initial_grant_ratios(settings: Settings) -> dict[tuple[str, bool, bool], float]:
-    """Return the ratios before any reading: requests are granted that are covered and are no retries."""
+    """Return the initial ratios: requests that are covered locally and are not retries count as granted."""
     kinds = [(False, False), (False, True), (True, False), (True, True)]
     return {
         (p.name, covered, retry): float(covered and not retry)
@@ -36,16 +37,17 @@
 
 @dataclass(slots=True, eq=False)
 class FineGrainedQuota:
-    """Reads and reports the units of quotas that are not split."""
+    """Reads and reports the units of quotas that are too small to split."""
 
     context: EngineContext
     counter: CounterHealth
-    # part of the sampled requests that the quota covered: by plan, by whether this gateway's part seemed to
-    # cover them, and by whether they were retries, most likely rejected elsewhere for want of quota
+    # Fraction of the sampled requests that the quota covered, by plan name, by whether this gateway's part of
+    # the quota covered them, and by whether they were retries, which most likely were rejected by another
+    # gateway for lack of quota.
     grant_ratios: dict[tuple[str, bool, bool], float]
 
     def request_reading(self, request: PendingRequest) -> None:
-        """Call the counter and let the request wait, where the local balance can't decide on it."""
+        """Call the counter, unless the local balance decides; the request waits for the reply."""
         limiter = request.limiter
         now = self.context.now
         expired = now >= limiter.reading_valid_until
@@ -55,7 +57,7 @@
             return
         wait = limiter.wait_time(request.units)
         if not expired and wait > request.queue_deadline - now:
-            return  # too little, even if no other gateway has used any since
+            return  # the quota does not cover it in time, even if no other gateway has used any since
         covered = wait <= 0 and (expired or limiter.balance >= limiter.capacity / 2)
         pays_off = self._pays_off_unsampled(request, covered)
         if self.context.random.random() >= self.counter.sampling_ratio:
@@ -68,7 +70,7 @@
         self._call_counter(limiter, request.reported_units)
 
     def _pays_off_unsampled(self, request: PendingRequest, covered: bool) -> bool:
-        """Return whether forwarding without a reading pays off, by the grant ratio of sampled requests."""
+        """Return whether forwarding without a reading is worth its expected cost, by the grant ratio."""
         plan = request.plan
         granted = self.grant_ratios[plan.name, covered, request.request.is_retry]
         return granted + (1.0 - granted) * (plan.over_quota_value - plan.over_quota_cost) >= 0
@@ -81,18 +83,18 @@
         limiter.unreported_units = 0.0
 
     def report_unreported(self, limiter: Limiter) -> None:
-        """Report the units that no call has reported yet."""
+        """Report units that have not been reported yet to the counter."""
         if limiter.unreported_units and not self.counter.is_paused():
             self._call_counter(limiter, 0.0)
 
     def request_forwarded(self, request: PendingRequest) -> None:
-        """Schedule the report of the request's units, if no call has reported them."""
+        """Schedule a report of the request's units, unless a call has reported them."""
         if request.limiter.is_fine_grained and request.reported_units == 0:
             request.reported_units = request.units
             self._report_soon(request.limiter, request.units)
 
     def request_withdrawn(self, request: PendingRequest) -> None:
-        """Correct the units reported for a request that is not forwarded."""
+        """Schedule a correction of the units reported for a request that is not forwarded."""
         if request.limiter.is_fine_grained and request.reported_units > 0:
             self._report_soon(request.limiter, -request.reported_units)
             request.reported_units = 0.0
@@ -112,34 +114,34 @@
         limiter.counter_calls.remove(call)
         if reply.outcome is Outcome.SUCCESS:
             self._apply_total(limiter, call, reply.total)
-        elif reply.outcome is not Outcome.TIMED_OUT:  # nothing was added
+        elif reply.outcome is not Outcome.TIMED_OUT:  # then the counter has added nothing
             limiter.unreported_units += call.amount
         limiter.awaiting_reading = False
         return True
 
     def _apply_total(self, limiter: Limiter, call: CounterCall, total: float) -> None:
-        """Set the balance by the units forwarded since the name's start."""
+        """Set the balance from the units that all gateways forwarded in this epoch."""
         now = self.context.now
         burst = limiter.plan.burst
-        # what the quota has earned, if there were no limit on the burst
+        # Tokens earned in this epoch less those used, as if the burst were unlimited.
         unused = limiter.plan.rate * (self.context.quota_time % EPOCH) - total
         self._correct_total(limiter, call, total, unused)
         limiter.set_quota_fraction(1.0, now)
         balance = burst + unused + call.requested_units
         self._record_grant(limiter, call, balance)
         forwarded = call.amount - call.requested_units
-        if balance < 0 < forwarded:  # beyond the quota, which takes nothing from it
+        if balance < 0 < forwarded:  # units beyond the quota are not charged to it
             self._report_soon(limiter, -min(forwarded, -balance))
         limiter.balance = min(burst, balance) - limiter.queued_units
         limiter.reading_fresh_until = now + FRESH_FOR
         limiter.reading_valid_until = now + READING_LIFETIME
 
     def _correct_total(self, limiter: Limiter, call: CounterCall, total: float, unused: float) -> None:
-        """Keep the sum within a burst of what the quota has earned."""
+        """Raise the counter so that it stays within a burst of what the quota has earned."""
         burst = limiter.plan.burst
-        if unused > burst and total <= call.amount + EPSILON:  # a new or forgotten name: its first caller
+        if unused > burst and total <= call.amount + EPSILON:  # the first call for a new or expired name
             self._call_counter(limiter, 0.0, unused)
-        elif call.amount and unused > CORRECTION_THRESHOLD * burst:  # others may be doing the same
+        elif call.amount and unused > CORRECTION_THRESHOLD * burst:  # other gateways may be correcting too
             self._call_counter(limiter, 0.0, min(unused, burst / 2))
 
     def _record_grant(self, limiter: Limiter, call: CounterCall, balance: float) -> None:
