--- a/quota_gateway/policy/forwarding.py
+++ b/quota_gateway/policy/forwarding.py
@@ -1,4 +1,4 @@
-"""Forwarding: starts the attempts of requests that their quota allows, and answers all others."""
+"""Forwarding: starts attempts for requests within their quota, and answers requests that are not served."""
 
 from dataclasses import dataclass, field
 
@@ -15,12 +15,13 @@
 from quota_gateway.state.peer_process import PeerProcess
 from quota_gateway.state.records import AttemptState, EndpointState, PendingRequest
 
-SOON_FRACTION = 0.15  # of the latency objective: a Retry-After for one that can't wait for quota here
+# Retry-After for a request that can't wait for what it lacks here, as a fraction of its latency objective.
+SOON_FRACTION = 0.15
 
 
 @dataclass(slots=True, eq=False)
 class Forwarder:
-    """Owns the requests, by id, that have no final answer or have attempts in flight."""
+    """Starts, cancels and answers requests, and keeps them until no attempt is in flight."""
 
     context: EngineContext
     admission: AdmissionController
@@ -29,10 +30,10 @@
     retry_budget: RetryBudget
     fine_grained: FineGrainedQuota
     peer: PeerProcess
-    requests: dict[int, PendingRequest] = field(default_factory=dict)
+    requests: dict[int, PendingRequest] = field(default_factory=dict)  # by request id
 
     def forward(self, request: PendingRequest) -> None:
-        """Start an attempt, or shed the request if it has had none."""
+        """Start an attempt; give up if no endpoint may be used, or if a request without attempts is shed."""
         shed = not request.attempts and self.admission.should_shed(request)
         endpoint = None if shed else self.balancer.choose(request)
         if endpoint is not None and self.balancer.may_send(request, endpoint):
@@ -66,13 +67,13 @@
         self.peer.report(request.limiter, 0.0 if request.over_quota else request.units)
 
     def watch_lateness(self, request: PendingRequest, attempt_index: int) -> None:
-        """Set the timer for a late attempt, unless the request's body is still being received."""
+        """Set the timer after which an attempt is late, unless the request's body is still being received."""
         if not request.request.body_incomplete:
             delay = max(LATE_FRACTION * request.latency_objective, EPSILON)
             self.context.set_timer(delay, LateAttemptTimer(request.id, attempt_index))
 
     def _timeout(self, request: PendingRequest) -> float:
-        """Return the attempt's timeout in seconds; 0, for none, while the request's body is received."""
+        """Return the attempt's timeout in seconds; 0 for none, while the request's body is being received."""
         if request.request.body_incomplete:
             return 0.0
         now = self.context.now
@@ -94,9 +95,10 @@
         self.forget_if_finished(request)
 
     def answer_with_advice(self, request: PendingRequest, wait: float, reason: Reason) -> None:
-        """Reject a request; Retry-After is the wait for what it lacks here, if a retry is in time then.
+        """Reject a request and advise the client when to retry; `wait` is in seconds.
 
-        If not, it is short: another gateway may have quota, or an endpoint a free slot.
+        Retry-After is `wait`, after which this gateway can serve the request, if the response is then still
+        useful. Otherwise it is short: another gateway may have quota, or an endpoint a free slot.
         """
         remaining = useful_until(request) - self.context.now - self.latency.expected(request)
         soon = SOON_FRACTION * request.latency_objective
@@ -111,7 +113,7 @@
                 self.context.emit(CancelAttempt(request.id, index))
 
     def forget_if_finished(self, request: PendingRequest) -> None:
-        """Forget an answered request without attempts in flight; refund its units if none was sent."""
+        """Remove an answered request without attempts in flight; refund its units if no attempt was sent."""
         if request.in_flight or not request.answered:
             return
         known = self.requests.pop(request.id, None) is not None
--- a/quota_gateway/policy/latency_estimates.py
+++ b/quota_gateway/policy/latency_estimates.py
@@ -1,4 +1,4 @@
-"""Estimates of response times and of clients' timeouts, and how long an answer has value."""
+"""Estimates of response times and of clients' timeouts, and how long a response is useful."""
 
 from dataclasses import dataclass, field
 
@@ -7,11 +7,13 @@
 from quota_gateway.state.context import EngineContext
 from quota_gateway.state.records import AttemptState, PendingRequest
 
-SAMPLE_WEIGHT = 0.15 / 3  # of one sample in a moving average: about the last forty count
-INITIAL_FRACTION = 1 / 8  # of the latency objective: the estimate before there is any sample
-MIN_DURATION = 1e-4  # seconds: keeps a ratio of durations finite
-LATE_VALUE_RATIO = 0.5  # of the value that a late answer keeps, from which attempts run until the deadline
-SAME_TIMEOUT_RATIO = 0.95  # of a first send's timeout, from which a retry's is the same: transit takes some
+SAMPLE_WEIGHT = 0.15 / 3  # weight of one sample in a moving average: about the last forty samples count
+INITIAL_FRACTION = 1 / 8  # estimate before the first sample, as a fraction of the latency objective
+MIN_DURATION = 1e-4  # seconds; keeps the ratio of two durations finite
+# Value of a late response, relative to one in time, from which attempts run until the deadline.
+LATE_VALUE_RATIO = 0.5
+# Ratio of a retry's timeout to that of first sends, from which they count as equal: transit takes some time.
+SAME_TIMEOUT_RATIO = 0.95
 
 
 @dataclass(slots=True, eq=False)
@@ -19,23 +21,25 @@
     """Moving averages of response times and of clients' timeouts, both in seconds."""
 
     context: EngineContext
-    # by request class and whole units, which keeps the keys few; 0 units: of the whole class
+    # Response times by request class and units, rounded up to keep the keys few; 0 units is the entire class.
     durations: dict[tuple[str, float], float] = field(default_factory=dict)
-    machine_type_factors: dict[str, float] = field(default_factory=dict)  # against the fleet
-    client_timeouts: dict[str, float] = field(default_factory=dict)  # of first sends, by request class
+    # Response times by machine type, relative to those of the fleet.
+    machine_type_factors: dict[str, float] = field(default_factory=dict)
+    # Timeouts of first sends, by request class.
+    client_timeouts: dict[str, float] = field(default_factory=dict)
 
     def expected(self, request: PendingRequest) -> float:
-        """Return the seconds that such a request takes on the fleet."""
+        """Return the expected response time in seconds, as an average over the fleet."""
         initial = request.latency_objective * INITIAL_FRACTION
         fallback = self.durations.get((request.request_class.name, 0.0), initial)
         return self.durations.get(request.duration_key, fallback)
 
     def machine_type_factor(self, machine_type: str) -> float:
-        """Return how many times longer than on the fleet a request takes on machines of a type."""
+        """Return the response time on machines of a type, relative to the fleet's average."""
         return self.machine_type_factors.get(machine_type, 1.0)
 
     def record(self, request: PendingRequest, attempt: AttemptState, elapsed: float) -> None:
-        """Learn from a successful response."""
+        """Update the estimates with the response time of a successful attempt, in seconds."""
         for key in (request.duration_key, (request.request_class.name, 0.0)):
             before = self.durations.get(key, elapsed)
             self.durations[key] = before + SAMPLE_WEIGHT * (elapsed - before)
@@ -45,11 +49,11 @@
         self.machine_type_factors[machine_type] = factor + SAMPLE_WEIGHT * (sample - factor)
 
     def retry_age(self, request: RequestReceived, request_class: RequestClass) -> float:
-        """Return the seconds since the client's first send, on which its objective and deadline depend.
+        """Return the estimated seconds since the client's first send, where the latency objective starts.
 
-        Clients wait equally long for each send of a class, and for all of them until its deadline: a retry
-        with less time than first sends have shows by it how old it is. Another is as old as the longest
-        Retry-After makes it, but no older than its time allows.
+        Clients use one timeout for all sends of a class, cut short by the deadline, which counts from the
+        first send. So if a retry has a shorter timeout than first sends, its age follows from it. Any other
+        retry is taken to be as old as the longest Retry-After, or as its timeout allows if that is less.
         """
         timeout = request.client_timeout or request.deadline - self.context.now
         usual = self.client_timeouts.get(request_class.name, timeout)
@@ -63,7 +67,7 @@
 
 
 def useful_until(request: PendingRequest) -> float:
-    """Return until when an answer is useful: the objective's end, or the deadline if late ones count."""
+    """Return until when a response is useful: the objective's end, or the deadline if late ones count."""
     if request.request_class.late_value_ratio < LATE_VALUE_RATIO:
         return request.first_sent_at + request.latency_objective
     return request.request.deadline
--- a/quota_gateway/policy/load_balancing.py
+++ b/quota_gateway/policy/load_balancing.py
@@ -12,8 +12,10 @@
 from quota_gateway.state.context import EngineContext
 from quota_gateway.state.records import EndpointState, PendingRequest
 
-CHOICES = 2  # candidates compared: two see the load, more would all pick what one gateway sees as idle
-MAX_DRAWS = 8  # for these: with half of the fleet unusable one in 256 fails, and a scan is made
+# Candidates that are compared. Two suffice to avoid loaded endpoints; with more, all attempts of a gateway
+# would go to the endpoints that this gateway sees as idle.
+CHOICES = 2
+MAX_DRAWS = 8  # draws per choice; with half of the fleet unusable, one choice in 256 needs a scan instead
 
 
 @dataclass(slots=True, eq=False)
@@ -26,7 +28,10 @@
     latency: LatencyEstimates
 
     def choose(self, request: PendingRequest) -> EndpointState | None:
-        """Return the better of two draws; unusable ones are redrawn, and outliers while draws are left."""
+        """Return the better of two endpoints drawn at random, or None if none may be used.
+
+        Unusable endpoints are drawn again, and so are outliers while draws are left.
+        """
         pool = self._pool(request)
         self.slow_start.choice = None
         if not pool:
@@ -56,7 +61,7 @@
         return best
 
     def may_send(self, request: PendingRequest, endpoint: EndpointState) -> bool:
-        """Return whether another attempt may be sent there; this is the only place for these rules."""
+        """Return whether another attempt may be sent to the endpoint: the single place for these rules."""
         settings = self.context.settings
         past_deadline = self.context.now >= request.request.deadline and not request.request.body_incomplete
         if request.answered or request.streaming or request.not_resendable or past_deadline:
@@ -94,7 +99,7 @@
         return next((endpoint for endpoint in everywhere if self.may_send(request, endpoint)), None)
 
     def _cost(self, request: PendingRequest, endpoint: EndpointState) -> float:
-        """Return the expected seconds of an attempt there, plus penalties for faults and repeats."""
+        """Return the expected response time in seconds, plus penalties for failures, lateness and repeats."""
         decay(endpoint, self.context.now)
         repeats = sum(1 for attempt in request.attempts if attempt.endpoint is endpoint)
         repeats += is_rejecting(endpoint, request, self.context.now)
--- a/quota_gateway/policy/outlier_detection.py
+++ b/quota_gateway/policy/outlier_detection.py
@@ -1,17 +1,17 @@
-"""Outlier detection: a failure score for each endpoint, by which load balancing avoids it."""
+"""Outlier detection: a failure score for each endpoint, so that load balancing avoids failing ones."""
 
 from quota_gateway.model.outcomes import Outcome
 from quota_gateway.state.records import EndpointState, PendingRequest
 
-HALF_LIFE = 8.0  # seconds in which a score halves: faults last five to forty
+HALF_LIFE = 8.0  # seconds in which a score halves; faults last five to forty seconds
 OUTLIER_THRESHOLD = 0.5  # score from which an endpoint is an outlier
-MAX_SCORE = 8.0  # it is tried again after four half-lives at the latest
-UNREACHABLE_SCORE = MAX_SCORE / 2  # score at least of one that can't be connected to
-REJECTING_FOR = 15.0  # seconds that an endpoint is expected to reject a class and plan it has rejected
+MAX_SCORE = 8.0  # highest score: after four half-lives at most, an endpoint is tried again
+UNREACHABLE_SCORE = MAX_SCORE / 2  # lowest score after a failed connect
+REJECTING_FOR = 15.0  # seconds for which an endpoint that rejected a class and plan is avoided for them
 
 
 def decay(endpoint: EndpointState, now: float) -> None:
-    """Let the score fall with the time since it was last decayed."""
+    """Apply the decay since the last call to the failure score."""
     endpoint.failure_score *= 0.5 ** ((now - endpoint.decayed_at) / HALF_LIFE)
     endpoint.decayed_at = now
 
@@ -22,7 +22,7 @@
 
 
 def record_failure(endpoint: EndpointState, outcome: Outcome) -> bool:
-    """Raise the score for a failed attempt; return whether this made the endpoint an outlier."""
+    """Raise the score after a failed attempt; return whether this made the endpoint an outlier."""
     was_outlier = is_outlier(endpoint)
     floor = UNREACHABLE_SCORE if outcome is Outcome.CONNECT_FAILED else 0.0
     endpoint.failure_score = max(min(2 * endpoint.failure_score + 1.0, MAX_SCORE), floor)
@@ -30,16 +30,16 @@
 
 
 def record_success(endpoint: EndpointState, request: PendingRequest) -> None:
-    """Halve the score, and clear the record that the endpoint rejects such requests."""
+    """Halve the score, and no longer expect the endpoint to reject the request's class and plan."""
     endpoint.failure_score /= 2
     endpoint.rejecting_until.pop(request.kind, None)
 
 
 def record_rejection(endpoint: EndpointState, request: PendingRequest, now: float) -> None:
-    """Avoid the endpoint for such requests; it may accept others, so this is no sign of a fault."""
+    """Avoid the endpoint for requests of this class and plan; it may accept others, so no score is raised."""
     endpoint.rejecting_until[request.kind] = now + REJECTING_FOR
 
 
 def is_rejecting(endpoint: EndpointState, request: PendingRequest, now: float) -> bool:
-    """Return whether the endpoint is expected to reject such requests."""
+    """Return whether the endpoint is expected to reject the request's class and plan."""
     return endpoint.rejecting_until.get(request.kind, 0.0) > now
--- a/quota_gateway/policy/permissions.py
+++ b/quota_gateway/policy/permissions.py
@@ -1,54 +1,57 @@
-"""Whether the network side may send or close something now: the one place for these rules.
+"""Final checks before the network code sends an attempt or closes a client's connection.
 
-Which endpoint an attempt may go to, and whether a request may be repeated there, is decided before by
-`LoadBalancer.may_send`, the one place for that. Between its decision and the network's act time passes: a
-connect is made, the process is held up, the client leaves. So the act asks here.
+`LoadBalancer.may_send` has decided which endpoint an attempt may go to, and whether the request may be
+repeated there. Time passes between that decision and the send: a connection is opened, the process is held
+up, or the client disconnects. The network code therefore checks again, by the rules of this module alone.
 """
 
 from enum import StrEnum
 from typing import Protocol
 
-# Seconds after a request's last byte in which an attempt starts without a look at its client's socket: the
-# bytes came so lately that a close behind them is within what the protocol allows.
+# Seconds after a request's last byte during which an attempt starts without a check of the client's socket:
+# the bytes arrived so recently that a close after them is within what the protocol allows.
 DISCONNECT_CHECK_DELAY = 0.01
 
 
 class Refusal(StrEnum):
     """Why an attempt may not be sent; the values are names of metrics."""
 
-    ANSWERED = "answered"  # its request has had its final response
+    ANSWERED = "answered"  # the request already has its final response
     PAST_DEADLINE = "past_deadline"
-    WINDOW_OVER = "window_over"  # an earlier attempt may have run, and endpoints remember it no longer
+    WINDOW_OVER = "window_over"  # an earlier attempt may have run, and is no longer deduplicated
     CLIENT_GONE = "client_gone"
 
 
 class RequestFacts(Protocol):
-    """What the rules need to know of a request; times are seconds."""
+    """What the checks need to know about a request; times are in seconds."""
 
     answered: bool
-    arrived_at: float  # when its last byte came
+    arrived_at: float  # when its last byte arrived
     deadline: float
-    attempt_start_limit: float | None  # set when the client half-closes
+    attempt_start_limit: float | None  # when attempts may no longer start; set when the client half-closes
 
     def client_disconnected(self) -> bool:
-        """Return True if the client has closed its side, also if the event loop has not reported it yet."""
+        """Return whether the client has closed its side, even if the event loop has not reported it yet."""
 
 
 class ClientConnectionFacts(Protocol):
-    """What the rules need to know of a client's connection."""
+    """What the checks need to know about a client's connection."""
 
     def is_idle(self) -> bool:
-        """Return True if no request is in flight there or partly read."""
+        """Return whether no request is in flight or partly read on the connection."""
 
     def last_used_at(self) -> float:
-        """Return when it last carried a request or a response, in seconds."""
+        """Return when the connection last carried a request or a response, in seconds."""
 
     def has_unread_input(self) -> bool:
-        """Return True if the client has sent something, or its end, that has not been received."""
+        """Return whether data or a close from the client is waiting to be received."""
 
 
 def attempt_refusal(request: RequestFacts, send_deadline: float | None, now: float) -> Refusal | None:
-    """Return why an attempt may not be sent now, None if it may; `send_deadline` bounds a keyed repeat."""
+    """Return why an attempt may not be sent now, or None if it may.
+
+    `send_deadline` is the time by which a repeat with an idempotency key must be sent.
+    """
     if request.answered:
         return Refusal.ANSWERED
     if now >= request.deadline:
@@ -67,7 +70,7 @@
 
 
 def may_close_client(connection: ClientConnectionFacts, unused_for: float, now: float) -> bool:
-    """Return whether a connection may be closed that is unused for so many seconds: no request is lost."""
+    """Return whether a connection unused for `unused_for` seconds may be closed without losing a request."""
     if not connection.is_idle() or now - connection.last_used_at() < unused_for:
         return False
     return not connection.has_unread_input()
