--- a/quota_gateway/policy/quota_sync.py
+++ b/quota_gateway/policy/quota_sync.py
@@ -1,4 +1,4 @@
-"""Quota synchronisation: a gateway's part of a quota follows its part of the fleet's demand."""
+"""Quota synchronization: divides a customer's quota among gateways by their part of the demand."""
 
 import zlib
 from dataclasses import dataclass
@@ -12,28 +12,35 @@
 from quota_gateway.state.limiter_state import PERIOD
 from quota_gateway.state.records import Limiter
 
-READING_LIFETIME = 2.5 * PERIOD  # outlives one lost call, not a silent counter
-COUNT_LIFETIME = 4 * PERIOD  # that the counter keeps a period's demand
-DEMAND_WEIGHT = 0.5  # of the last period in the smoothed demand: a few requests a second make it jump
-NEED_FRACTION = 0.8  # of the even part requested, or of the capacity spent, from which readings are made
-ACTIVE_FRACTION = 0.05  # of the quota, as smoothed demand, from which a customer is still active
-MIN_QUOTA_FRACTION = 0.1  # of the even part: always left, so that a customer that moves here is not rejected
-REPORT_SLOTS = 997  # customers are spread over so many moments of a period, alike at all gateways
+READING_LIFETIME = 2.5 * PERIOD  # seconds: a reading outlasts one lost call, not an unreachable counter
+COUNT_LIFETIME = 4 * PERIOD  # seconds for which the counter keeps the demand of a period
+DEMAND_WEIGHT = 0.5  # weight of the last period in the smoothed demand: with few requests a second it jumps
+# Fraction of the gateway's even part of the quota that is in demand, or of its capacity that is spent, above
+# which demand is reported and read.
+NEED_FRACTION = 0.8
+ACTIVE_FRACTION = 0.05  # smoothed demand, as a fraction of the quota, above which a customer is active
+# Lowest quota fraction, relative to the even part: a customer whose traffic moves here is not rejected.
+MIN_QUOTA_FRACTION = 0.1
+# Customers are spread over the first slots of a period, by a hash that is the same at all gateways.
+REPORT_SLOTS = 997
 REPORT_SLOTS_PER_PERIOD = 1250
 
-FULL_SERVICE_GATEWAYS = 100.0  # for fewer the counter is first assumed to answer every call
-SAMPLING_INCREASE = 1.1  # factor of the sampled part for each prompt reply
-SAMPLING_DECREASE = 0.7  # and for a call that is rejected or late: one call in five fails at most
-MIN_SAMPLING_RATIO = 0.05  # with less, recovery of the counter would not be noticed
-PROMPT_FACTOR = 1.25  # times the fastest reply that a prompt one takes: it found next to no queue
-FASTEST_REPLY_GROWTH = 1.001  # of the fastest reply's time with each reply: the counter may have slowed
-SILENT_AFTER = 3  # failed calls in a row from which the counter is unreachable, not only overloaded
-MAX_BACKOFF_EXPONENT = 4
+# Largest fleet, in gateways, for which the counter is initially assumed to answer every call.
+FULL_SERVICE_GATEWAYS = 100.0
+# Factors of the sampling ratio for a prompt reply and for a rejected or late call: one call in five fails at
+# most.
+SAMPLING_INCREASE = 1.1
+SAMPLING_DECREASE = 0.7
+MIN_SAMPLING_RATIO = 0.05  # a lower ratio would leave too few calls to notice that the counter has recovered
+PROMPT_FACTOR = 1.25  # longest prompt reply, relative to the fastest one: the call met hardly any queue
+FASTEST_REPLY_GROWTH = 1.001  # factor of the fastest reply's time with each reply: the counter may slow down
+SILENT_AFTER = 3  # consecutive failures from which the counter is unreachable rather than overloaded
+MAX_BACKOFF_EXPONENT = 4  # highest exponent of the backoff, which is PERIOD / 8 times a power of two
 
 
 @dataclass(slots=True, eq=False)
 class CounterHealth:
-    """Tracks the counter's health and sets the sampling ratio; times are seconds."""
+    """Tracks the counter's health, and adapts the sampling ratio to its load; times are in seconds."""
 
     context: EngineContext
     fastest_reply: float
@@ -46,7 +53,7 @@
         return self.context.now < self.paused_until
 
     def record(self, reply: CounterReply) -> None:
-        """Update the estimates by a reply, or by the failure of a call."""
+        """Update the estimates after a reply or a failed call."""
         if reply.outcome is Outcome.SUCCESS:
             self.consecutive_failures = 0
             self.fastest_reply = min(self.fastest_reply * FASTEST_REPLY_GROWTH, reply.elapsed)
@@ -62,13 +69,13 @@
 
 @dataclass(slots=True, eq=False)
 class QuotaSynchronizer:
-    """Reports each customer's demand to the counter once a period, and reads the fleet's."""
+    """Reports each customer's demand to the counter once a period, and reads the fleet's demand."""
 
     context: EngineContext
     counter: CounterHealth
 
     def schedule_report(self, limiter: Limiter) -> None:
-        """Set the timer of the customer's next report, at a moment that all its gateways share."""
+        """Schedule the customer's next report, in the same slot of the period as at the other gateways."""
         shared = limiter.quota_spread > 1 and limiter.plan.rate > 0
         if not self.context.settings.counter_enabled or limiter.report_scheduled or not shared:
             return
@@ -79,7 +86,7 @@
         self.context.set_timer(max(due - quota_time, 1e-6), ReportDemandTimer(limiter.customer))
 
     def report_demand(self, limiter: Limiter) -> None:
-        """Report the last period's demand, unless the customer is far from its quota."""
+        """Report the last period's demand and schedule a reading, if the customer is near its quota."""
         now = self.context.now
         limiter.record_demand(0.0, self.context.quota_time)
         period = limiter.demand_period - 1
@@ -100,13 +107,13 @@
             self.context.set_timer(wait, ReadDemandTimer(limiter.customer, period))
 
     def read_demand(self, limiter: Limiter, period: int) -> None:
-        """Ask the counter for the fleet's demand in a period."""
+        """Request the fleet's demand in a period from the counter."""
         if not self.counter.is_paused():
             limiter.expected_reading = f"{limiter.customer}.{period}"
             self.context.emit(IncrementCounter(limiter.expected_reading, 0.0, COUNT_LIFETIME))
 
     def apply_reading(self, limiter: Limiter, total: float) -> bool:
-        """Move the quota fraction by the fleet's demand; False where the counter has lost counts."""
+        """Adjust the quota fraction to the fleet's demand; return False if the counter has lost counts."""
         limiter.expected_reading = ""
         if total < limiter.reported_demand * (1.0 - 1e-6) - EPSILON:
             return False
--- a/quota_gateway/policy/request_lifecycle.py
+++ b/quota_gateway/policy/request_lifecycle.py
@@ -1,4 +1,4 @@
-"""Request lifecycle: arrival, request body, and disconnects of the client."""
+"""Request lifecycle: arrival, end of the body, and disconnects of the client."""
 
 from dataclasses import dataclass, replace
 
@@ -13,7 +13,8 @@
 from quota_gateway.state.limiter_state import PERIOD
 from quota_gateway.state.records import PendingRequest
 
-LATE_RETRY_LIMIT_FRACTION = 0.25  # of the concurrency limit, below which late retries are forwarded
+# Part of the concurrency limit in use, below which retries are forwarded whose response would be late.
+LATE_RETRY_LIMIT_FRACTION = 0.25
 
 
 @dataclass(slots=True, eq=False)
@@ -61,17 +62,17 @@
         self.queue.admit(request, max_wait)
 
     def _is_late_retry(self, request: PendingRequest) -> bool:
-        """Return whether a retry's answer would come too late; forwarding it would displace a new request."""
+        """Return whether this is a retry whose response would be late; it would displace a new request."""
         finished_at = self.context.now + self.latency.expected(request)
         return request.request.is_retry and finished_at > useful_until(request)
 
     def _has_spare_quota(self, request: PendingRequest) -> bool:
-        """Return whether capacity and quota suffice for a request that earns nothing."""
+        """Return whether capacity and quota suffice for a request whose response has no value."""
         spare = self.admission.has_spare_capacity(LATE_RETRY_LIMIT_FRACTION)
         return spare and request.limiter.is_half_full()
 
     def body_received(self, request: PendingRequest, deadline: float) -> None:
-        """Start the deadline and latency objective of a request whose body was streamed."""
+        """Set the deadline of a request whose streamed body is complete, and start its latency objective."""
         if not request.request.body_incomplete:
             return
         request.request = replace(request.request, body_incomplete=False, deadline=deadline)
@@ -89,7 +90,7 @@
         self.queue.forwarder.forget_if_finished(request)
 
     def client_half_closed(self, request: PendingRequest) -> None:
-        """Start no more attempts; one in flight may still serve a client that only half-closed."""
+        """Start no more attempts; one in flight may still serve a client that has only half-closed."""
         if request.answered or request.streaming:
             return
         request.not_resendable = True
--- a/quota_gateway/policy/request_queue.py
+++ b/quota_gateway/policy/request_queue.py
@@ -12,14 +12,15 @@
 from quota_gateway.state.context import EngineContext
 from quota_gateway.state.records import Limiter, PendingRequest
 
-MAX_WAIT_FRACTION = 0.4  # of the latency objective that a request may be queued: the endpoint needs the rest
-OVER_QUOTA_LIMIT_FRACTION = 0.5  # of the concurrency limit, to forward paid requests over the quota
-MIN_TIMER = 1e-6  # seconds
+MAX_WAIT_FRACTION = 0.4  # longest wait, as a fraction of the latency objective: the endpoint needs the rest
+# Part of the concurrency limit in use, below which requests over the quota are forwarded if their plan pays.
+OVER_QUOTA_LIMIT_FRACTION = 0.5
+MIN_TIMER = 1e-6  # shortest delay of a timer, in seconds
 
 
 @dataclass(slots=True, eq=False)
 class RequestQueue:
-    """Charges requests to their limiters, and queues them in order of arrival."""
+    """Charges requests to their customers' limiters, and queues them in order of arrival."""
 
     context: EngineContext
     admission: AdmissionController
@@ -27,7 +28,7 @@
     forwarder: Forwarder
 
     def set_deadline(self, request: PendingRequest) -> float:
-        """Bound the time that the request may be queued, and return it in seconds."""
+        """Set until when the request may be queued, and return the longest wait in seconds."""
         now = self.context.now
         useful = max(useful_until(request) - now, 0.0)
         remaining = request.request.deadline - now
@@ -36,7 +37,7 @@
         return wait
 
     def admit(self, request: PendingRequest, max_wait: float) -> None:
-        """Forward a request that the limiter covers, else queue it if it is released in time."""
+        """Forward a request that the limiter covers, or queue it if it can leave within `max_wait`."""
         limiter = request.limiter
         first = not limiter.queue and limiter.has_free_slot() and not limiter.awaiting_reading
         if first and (request.admitted_unsampled or limiter.wait_time(request.units) <= 0):
@@ -53,7 +54,7 @@
         self.context.set_timer(max(max_wait, MIN_TIMER), QueueTimeoutTimer(request.id))
 
     def release(self, limiter: Limiter) -> None:
-        """Forward what the balance covers, reject what waited too long, and set the next exact timer."""
+        """Forward requests that the balance covers, reject those out of time, and set the next timer."""
         now = self.context.now
         limiter.refill(now)
         while limiter.queue and not limiter.awaiting_reading:
@@ -78,7 +79,7 @@
             self.context.set_timer(max(wait, MIN_TIMER), ReleaseQueueTimer(limiter.customer))
 
     def time_out(self, request: PendingRequest) -> None:
-        """End the wait of a request at any place in the queue: its deadline may be before the head's."""
+        """Drop a request from any place in the queue: its deadline may be earlier than that of the head."""
         if request in request.limiter.queue:
             request.limiter.refill(self.context.now)
             self._drop(request)
@@ -96,9 +97,10 @@
         self._overflow(request, request.limiter.wait_time(request.units))
 
     def _overflow(self, request: PendingRequest, wait: float) -> None:
-        """Reject a request that can't be queued, unless the plan pays beyond its quota.
+        """Forward a request over the quota without a charge, or reject it.
 
-        With spare capacity such a request is forwarded without being charged to the quota.
+        It is forwarded if there is spare capacity, the plan has no hard limit, and the response is worth more
+        than it costs.
         """
         plan = request.plan
         pays = plan.over_quota_value > plan.over_quota_cost and plan.hard_limit_rate <= 0
--- a/quota_gateway/policy/retries.py
+++ b/quota_gateway/policy/retries.py
@@ -1,17 +1,17 @@
-"""Retries: a budget over all requests, and what a request's idempotency allows."""
+"""Retries: a budget over all requests, and the limits that a request's idempotency sets."""
 
 from dataclasses import dataclass
 
 from quota_gateway.model.settings import Idempotency, IdempotencyScope
 from quota_gateway.state.records import EndpointState, PendingRequest
 
-RETRIES_PER_REQUEST = 0.15  # earned by each first attempt: bounds the retry load of an incident
-MAX_SAVED_RETRIES = 10.0  # enough for one endpoint's sudden end
+RETRIES_PER_REQUEST = 0.15  # retries earned by each first attempt, which bounds the retry load of an incident
+MAX_SAVED_RETRIES = 10.0  # largest balance, in retries: enough for the sudden failure of one endpoint
 
 
 @dataclass(slots=True, eq=False)
 class RetryBudget:
-    """Retries that may still be made; after attempts proven not executed one may be free."""
+    """A balance of retries; a retry after an attempt that was not executed may be free of it."""
 
     balance: float = MAX_SAVED_RETRIES
 
@@ -20,16 +20,16 @@
         self.balance = min(self.balance + RETRIES_PER_REQUEST, MAX_SAVED_RETRIES)
 
     def is_available(self) -> bool:
-        """Return whether one more retry may be made."""
+        """Return whether the balance covers a retry."""
         return self.balance >= 1.0
 
     def withdraw(self) -> None:
-        """Spend one retry."""
+        """Subtract one retry."""
         self.balance -= 1.0
 
 
 def may_repeat_at(request: PendingRequest, endpoint: EndpointState, now: float) -> bool:
-    """Return whether another attempt there can't make the request take effect twice."""
+    """Return whether another attempt at the endpoint can't make the request take effect twice."""
     first = request.first_possibly_executed
     if first is None:
         return True
@@ -42,7 +42,7 @@
 
 
 def remaining_window(request: PendingRequest, now: float) -> float:
-    """Return the seconds within which a retry with idempotency key must be sent; 0 for no bound."""
+    """Return the seconds within which a retry with an idempotency key must be sent; 0 for no bound."""
     first = request.first_possibly_executed
     if first is None or not request.has_idempotency_key:
         return 0.0
