--- a/quota_gateway/policy/slow_start.py
+++ b/quota_gateway/policy/slow_start.py
@@ -1,8 +1,9 @@
-"""Slow start: endpoints that are warming up get a budget of the fleet, of which each gateway spends its part.
+"""Slow start: limits the load on endpoints that are warming up, without coordination between gateways.
 
-An endpoint with the part s of its capacity fails once it is sent N = overload ratio * s times what a warm
-one does in the window. Each gateway accepts a draw of it with a probability of BUDGET_FRACTION *
-overload ratio * s at most: the fleet stays below N whatever its rates are (derived in docs/design.md).
+An endpoint that has the fraction s of its capacity fails once it is sent N = overload ratio * s times what a
+warm one does in the window. Each gateway accepts a draw of such an endpoint with a probability of at most
+BUDGET_FRACTION * overload ratio * s, so that the fleet stays below N at any request rate (derived in
+docs/design.md).
 """
 
 from dataclasses import dataclass
@@ -12,19 +13,19 @@
 from quota_gateway.state.context import EngineContext
 from quota_gateway.state.records import EndpointState
 
-BUDGET_FRACTION = 0.5  # of N that the fleet spends at most: twice the even load may come before it is passed
+BUDGET_FRACTION = 0.5  # part of N that the fleet may use: twice the even load may arrive before it exceeds N
 
 
 @dataclass(slots=True, eq=False)
 class SlowStart:
-    """Draws at random which attempts go to endpoints that are warming up."""
+    """Decides at random which attempts go to endpoints that are warming up."""
 
     context: EngineContext
     registry: EndpointRegistry
-    choice: EndpointState | None = None  # the endpoint that the last draw allowed
+    choice: EndpointState | None = None  # endpoint that the last draw accepted
 
     def factor(self, endpoint: EndpointState) -> float:
-        """Return the least fraction of its capacity that an endpoint has by now; 1 once it is warm."""
+        """Return the fraction of its capacity that an endpoint has at least; 1 once it is warm."""
         settings = self.context.settings
         started_at = endpoint.started_at
         age = settings.slow_start_window if started_at is None else max(0.0, self.context.now - started_at)
@@ -41,7 +42,7 @@
         return self.factor(endpoint) < 1.0
 
     def budget(self, endpoint: EndpointState) -> float:
-        """Return the highest probability with which a draw of the endpoint may be accepted."""
+        """Return the highest allowed probability of accepting a draw of the endpoint."""
         if endpoint not in self.registry.assigned_subset:
             return 0.0
         widening = len(self.registry.candidates) / len(self.registry.assigned_subset)
@@ -49,9 +50,9 @@
         return BUDGET_FRACTION * ratio * self.factor(endpoint) * widening
 
     def probability(self, endpoint: EndpointState) -> float:
-        """Return the probability with which a draw of the endpoint is accepted, within its budget.
+        """Return the probability of accepting a draw of the endpoint, within its budget.
 
-        Work is in proportion to capacity: where few others are healthy and warm, it is more.
+        Endpoints get load in proportion to their capacity: more where few others are healthy and warm.
         """
         candidates = self.registry.candidates
         capacity = sum(self.factor(candidate) for candidate in candidates if not is_outlier(candidate))
@@ -59,7 +60,7 @@
         return min(even, self.budget(endpoint))
 
     def draw(self, endpoint: EndpointState, warm_ones_are_full: bool) -> bool:
-        """Draw whether the attempt goes there; the budget's rest is used once the warm ones are full."""
+        """Accept the endpoint with its probability, or with its budget's rest once the warm ones are full."""
         if not self.is_warming_up(endpoint):
             return False
         probability = self.probability(endpoint)
--- a/quota_gateway/policy/start_times.py
+++ b/quota_gateway/policy/start_times.py
@@ -1,19 +1,20 @@
 """When endpoints started, by this gateway's clock.
 
-The list says it by a wall clock, which may have been stepped, as may this machine's. An endpoint can't have
-started after the list named that start, nor before discovery last answered without it. A start that is said
-to be earlier than that shows that the clocks differ, and counts as new: slow start must not be skipped.
+The list gives start times by a wall clock. That clock may have been stepped, and so may this machine's. An
+endpoint can't have started after the list that first names its start, nor before the last response of
+discovery without it. A listed start outside these bounds shows that the clocks differ, and counts as a start
+just now: slow start must not be skipped.
 """
 
 from dataclasses import dataclass, field
 from math import inf
 
-MAX_KNOWN_STARTS = 20_000  # of endpoints, also of some that the list does not name any more
+MAX_KNOWN_STARTS = 20_000  # endpoints whose start is kept, including some that the list no longer names
 
 
 @dataclass(frozen=True, slots=True)
 class KnownStart:
-    """A start as the list said it, and the time that it counts from; None for a start long ago."""
+    """A start as listed, and the time from which it counts, both in seconds; None for a start long ago."""
 
     listed_at: float | None
     counts_from: float | None
@@ -21,13 +22,13 @@
 
 @dataclass(slots=True, eq=False)
 class StartTimes:
-    """Remembers the start of each endpoint; times are seconds."""
+    """Keeps the start of each endpoint; times are in seconds."""
 
-    confirmed_at: float = -inf  # when discovery last answered
-    known: dict[str, KnownStart] = field(default_factory=dict)  # by endpoint id, the latest start last
+    confirmed_at: float = -inf  # time of discovery's last response
+    known: dict[str, KnownStart] = field(default_factory=dict)  # by endpoint id, oldest entry first
 
     def observe(self, endpoint_id: str, listed_at: float | None, now: float) -> float | None:
-        """Return the time from which a start counts that the list names now, None for one long ago."""
+        """Return the time from which a start in the current list counts, or None for one long ago."""
         known = self.known.get(endpoint_id)
         if known is not None and known.listed_at == listed_at:
             return known.counts_from
@@ -38,7 +39,7 @@
         return counts_from
 
     def merge(self, endpoint_id: str, start: KnownStart) -> None:
-        """Take over what an older process of this gateway knows: it had lists from before this start."""
+        """Merge a start that the older process of a hot restart knows from lists before this one's start."""
         known = self.known.get(endpoint_id)
         if known is None or known.listed_at == start.listed_at:
             self._remember(endpoint_id, start)
@@ -50,5 +51,5 @@
             del self.known[next(iter(self.known))]
 
     def list_answered(self, now: float) -> None:
-        """Note that discovery answered: what the list does not name by now starts later."""
+        """Record a response of discovery: endpoints that are not in its list have yet to start."""
         self.confirmed_at = now
--- a/quota_gateway/policy/subsetting.py
+++ b/quota_gateway/policy/subsetting.py
@@ -1,7 +1,7 @@
 """Deterministic subsetting: which endpoints a gateway of a large fleet uses.
 
-Endpoints hold few connections, each of which costs work to open, and a gateway learns of an endpoint only by
-its own responses: over all endpoints of a large fleet it would meet each too seldom to know it.
+Endpoints accept few connections, and each is costly to open. A gateway also learns about an endpoint only
+from its own attempts: spread over all endpoints of a large fleet, these would be too few for each.
 """
 
 import math
@@ -11,18 +11,18 @@
 
 from quota_gateway.state.records import EndpointState
 
-GATEWAYS_PER_ENDPOINT = 10  # the loss of one or two gateways shifts little load
-MIN_SIZE = 12  # endpoints that a gateway uses at least: without one zone of three, eight are left
-MIN_HEALTHY = 0.6  # of its usual number: with fewer healthy ones the subset is widened
+GATEWAYS_PER_ENDPOINT = 10  # gateways that use an endpoint: the loss of one or two shifts little load
+MIN_SIZE = 12  # smallest subset, in endpoints: if one of three zones fails, eight are left
+MIN_HEALTHY = 0.6  # fraction of the subset's normal size: with fewer healthy endpoints it is widened
 
 
 def subset_size(endpoints: int, gateways: int) -> int:
-    """Return how many endpoints a gateway uses: in a small fleet, all of them."""
+    """Return the number of endpoints that a gateway uses; in a small fleet, all of them."""
     return min(endpoints, max(MIN_SIZE, math.ceil(GATEWAYS_PER_ENDPOINT * endpoints / gateways)))
 
 
 class SubsetRing:
-    """Endpoints on a ring of length 1, alike at all gateways; each gateway has an arc of it."""
+    """Endpoints on a ring of length 1 that is the same at all gateways; each gateway uses an arc of it."""
 
     def __init__(self, endpoints: Sequence[EndpointState], gateway_index: int, gateways: int) -> None:
         self._endpoints = endpoints
@@ -31,7 +31,7 @@
         self._ring = _positions(endpoints) if self._size < len(endpoints) else []
 
     def select(self, is_healthy: Callable[[EndpointState], bool]) -> Sequence[EndpointState]:
-        """Return this gateway's endpoints: its subset, widened while too few of it are healthy."""
+        """Return this gateway's subset, widened while too few of its endpoints are healthy."""
         if not self._ring:
             return self._endpoints
         begin = self._begin
@@ -44,9 +44,9 @@
 
 
 def _positions(endpoints: Sequence[EndpointState]) -> list[tuple[float, EndpointState]]:
-    """Return positions by which each zone is spread evenly over the ring.
+    """Return positions that spread each zone evenly over the ring.
 
-    Within a zone the order is that of a hash, so that one that comes or goes moves the others by one place.
+    Within a zone, endpoints are ordered by a hash: one that is added or removed moves others by one rank.
     """
     zones: dict[str, list[EndpointState]] = defaultdict(list)
     for endpoint in endpoints:
