--- a/quota_gateway/state/__init__.py
+++ b/quota_gateway/state/__init__.py
@@ -1,1 +1,1 @@
-"""Records of requests, attempts, endpoints and limiters, and their bookkeeping; no decisions."""
+"""State of requests, attempts, endpoints and limiters, without any policy."""
--- a/quota_gateway/state/limiter_registry.py
+++ b/quota_gateway/state/limiter_registry.py
@@ -1,4 +1,4 @@
-"""The rate limiters of all customers whose requests this gateway receives."""
+"""The rate limiters of the customers whose requests this gateway receives."""
 
 from __future__ import annotations
 
@@ -11,19 +11,22 @@
 from quota_gateway.state.limiter_state import PERIOD
 from quota_gateway.state.records import Limiter
 
-EVICTION_CHECKS = 2  # limiters checked for each new one, so that idle ones are evicted without a scan
+EVICTION_CHECKS = 2  # limiters checked for each new one: idle limiters are evicted without a full scan
 
 
 @dataclass(slots=True, eq=False)
 class LimiterRegistry:
-    """Creates a customer's limiter with its first request, and evicts idle ones."""
+    """Creates a customer's limiter on its first request, and evicts idle limiters."""
 
     context: EngineContext
-    limiters: dict[str, Limiter] = field(default_factory=dict)
-    eviction_queue: deque[str] = field(default_factory=deque)
+    limiters: dict[str, Limiter] = field(default_factory=dict)  # by customer
+    eviction_queue: deque[str] = field(default_factory=deque)  # customers, the next to be checked first
 
     def get(self, customer: str, quota_spread: int, plan: Plan) -> Limiter:
-        """Return the customer's limiter; `quota_spread` is the gateways that share the quota, 0 for all."""
+        """Return the customer's limiter, created if needed.
+
+        `quota_spread` is the number of gateways that share the quota; 0 means all gateways.
+        """
         limiter = self.limiters.get(customer)
         return limiter if limiter is not None else self._create(customer, quota_spread, plan)
 
--- a/quota_gateway/state/limiter_state.py
+++ b/quota_gateway/state/limiter_state.py
@@ -1,4 +1,4 @@
-"""The state of one customer's rate limiter at this gateway, and its bookkeeping; it makes no decision."""
+"""The state of a customer's rate limiter at this gateway, without any policy."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 
 from quota_gateway.model.settings import Plan
 
-PERIOD = 1.0  # seconds that a demand count covers: the paper's value, and short against clients' timeouts
+PERIOD = 1.0  # seconds per demand count: the paper's value, and short compared to clients' timeouts
 
 
 class Sized(Protocol):
-    """What the limiter needs to know of a queued request."""
+    """What the limiter needs to know about a queued request."""
 
     @property
     def units(self) -> float:
-        """Units that the request is charged."""
+        """Units that the request is charged for."""
 
 
 Queued = TypeVar("Queued", bound=Sized)
@@ -26,48 +26,51 @@
 class CounterCall:
     """A call to the counter that is in flight."""
 
-    name: str
-    requested_units: float  # for the request that waits for the reply
-    amount: float  # all units that the call reports as used
+    name: str  # name of the counter value
+    requested_units: float  # units reported for the request that waits for the reply; 0 if none does
+    amount: float  # all units that the call reports, without corrections
 
 
 class LimiterState(Generic[Queued]):
-    """A customer's token balance, queue, demand and calls to the counter; times are seconds."""
+    """A customer's token balance, queue, demand, and calls to the counter.
+
+    Balances are in units, rates and smoothed demand in units per second, times in seconds.
+    """
 
     def __init__(self, customer: str, plan: Plan, quota_spread: int, now: float, started_at: float) -> None:
         self.customer = customer
         self.plan = plan
         self.quota_spread = quota_spread  # gateways that share the quota
-        self.quota_fraction = 1.0 / quota_spread
+        self.quota_fraction = 1.0 / quota_spread  # this gateway's fraction of the quota
         self.rate = plan.rate * self.quota_fraction
         self.capacity = plan.burst * self.quota_fraction
         self.balance = self.capacity
-        self.updated_at = now
+        self.updated_at = now  # time of the last refill
         self.queue: deque[Queued] = deque()
-        self.queued_units = 0.0
-        self.release_due = 0.0  # when the release timer fires
-        self.in_flight = 0
-        # this gateway's part of the hard limit: before its start it may have spent all of it
+        self.queued_units = 0.0  # sum over the queue, already charged to the balance
+        self.release_due = 0.0  # when the release timer fires; 0 if it is not set
+        self.in_flight = 0  # attempts
+        # This gateway's even part of the hard limit. Before its start, the gateway may have spent all of it.
         self.hard_limit_capacity = plan.hard_limit_burst / quota_spread
         self.hard_limit_rate = plan.hard_limit_rate / quota_spread
         self.hard_limit_balance = min(self.hard_limit_capacity, self.hard_limit_rate * (now - started_at))
-        self.demand_period = -1
-        self.current_demand = 0.0  # units asked for in this period
-        self.previous_demand = 0.0
-        self.local_demand = 0.0  # smoothed, in units a second
-        self.fleet_demand = 0.0
-        self.reading_valid_until = 0.0
-        self.reading_fresh_until = 0.0
+        self.demand_period = -1  # index of the period that `current_demand` covers
+        self.current_demand = 0.0  # units requested in that period
+        self.previous_demand = 0.0  # units requested in the period before
+        self.local_demand = 0.0  # smoothed demand at this gateway
+        self.fleet_demand = 0.0  # smoothed demand at all gateways
+        self.reading_valid_until = 0.0  # end of the validity of the last reading of the counter
+        self.reading_fresh_until = 0.0  # until when no further reading is needed
         self.report_scheduled = False
-        self.awaiting_reading = False
-        self.reported_demand = 0.0
+        self.awaiting_reading = False  # requests are queued until a reading has arrived
+        self.reported_demand = 0.0  # units last reported for a period
         self.expected_reading = ""  # name of the counter value that is being read
-        self.is_fine_grained = False  # the quota is too small to be split among its gateways
-        self.unreported_units = 0.0  # below 0: too many were reported
-        self.counter_calls: deque[CounterCall] = deque()
+        self.is_fine_grained = False  # the quota is too small to be split among gateways
+        self.unreported_units = 0.0  # below 0 if too many were reported
+        self.counter_calls: deque[CounterCall] = deque()  # calls in flight, oldest first
 
     def record_demand(self, units: float, quota_time: float) -> None:
-        """Count units that a client asked for in the present period."""
+        """Count units that were requested in the current period."""
         period = int(quota_time // PERIOD)
         if period != self.demand_period:
             self.previous_demand = self.current_demand if period == self.demand_period + 1 else 0.0
@@ -82,6 +85,6 @@
         self.balance -= request.units
 
     def dequeue(self, request: Queued) -> None:
-        """Take a request out of the queue; it stays charged."""
+        """Remove a request from the queue; it stays charged."""
         self.queue.remove(request)
         self.queued_units = self.queued_units - request.units if self.queue else 0.0
--- a/quota_gateway/state/peer_process.py
+++ b/quota_gateway/state/peer_process.py
@@ -1,4 +1,4 @@
-"""The other process of this gateway during a hot restart, with which it shares each quota."""
+"""The other process of this gateway during a hot restart, which shares each quota with this one."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 
 @dataclass(slots=True, eq=False)
 class PeerProcess:
-    """Reports units charged here to the other process, and charges here those that it reports."""
+    """Reports charged units to the other process, and charges the units that it reports."""
 
     context: EngineContext
-    present: bool = False
+    present: bool = False  # whether the other process is connected
 
     def report(self, limiter: Limiter, units: float) -> None:
-        """Report units that are charged here, or refunded if below 0."""
+        """Report units charged by this process; below 0, they are a refund."""
         if self.present and limiter.plan.rate > 0 and units:
             self.context.emit(UnitsCharged(limiter.customer, limiter.plan.name, limiter.quota_spread, units))
 
     def charge(self, limiter: Limiter, units: float) -> None:
-        """Charge units that the other process reported."""
+        """Charge units that the other process has reported."""
         limiter.refill(self.context.now)
         limiter.give_back(-units)
--- a/quota_gateway/state/records.py
+++ b/quota_gateway/state/records.py
@@ -1,4 +1,4 @@
-"""Records of requests, attempts and endpoints, which the mechanisms share; they make no decision."""
+"""The state of requests, attempts and endpoints that the mechanisms share, without any policy."""
 
 from __future__ import annotations
 
@@ -13,83 +13,84 @@
 
 @dataclass(slots=True, eq=False)
 class EndpointState:
-    """The state of one endpoint at this gateway; times are seconds."""
+    """The state of an endpoint at this gateway; times are in seconds."""
 
     endpoint: Endpoint
-    concurrency_limit: float  # attempts that this gateway may have in flight there
+    concurrency_limit: float  # attempts that this gateway may have in flight at the endpoint
     decayed_at: float  # when `failure_score` was last decayed
-    minimum_limit: float = 1.0  # below which `concurrency_limit` does not fall
-    in_flight: int = 0
-    late_in_flight: int = 0  # of these, attempts that are late already
-    failure_score: float = 0.0  # doubles and grows by one with each failure, halves with time and success
-    last_used_at: float = 0.0
-    started_at: float | None = None  # from when its slow start counts, by this gateway's clock
-    # by request class and plan: until when the endpoint is expected to reject these
+    minimum_limit: float = 1.0  # lower bound of `concurrency_limit`
+    in_flight: int = 0  # attempts, including late ones
+    late_in_flight: int = 0  # attempts in flight that are late
+    failure_score: float = 0.0  # doubled and raised by one by a failure, halved by time and by a success
+    last_used_at: float = 0.0  # when the last attempt started
+    started_at: float | None = None  # start of its slow start window, by this gateway's clock
+    # Until when the endpoint is expected to reject requests, by request class and plan.
     rejecting_until: dict[tuple[str, str], float] = field(default_factory=dict)
-    id: str = field(init=False)  # the endpoint's id in the list
+    id: str = field(init=False)  # the id that discovery lists
 
     def __post_init__(self) -> None:
-        """Cache the id, which never changes: each draw reads it."""
+        """Cache the id, which never changes and is read by each draw."""
         self.id = self.endpoint.endpoint_id
 
     @property
     def is_serving(self) -> bool:
-        """Whether the endpoint list has it as serving."""
+        """Whether discovery lists the endpoint as serving."""
         return self.endpoint.status is EndpointStatus.SERVING
 
 
 @dataclass(slots=True, eq=False)
 class AttemptState:
-    """One attempt of a request."""
+    """The state of one attempt of a request; times are in seconds."""
 
     endpoint: EndpointState
     sent_at: float
-    expected_duration: float  # seconds, as estimated when it was sent
+    expected_duration: float  # response time in seconds, as estimated at the start
     in_flight: bool = True
-    proven_not_executed: bool = False
+    proven_not_executed: bool = False  # its outcome proves that the endpoint did not execute it
     is_late: bool = False
-    is_streaming: bool = False  # its response is being streamed to the client
+    is_streaming: bool = False  # its response has started and is being streamed to the client
 
     @property
     def awaits_response(self) -> bool:
-        """Whether it is in flight and its response has not started."""
+        """Whether the attempt is in flight and its response has not started."""
         return self.in_flight and not self.is_streaming
 
 
 @dataclass(slots=True, eq=False)
 class PendingRequest:
-    """A request without a final answer, or with attempts in flight; times are seconds."""
+    """A request without a final response or with attempts in flight; times are in seconds."""
 
     request: RequestReceived
     request_class: RequestClass
     limiter: TokenBucketLimiter[PendingRequest]
     received_at: float
-    first_sent_at: float  # when its client sent it for the first time, as estimated
-    queue_deadline: float  # until when it may wait in the limiter's queue
+    first_sent_at: float  # estimated time of the client's first send
+    queue_deadline: float  # end of the longest wait in the limiter's queue
     attempts: list[AttemptState] = field(default_factory=list)
-    in_flight: int = 0
-    answered: bool = False
-    streaming: bool = False  # a response is being streamed to the client
-    units_settled: bool = False  # its actual units were charged
-    over_quota: bool = False  # it is forwarded beyond the quota, uncharged
-    not_resendable: bool = False  # its body is not buffered, or its client half-closed
-    never_sent: bool = True  # no attempt left the gateway
-    covered_locally: bool = False  # the gateway's own part of the quota covered it
-    admitted_unsampled: bool = False  # it is forwarded without a reading of the counter
-    reported_units: float = 0.0  # units reported to the counter for it; below 0: not sampled, never reported
-    first_possibly_executed: AttemptState | None = None  # the first attempt not proven not executed
-
-    # cached from the above, since each attempt reads them several times
+    in_flight: int = 0  # attempts
+    answered: bool = False  # it has its final response
+    streaming: bool = False  # a response has started and is being streamed to the client
+    units_settled: bool = False  # the units that a response reported have been charged
+    over_quota: bool = False  # it was forwarded beyond the quota, without a charge
+    not_resendable: bool = False  # its body is not buffered, or its client has half-closed
+    never_sent: bool = True  # no attempt has left the gateway
+    covered_locally: bool = False  # this gateway's part of the quota covered it on arrival
+    admitted_unsampled: bool = False  # it was not sampled and is forwarded without a reading of the counter
+    reported_units: float = 0.0  # units reported to the counter for it; below 0 if it was not sampled
+    first_possibly_executed: AttemptState | None = None  # first attempt that may have been executed
+
+    # Values derived from the request, cached because each attempt reads them several times.
     id: int = field(init=False)
-    units: float = field(init=False)  # units of quota that it is estimated to take
+    units: float = field(init=False)  # units of quota that it is estimated to use
     plan: Plan = field(init=False)
-    latency_objective: float = field(init=False)  # seconds within which its answer has its full value
-    kind: tuple[str, str] = field(init=False)  # its request class and plan, by which endpoints reject
-    # its class and units, rounded up: fractions are the client's choice, each would need an entry
+    latency_objective: float = field(init=False)  # seconds within which its response has its full value
+    # Request class and plan, by which endpoints reject requests.
+    kind: tuple[str, str] = field(init=False)
+    # Request class and units, rounded up: clients choose the fractions, and each would need its own entry.
     duration_key: tuple[str, float] = field(init=False)
 
     def __post_init__(self) -> None:
-        """Cache what never changes."""
+        """Cache values that never change."""
         self.id = self.request.request_id
         self.units = self.request.units
         self.plan = self.limiter.plan
@@ -99,22 +100,22 @@
 
     @property
     def has_idempotency_key(self) -> bool:
-        """Whether endpoints deduplicate it by its idempotency key."""
+        """Whether endpoints deduplicate the request by its idempotency key."""
         return self.request_class.idempotency is Idempotency.IDEMPOTENCY_KEY
 
     @property
     def is_charged(self) -> bool:
-        """Whether its units count against a quota."""
+        """Whether the request's units are charged to a quota."""
         return self.limiter.plan.rate > 0 and not self.over_quota
 
     def attempt_in_flight(self, index: int) -> AttemptState | None:
-        """Return the attempt with this index if it is in flight, else None."""
+        """Return the attempt with this index, or None if it is not in flight."""
         if not 0 <= index < len(self.attempts) or not self.attempts[index].in_flight:
             return None
         return self.attempts[index]
 
     def deduplication_group(self, endpoint: EndpointState) -> str | int:
-        """Return the group of endpoints that deduplicates repeats together with this one."""
+        """Return the key of the endpoints that share idempotency keys with this one."""
         scope = self.request_class.idempotency_scope
         if scope is IdempotencyScope.ALL:
             return ""
--- a/quota_gateway/state/saved_state.py
+++ b/quota_gateway/state/saved_state.py
@@ -1,7 +1,7 @@
-"""The state that one process of a gateway saves for the next in a hot restart; times are seconds.
+"""The state that one process of a gateway saves for the next in a hot restart.
 
-They are times of the older process's clock. The newer one's may be ahead or behind: each is set by the wall
-clock at its process's start, which may have been stepped since.
+Times are in seconds, by the clock of the older process. The clock of the newer one may be ahead or behind:
+each is set from the wall clock when its process starts, and the wall clock may have been stepped in between.
 """
 
 from __future__ import annotations
@@ -10,7 +10,10 @@
 
 
 class SavedLimiter(NamedTuple):
-    """A customer's limiter; queued requests stay with their process and are charged when forwarded."""
+    """A customer's limiter.
+
+    Queued requests stay with their process, which reports their units once it forwards them.
+    """
 
     customer: str
     plan: str
@@ -29,7 +32,7 @@
 
 
 class SavedEndpoint(NamedTuple):
-    """What was learned of an endpoint since its start."""
+    """What the gateway has learned about an endpoint since its start."""
 
     endpoint_id: str
     started_at: float | None
@@ -39,7 +42,7 @@
 
 
 class SavedStart(NamedTuple):
-    """A start of an endpoint as the list named it, and the time that it counts from."""
+    """The start of an endpoint as listed, and the time from which it counts; None for a start long ago."""
 
     endpoint_id: str
     listed_at: float | None
@@ -47,10 +50,10 @@
 
 
 class SavedState(NamedTuple):
-    """The whole saved state."""
+    """The complete saved state."""
 
     saved_at: float
-    quota_time: float | None  # by which quotas are counted; None: an older version did not save it
+    quota_time: float | None  # time by which quotas are counted; None if an older version did not save it
     starts: list[SavedStart]
     started_at: float
     limiters: list[SavedLimiter]
@@ -60,7 +63,7 @@
     machine_type_factors: dict[str, float]
     client_timeouts: dict[str, float]
     durations: dict[tuple[str, float], float]
-    grant_ratios: dict[tuple[object, ...], float]  # an older version may have saved shorter keys
+    grant_ratios: dict[tuple[object, ...], float]  # keys saved by an older version may be shorter
     fleet_failure_rate: float
     retry_budget: float
     admit_ratio: float
@@ -72,7 +75,7 @@
     draining: bool
 
     def moved_by(self, seconds: float) -> SavedState:
-        """Return the state with its times so much later: on the clock of the process that restores it."""
+        """Return the state with its times shifted by `seconds`, to the clock of the restoring process."""
         returned_at = {key: time + seconds for key, time in self.returned_at.items()}
         return self._replace(
             saved_at=self.saved_at + seconds,
@@ -85,7 +88,7 @@
         )
 
     def _moved_endpoint(self, endpoint: SavedEndpoint, seconds: float) -> SavedEndpoint:
-        """Move an endpoint's times; a start that the list named is none of this gateway's clock."""
+        """Shift an endpoint's times, except a listed start, which is not by this gateway's clock."""
         started_at = endpoint.started_at
         if started_at is not None and started_at == self.returned_at.get(endpoint.endpoint_id):
             started_at += seconds
@@ -107,9 +110,9 @@
 
 
 def newest_time(state: SavedState) -> float:
-    """Return the latest time at which something in the state happened.
+    """Return the latest time of a past event in the state, for versions that do not save `saved_at`.
 
-    Nothing in it is later than its saving, which versions that don't save their clock leave open.
+    All these events precede the save, so the result is a lower bound of its time.
     """
     times = [state.started_at, *state.returned_at.values()]
     times += [limiter.updated_at for limiter in state.limiters]
