--- a/quota_gateway/policy/admission.py
+++ b/quota_gateway/policy/admission.py
@@ -2,17 +2,21 @@
 
 from dataclasses import dataclass
 
-from quota_gateway.policy.endpoint_registry import FLEET_START_LIMIT, START_TO_MINIMUM, EndpointRegistry
+from quota_gateway.policy.endpoint_registry import (
+    FLEET_INITIAL_LIMIT,
+    MINIMUM_TO_INITIAL_LIMIT,
+    EndpointRegistry,
+)
 from quota_gateway.state.context import EngineContext
 from quota_gateway.state.records import AttemptState, EndpointState, PendingRequest
 
 # Fraction of the latency objective after which a response is late. It is high enough that a short queue at an
 # endpoint does not count as an overload.
-LATE_FRACTION = 0.35
+LATE_THRESHOLD_FRACTION = 0.35
 
 # Concurrency limits and their steps, in attempts in flight; a fractional limit is rounded at random.
-MIN_IN_FLIGHT = 1.0  # lowest limit of a gateway
-LIMIT_SLACK = 2.0  # margin above the attempts in flight after a late response: random arrivals need it
+MIN_CONCURRENCY_LIMIT = 1.0  # lowest limit of a gateway
+LIMIT_HEADROOM = 2.0  # margin above the attempts in flight after a late response: random arrivals need it
 LIMIT_DECREASE = 0.5  # subtracted from the limit for each late response
 LIMIT_INCREASE = 0.5  # added for each response in time while at least half of the limit is in use
 
@@ -76,8 +80,8 @@
         endpoint.concurrency_limit = _adjusted(
             endpoint.concurrency_limit, late, endpoint.in_flight, endpoint.minimum_limit
         )
-        fleet_minimum = FLEET_START_LIMIT * START_TO_MINIMUM * len(self.registry.serving)
-        minimum = max(MIN_IN_FLIGHT, fleet_minimum / self.context.settings.gateway_count)
+        fleet_minimum = FLEET_INITIAL_LIMIT * MINIMUM_TO_INITIAL_LIMIT * len(self.registry.serving)
+        minimum = max(MIN_CONCURRENCY_LIMIT, fleet_minimum / self.context.settings.gateway_count)
         self.concurrency_limit = _adjusted(self.concurrency_limit, late, self.in_flight, minimum)
         weight = min(1.0, (self.context.now - self.last_sample_at) / SAMPLE_INTERVAL)
         self.last_sample_at = self.context.now
@@ -92,5 +96,5 @@
 def _adjusted(limit: float, late: bool, in_flight: int, minimum: float) -> float:
     """Return the limit after a response: lower if that was late, higher if not and the limit was in use."""
     if late:
-        return max(min(limit, in_flight + LIMIT_SLACK) - LIMIT_DECREASE, minimum)
+        return max(min(limit, in_flight + LIMIT_HEADROOM) - LIMIT_DECREASE, minimum)
     return limit + LIMIT_INCREASE if in_flight + 1 > limit / 2 else limit
--- a/quota_gateway/policy/attempt_results.py
+++ b/quota_gateway/policy/attempt_results.py
@@ -6,7 +6,7 @@
 from quota_gateway.model.events import AttemptEnded, ResponseStreamStarted
 from quota_gateway.model.outcomes import Outcome
 from quota_gateway.policy import outlier_detection
-from quota_gateway.policy.admission import LATE_FRACTION, AdmissionController
+from quota_gateway.policy.admission import LATE_THRESHOLD_FRACTION, AdmissionController
 from quota_gateway.policy.forwarding import Forwarder
 from quota_gateway.policy.latency_estimates import LatencyEstimates
 from quota_gateway.policy.request_queue import RequestQueue
@@ -104,7 +104,7 @@
             outlier_detection.record_rejection(endpoint, request, self.context.now)
             return
         failed = outcome is not Outcome.SUCCESS
-        late = elapsed > LATE_FRACTION * request.latency_objective
+        late = elapsed > LATE_THRESHOLD_FRACTION * request.latency_objective
         self.admission.record_failure_rate(failed or late)
         if not attempt.is_late and outcome in (Outcome.SUCCESS, Outcome.TIMED_OUT):
             self.admission.record_sample(late, endpoint)
--- a/quota_gateway/policy/endpoint_registry.py
+++ b/quota_gateway/policy/endpoint_registry.py
@@ -15,10 +15,10 @@
 from quota_gateway.state.records import EndpointState
 from quota_gateway.state.saved_state import SavedEndpoint
 
-FLEET_START_LIMIT = 8.0  # attempts in flight at a newly listed endpoint, over all gateways together
+FLEET_INITIAL_LIMIT = 8.0  # attempts in flight at a newly listed endpoint, over all gateways together
 # Ratio of the lowest limit, reached under overload, to the initial one: a lower limit would leave some of the
 # endpoint's cores idle.
-START_TO_MINIMUM = 0.5
+MINIMUM_TO_INITIAL_LIMIT = 0.5
 RETRY_POLL_FRACTION = 1 / 8  # mean delay before a failed poll is repeated, as a fraction of the poll interval
 
 
@@ -64,8 +64,8 @@
             state.endpoint = endpoint
 
     def _add(self, endpoint: Endpoint) -> None:
-        limit = max(1.0, FLEET_START_LIMIT / self.context.settings.gateway_count)
-        state = EndpointState(endpoint, limit, self.context.now, max(1.0, limit * START_TO_MINIMUM))
+        limit = max(1.0, FLEET_INITIAL_LIMIT / self.context.settings.gateway_count)
+        state = EndpointState(endpoint, limit, self.context.now, max(1.0, limit * MINIMUM_TO_INITIAL_LIMIT))
         state.started_at = self._started_at(endpoint)
         self.endpoints[endpoint.endpoint_id] = state
 
--- a/quota_gateway/policy/fine_grained_quota.py
+++ b/quota_gateway/policy/fine_grained_quota.py
@@ -18,8 +18,8 @@
 from quota_gateway.state.limiter_state import PERIOD, CounterCall
 from quota_gateway.state.records import Limiter, PendingRequest
 
-EPOCH = 60.0  # seconds of use summed under one counter name: the counter keeps no name for longer
-FRESH_FOR = PERIOD / 10  # seconds for which a reading also decides on further requests
+COUNTER_EPOCH = 60.0  # seconds of use summed under one counter name: the counter keeps no name for longer
+READING_REUSE_TIME = PERIOD / 10  # seconds for which a reading also decides on further requests
 REPORT_DELAY = 0.25 * PERIOD  # seconds until units are reported that no request waits for
 CORRECTION_THRESHOLD = 0.25  # unused units, as a fraction of the burst, from which the counter is corrected
 GRANT_WEIGHT = 0.15  # weight of one reading in a grant ratio: about the last dozen readings count
@@ -76,10 +76,10 @@
         return granted + (1.0 - granted) * (plan.over_quota_value - plan.over_quota_cost) >= 0
 
     def _call_counter(self, limiter: Limiter, requested_units: float, correction: float = 0.0) -> None:
-        name = f"{limiter.customer}.{int(self.context.quota_time // EPOCH)}"
+        name = f"{limiter.customer}.{int(self.context.quota_time // COUNTER_EPOCH)}"
         amount = limiter.unreported_units + requested_units
         limiter.counter_calls.append(CounterCall(name, requested_units, amount))
-        self.context.emit(IncrementCounter(name, amount + correction, EPOCH))
+        self.context.emit(IncrementCounter(name, amount + correction, COUNTER_EPOCH))
         limiter.unreported_units = 0.0
 
     def report_unreported(self, limiter: Limiter) -> None:
@@ -124,7 +124,7 @@
         now = self.context.now
         burst = limiter.plan.burst
         # Tokens earned in this epoch less those used, as if the burst were unlimited.
-        unused = limiter.plan.rate * (self.context.quota_time % EPOCH) - total
+        unused = limiter.plan.rate * (self.context.quota_time % COUNTER_EPOCH) - total
         self._correct_total(limiter, call, total, unused)
         limiter.set_quota_fraction(1.0, now)
         balance = burst + unused + call.requested_units
@@ -133,7 +133,7 @@
         if balance < 0 < forwarded:  # units beyond the quota are not charged to it
             self._report_soon(limiter, -min(forwarded, -balance))
         limiter.balance = min(burst, balance) - limiter.queued_units
-        limiter.reading_fresh_until = now + FRESH_FOR
+        limiter.reading_fresh_until = now + READING_REUSE_TIME
         limiter.reading_valid_until = now + READING_LIFETIME
 
     def _correct_total(self, limiter: Limiter, call: CounterCall, total: float, unused: float) -> None:
--- a/quota_gateway/policy/forwarding.py
+++ b/quota_gateway/policy/forwarding.py
@@ -4,7 +4,7 @@
 
 from quota_gateway.model.actions import CancelAttempt, FailRequest, Reason, Reject, StartAttempt
 from quota_gateway.model.timers import LateAttemptTimer
-from quota_gateway.policy.admission import LATE_FRACTION, AdmissionController
+from quota_gateway.policy.admission import LATE_THRESHOLD_FRACTION, AdmissionController
 from quota_gateway.policy.fine_grained_quota import FineGrainedQuota
 from quota_gateway.policy.latency_estimates import LatencyEstimates, useful_until
 from quota_gateway.policy.load_balancing import LoadBalancer
@@ -16,7 +16,7 @@
 from quota_gateway.state.records import AttemptState, EndpointState, PendingRequest
 
 # Retry-After for a request that can't wait for what it lacks here, as a fraction of its latency objective.
-SOON_FRACTION = 0.15
+SHORT_RETRY_AFTER_FRACTION = 0.15
 
 
 @dataclass(slots=True, eq=False)
@@ -69,7 +69,7 @@
     def watch_lateness(self, request: PendingRequest, attempt_index: int) -> None:
         """Set the timer after which an attempt is late, unless the request's body is still being received."""
         if not request.request.body_incomplete:
-            delay = max(LATE_FRACTION * request.latency_objective, EPSILON)
+            delay = max(LATE_THRESHOLD_FRACTION * request.latency_objective, EPSILON)
             self.context.set_timer(delay, LateAttemptTimer(request.id, attempt_index))
 
     def _timeout(self, request: PendingRequest) -> float:
@@ -77,7 +77,7 @@
         if request.request.body_incomplete:
             return 0.0
         now = self.context.now
-        until = max(useful_until(request), now + LATE_FRACTION * request.latency_objective)
+        until = max(useful_until(request), now + LATE_THRESHOLD_FRACTION * request.latency_objective)
         return min(request.request.deadline, until) - now
 
     def answer(self, request: PendingRequest, retry_after: float, reason: Reason) -> None:
@@ -101,7 +101,7 @@
         useful. Otherwise it is short: another gateway may have quota, or an endpoint a free slot.
         """
         remaining = useful_until(request) - self.context.now - self.latency.expected(request)
-        soon = SOON_FRACTION * request.latency_objective
+        soon = SHORT_RETRY_AFTER_FRACTION * request.latency_objective
         self.answer(request, wait if wait <= remaining else soon, reason)
 
     def cancel_attempts(self, request: PendingRequest) -> None:
--- a/quota_gateway/policy/latency_estimates.py
+++ b/quota_gateway/policy/latency_estimates.py
@@ -8,10 +8,10 @@
 from quota_gateway.state.records import AttemptState, PendingRequest
 
 SAMPLE_WEIGHT = 0.15 / 3  # weight of one sample in a moving average: about the last forty samples count
-INITIAL_FRACTION = 1 / 8  # estimate before the first sample, as a fraction of the latency objective
+INITIAL_ESTIMATE_FRACTION = 1 / 8  # estimate before the first sample, as a fraction of the latency objective
 MIN_DURATION = 1e-4  # seconds; keeps the ratio of two durations finite
 # Value of a late response, relative to one in time, from which attempts run until the deadline.
-LATE_VALUE_RATIO = 0.5
+MIN_LATE_VALUE_RATIO = 0.5
 # Ratio of a retry's timeout to that of first sends, from which they count as equal: transit takes some time.
 SAME_TIMEOUT_RATIO = 0.95
 
@@ -30,7 +30,7 @@
 
     def expected(self, request: PendingRequest) -> float:
         """Return the expected response time in seconds, as an average over the fleet."""
-        initial = request.latency_objective * INITIAL_FRACTION
+        initial = request.latency_objective * INITIAL_ESTIMATE_FRACTION
         fallback = self.durations.get((request.request_class.name, 0.0), initial)
         return self.durations.get(request.duration_key, fallback)
 
@@ -68,6 +68,6 @@
 
 def useful_until(request: PendingRequest) -> float:
     """Return until when a response is useful: the objective's end, or the deadline if late ones count."""
-    if request.request_class.late_value_ratio < LATE_VALUE_RATIO:
+    if request.request_class.late_value_ratio < MIN_LATE_VALUE_RATIO:
         return request.first_sent_at + request.latency_objective
     return request.request.deadline
--- a/quota_gateway/policy/outlier_detection.py
+++ b/quota_gateway/policy/outlier_detection.py
@@ -3,16 +3,16 @@
 from quota_gateway.model.outcomes import Outcome
 from quota_gateway.state.records import EndpointState, PendingRequest
 
-HALF_LIFE = 8.0  # seconds in which a score halves; faults last five to forty seconds
+SCORE_HALF_LIFE = 8.0  # seconds in which a score halves; faults last five to forty seconds
 OUTLIER_THRESHOLD = 0.5  # score from which an endpoint is an outlier
 MAX_SCORE = 8.0  # highest score: after four half-lives at most, an endpoint is tried again
 UNREACHABLE_SCORE = MAX_SCORE / 2  # lowest score after a failed connect
-REJECTING_FOR = 15.0  # seconds for which an endpoint that rejected a class and plan is avoided for them
+REJECTION_LIFETIME = 15.0  # seconds for which an endpoint that rejected a class and plan is avoided for them
 
 
 def decay(endpoint: EndpointState, now: float) -> None:
     """Apply the decay since the last call to the failure score."""
-    endpoint.failure_score *= 0.5 ** ((now - endpoint.decayed_at) / HALF_LIFE)
+    endpoint.failure_score *= 0.5 ** ((now - endpoint.decayed_at) / SCORE_HALF_LIFE)
     endpoint.decayed_at = now
 
 
@@ -37,7 +37,7 @@
 
 def record_rejection(endpoint: EndpointState, request: PendingRequest, now: float) -> None:
     """Avoid the endpoint for requests of this class and plan; it may accept others, so no score is raised."""
-    endpoint.rejecting_until[request.kind] = now + REJECTING_FOR
+    endpoint.rejecting_until[request.kind] = now + REJECTION_LIFETIME
 
 
 def is_rejecting(endpoint: EndpointState, request: PendingRequest, now: float) -> bool:
--- a/quota_gateway/policy/quota_sync.py
+++ b/quota_gateway/policy/quota_sync.py
@@ -17,8 +17,8 @@
 DEMAND_WEIGHT = 0.5  # weight of the last period in the smoothed demand: with few requests a second it jumps
 # Fraction of the gateway's even part of the quota that is in demand, or of its capacity that is spent, above
 # which demand is reported and read.
-NEED_FRACTION = 0.8
-ACTIVE_FRACTION = 0.05  # smoothed demand, as a fraction of the quota, above which a customer is active
+NEAR_QUOTA_FRACTION = 0.8
+ACTIVE_DEMAND_FRACTION = 0.05  # smoothed demand, as a fraction of the quota, above which a customer is active
 # Lowest quota fraction, relative to the even part: a customer whose traffic moves here is not rejected.
 MIN_QUOTA_FRACTION = 0.1
 # Customers are spread over the first slots of a period, by a hash that is the same at all gateways.
@@ -32,9 +32,9 @@
 SAMPLING_INCREASE = 1.1
 SAMPLING_DECREASE = 0.7
 MIN_SAMPLING_RATIO = 0.05  # a lower ratio would leave too few calls to notice that the counter has recovered
-PROMPT_FACTOR = 1.25  # longest prompt reply, relative to the fastest one: the call met hardly any queue
+PROMPT_REPLY_FACTOR = 1.25  # longest prompt reply, relative to the fastest one: the call met hardly any queue
 FASTEST_REPLY_GROWTH = 1.001  # factor of the fastest reply's time with each reply: the counter may slow down
-SILENT_AFTER = 3  # consecutive failures from which the counter is unreachable rather than overloaded
+UNREACHABLE_FAILURES = 3  # consecutive failures from which the counter is unreachable rather than overloaded
 MAX_BACKOFF_EXPONENT = 4  # highest exponent of the backoff, which is PERIOD / 8 times a power of two
 
 
@@ -57,11 +57,11 @@
         if reply.outcome is Outcome.SUCCESS:
             self.consecutive_failures = 0
             self.fastest_reply = min(self.fastest_reply * FASTEST_REPLY_GROWTH, reply.elapsed)
-            if reply.elapsed <= PROMPT_FACTOR * self.fastest_reply:
+            if reply.elapsed <= PROMPT_REPLY_FACTOR * self.fastest_reply:
                 self.sampling_ratio = min(1.0, self.sampling_ratio * SAMPLING_INCREASE)
             return
         self.consecutive_failures = min(self.consecutive_failures + 1, MAX_BACKOFF_EXPONENT)
-        if reply.outcome is Outcome.CONNECT_FAILED or self.consecutive_failures >= SILENT_AFTER:
+        if reply.outcome is Outcome.CONNECT_FAILED or self.consecutive_failures >= UNREACHABLE_FAILURES:
             self.paused_until = self.context.now + PERIOD * 2**self.consecutive_failures / 8
         else:
             self.sampling_ratio = max(self.sampling_ratio * SAMPLING_DECREASE, MIN_SAMPLING_RATIO)
@@ -95,7 +95,7 @@
         limiter.refill(now)
         if limiter.reading_valid_until < now:
             limiter.set_quota_fraction(1.0 / limiter.quota_spread, now)
-        lasting = limiter.local_demand > ACTIVE_FRACTION * limiter.plan.rate
+        lasting = limiter.local_demand > ACTIVE_DEMAND_FRACTION * limiter.plan.rate
         if demand > 0 or limiter.current_demand > 0 or lasting:
             self.schedule_report(limiter)
         if not self.counter.is_paused() and _is_near_quota(limiter):
@@ -134,5 +134,5 @@
 
 def _is_near_quota(limiter: Limiter) -> bool:
     even_rate = limiter.plan.rate / limiter.quota_spread
-    spent = limiter.balance < (1.0 - NEED_FRACTION) * limiter.capacity
-    return spent or limiter.local_demand > NEED_FRACTION * even_rate
+    spent = limiter.balance < (1.0 - NEAR_QUOTA_FRACTION) * limiter.capacity
+    return spent or limiter.local_demand > NEAR_QUOTA_FRACTION * even_rate
--- a/quota_gateway/policy/request_queue.py
+++ b/quota_gateway/policy/request_queue.py
@@ -15,7 +15,7 @@
 MAX_WAIT_FRACTION = 0.4  # longest wait, as a fraction of the latency objective: the endpoint needs the rest
 # Part of the concurrency limit in use, below which requests over the quota are forwarded if their plan pays.
 OVER_QUOTA_LIMIT_FRACTION = 0.5
-MIN_TIMER = 1e-6  # shortest delay of a timer, in seconds
+MIN_TIMER_DELAY = 1e-6  # shortest delay of a timer, in seconds
 
 
 @dataclass(slots=True, eq=False)
@@ -51,7 +51,7 @@
             return
         limiter.enqueue(request)
         self.release(limiter)
-        self.context.set_timer(max(max_wait, MIN_TIMER), QueueTimeoutTimer(request.id))
+        self.context.set_timer(max(max_wait, MIN_TIMER_DELAY), QueueTimeoutTimer(request.id))
 
     def release(self, limiter: Limiter) -> None:
         """Forward requests that the balance covers, reject those out of time, and set the next timer."""
@@ -76,7 +76,7 @@
         earlier = limiter.release_due <= self.context.now or due < limiter.release_due - EPSILON
         if limiter.has_free_slot() and earlier:
             limiter.release_due = due
-            self.context.set_timer(max(wait, MIN_TIMER), ReleaseQueueTimer(limiter.customer))
+            self.context.set_timer(max(wait, MIN_TIMER_DELAY), ReleaseQueueTimer(limiter.customer))
 
     def time_out(self, request: PendingRequest) -> None:
         """Drop a request from any place in the queue: its deadline may be earlier than that of the head."""
--- a/quota_gateway/policy/retries.py
+++ b/quota_gateway/policy/retries.py
@@ -6,18 +6,18 @@
 from quota_gateway.state.records import EndpointState, PendingRequest
 
 RETRIES_PER_REQUEST = 0.15  # retries earned by each first attempt, which bounds the retry load of an incident
-MAX_SAVED_RETRIES = 10.0  # largest balance, in retries: enough for the sudden failure of one endpoint
+MAX_RETRY_BALANCE = 10.0  # largest balance, in retries: enough for the sudden failure of one endpoint
 
 
 @dataclass(slots=True, eq=False)
 class RetryBudget:
     """A balance of retries; a retry after an attempt that was not executed may be free of it."""
 
-    balance: float = MAX_SAVED_RETRIES
+    balance: float = MAX_RETRY_BALANCE
 
     def deposit(self) -> None:
         """Add the fraction of a retry that a first attempt earns."""
-        self.balance = min(self.balance + RETRIES_PER_REQUEST, MAX_SAVED_RETRIES)
+        self.balance = min(self.balance + RETRIES_PER_REQUEST, MAX_RETRY_BALANCE)
 
     def is_available(self) -> bool:
         """Return whether the balance covers a retry."""
--- a/quota_gateway/policy/subsetting.py
+++ b/quota_gateway/policy/subsetting.py
@@ -13,7 +13,7 @@
 
 GATEWAYS_PER_ENDPOINT = 10  # gateways that use an endpoint: the loss of one or two shifts little load
 MIN_SIZE = 12  # smallest subset, in endpoints: if one of three zones fails, eight are left
-MIN_HEALTHY = 0.6  # fraction of the subset's normal size: with fewer healthy endpoints it is widened
+MIN_HEALTHY_FRACTION = 0.6  # fraction of the subset's normal size: with fewer healthy endpoints it is widened
 
 
 def subset_size(endpoints: int, gateways: int) -> int:
@@ -38,7 +38,7 @@
         length = self._size / len(self._endpoints)
         while True:
             chosen = [endpoint for position, endpoint in self._ring if (position - begin) % 1.0 < length]
-            if length >= 1.0 or sum(map(is_healthy, chosen)) >= MIN_HEALTHY * self._size:
+            if length >= 1.0 or sum(map(is_healthy, chosen)) >= MIN_HEALTHY_FRACTION * self._size:
                 return chosen
             length *= 2
 
