--- a/quota_gateway/policy/admission.py
+++ b/quota_gateway/policy/admission.py
@@ -43,11 +43,11 @@
 
     def should_shed(self, request: PendingRequest) -> bool:
         """Return whether to shed the request; customers with less than half of their tokens go first."""
-        chance = self.context.random
-        if self.in_flight >= self.concurrency_limit + chance.random() - 0.5:
+        rng = self.context.random
+        if self.in_flight >= self.concurrency_limit + rng.random() - 0.5:
             return True
         penalty = 0.0 if request.limiter.is_half_full() else 1.0
-        return chance.random() > 2 * self.admit_ratio - penalty
+        return rng.random() > 2 * self.admit_ratio - penalty
 
     def has_spare_capacity(self, limit_fraction: float) -> bool:
         """Return whether no load is shed and less than this fraction of the limit is in flight."""
@@ -77,12 +77,12 @@
 
         A sample changes the ratio in proportion to the time since the last one, up to SAMPLE_INTERVAL.
         """
-        endpoint.concurrency_limit = _adjusted(
+        endpoint.concurrency_limit = _adjusted_limit(
             endpoint.concurrency_limit, late, endpoint.in_flight, endpoint.minimum_limit
         )
         fleet_minimum = FLEET_INITIAL_LIMIT * MINIMUM_TO_INITIAL_LIMIT * len(self.registry.serving)
         minimum = max(MIN_CONCURRENCY_LIMIT, fleet_minimum / self.context.settings.gateway_count)
-        self.concurrency_limit = _adjusted(self.concurrency_limit, late, self.in_flight, minimum)
+        self.concurrency_limit = _adjusted_limit(self.concurrency_limit, late, self.in_flight, minimum)
         weight = min(1.0, (self.context.now - self.last_sample_at) / SAMPLE_INTERVAL)
         self.last_sample_at = self.context.now
         self.admit_ratio *= (ADMIT_DECREASE if late else ADMIT_INCREASE) ** weight
@@ -93,7 +93,7 @@
         self.fleet_failure_rate += FAILURE_SAMPLE_WEIGHT * (failed - self.fleet_failure_rate)
 
 
-def _adjusted(limit: float, late: bool, in_flight: int, minimum: float) -> float:
+def _adjusted_limit(limit: float, late: bool, in_flight: int, minimum: float) -> float:
     """Return the limit after a response: lower if that was late, higher if not and the limit was in use."""
     if late:
         return max(min(limit, in_flight + LIMIT_HEADROOM) - LIMIT_DECREASE, minimum)
--- a/quota_gateway/policy/attempt_results.py
+++ b/quota_gateway/policy/attempt_results.py
@@ -38,15 +38,15 @@
             self.admission.attempt_finished(attempt)
         request.in_flight -= 1
         request.limiter.in_flight -= 1
-        possible = (other for other in request.attempts if not other.proven_not_executed)
-        request.first_possibly_executed = next(possible, None)
+        possibly_executed = (other for other in request.attempts if not other.proven_not_executed)
+        request.first_possibly_executed = next(possibly_executed, None)
         if not attempt.is_streaming:
-            self._learn(request, attempt, event.outcome, event.elapsed)
-        self._settle_units(request, event.actual_units)
+            self._record_result(request, attempt, event.outcome, event.elapsed)
+        self._charge_actual_units(request, event.actual_units)
         request.answered = request.answered or event.request_answered
         if not request.answered and not request.in_flight:
             self._retry_or_answer(request, event.outcome)
-        self.forwarder.forget_if_finished(request)
+        self.forwarder.remove_if_finished(request)
         if request.limiter.queue and request.plan.concurrency > 0:
             self.queue.release(request.limiter)
 
@@ -64,9 +64,9 @@
             elapsed = event.elapsed or self.context.now - attempt.sent_at
             self.admission.attempt_finished(attempt)
             attempt.is_streaming = True
-            self._learn(request, attempt, Outcome.SUCCESS, elapsed)
+            self._record_result(request, attempt, Outcome.SUCCESS, elapsed)
 
-    def _settle_units(self, request: PendingRequest, actual_units: float) -> None:
+    def _charge_actual_units(self, request: PendingRequest, actual_units: float) -> None:
         if actual_units <= 0 or request.units_settled or not request.is_charged:
             return
         request.units_settled = True
@@ -74,26 +74,28 @@
         limiter.refill(self.context.now)
         unused = request.units - actual_units
         self.forwarder.peer.report(limiter, -unused)
-        limiter.give_back(unused)
+        limiter.refund(unused)
         if limiter.is_fine_grained and request.reported_units > 0:
             limiter.unreported_units -= unused * request.reported_units / request.units
         self.queue.release(limiter)
 
     def _retry_or_answer(self, request: PendingRequest, outcome: Outcome) -> None:
-        end = min(request.request.deadline, request.first_sent_at + request.latency_objective)
+        retry_deadline = min(request.request.deadline, request.first_sent_at + request.latency_objective)
         # An attempt that was not executed took no work, so its retry does not use the retry budget. While
         # load is shed, this holds for the admitted fraction of such retries only.
-        free = outcome.proves_not_executed and self.context.random.random() < self.admission.admit_ratio
-        in_time = end - self.context.now > self.latency.expected(request)
-        affordable = free or self.forwarder.retry_budget.is_available()
+        budget_exempt = (
+            outcome.proves_not_executed and self.context.random.random() < self.admission.admit_ratio
+        )
+        in_time = retry_deadline - self.context.now > self.latency.expected(request)
+        affordable = budget_exempt or self.forwarder.retry_budget.is_available()
         if outcome is Outcome.TIMED_OUT or not in_time or not affordable:
             self.forwarder.answer(request, PERIOD, Reason.NO_RETRY)
             return
-        if not free:
+        if not budget_exempt:
             self.forwarder.retry_budget.withdraw()
         self.forwarder.forward(request)
 
-    def _learn(
+    def _record_result(
         self, request: PendingRequest, attempt: AttemptState, outcome: Outcome, elapsed: float
     ) -> None:
         if outcome in (Outcome.CANCELLED, Outcome.NOT_SENT):
--- a/quota_gateway/policy/endpoint_registry.py
+++ b/quota_gateway/policy/endpoint_registry.py
@@ -44,13 +44,13 @@
             context.set_timer(max(delay, EPSILON), PollEndpointsTimer())
             return
         if update.kind is not EndpointListKind.DELTA:
-            named = {endpoint.endpoint_id for endpoint in update.endpoints}
-            self.endpoints = {key: state for key, state in self.endpoints.items() if key in named}
+            listed_ids = {endpoint.endpoint_id for endpoint in update.endpoints}
+            self.endpoints = {key: state for key, state in self.endpoints.items() if key in listed_ids}
         for endpoint in update.endpoints:
             self._apply_endpoint(endpoint)
         self.refresh_serving()
         if update.kind is not EndpointListKind.CACHED:
-            self.start_times.list_answered(context.now)
+            self.start_times.list_received(context.now)
         elif not context.settings.endpoint_list_pushed:
             context.emit(PollEndpoints())
 
@@ -133,6 +133,6 @@
 
     def is_usable(self, endpoint: EndpointState) -> bool:
         """Return whether the endpoint is serving, not under maintenance, and below its concurrency limit."""
-        current = self.endpoints.get(endpoint.id) is endpoint
+        is_listed = self.endpoints.get(endpoint.id) is endpoint
         serving = endpoint.is_serving and endpoint.id not in self.under_maintenance
-        return current and serving and endpoint.in_flight < endpoint.concurrency_limit
+        return is_listed and serving and endpoint.in_flight < endpoint.concurrency_limit
--- a/quota_gateway/policy/fine_grained_quota.py
+++ b/quota_gateway/policy/fine_grained_quota.py
@@ -27,11 +27,11 @@
 
 def initial_grant_ratios(settings: Settings) -> dict[tuple[str, bool, bool], float]:
     """Return the initial ratios: requests that are covered locally and are not retries count as granted."""
-    kinds = [(False, False), (False, True), (True, False), (True, True)]
+    combinations = [(False, False), (False, True), (True, False), (True, True)]
     return {
-        (p.name, covered, retry): float(covered and not retry)
-        for p in settings.plans
-        for covered, retry in kinds
+        (plan.name, covered, retry): float(covered and not retry)
+        for plan in settings.plans
+        for covered, retry in combinations
     }
 
 
@@ -59,21 +59,23 @@
         if not expired and wait > request.queue_deadline - now:
             return  # the quota does not cover it in time, even if no other gateway has used any since
         covered = wait <= 0 and (expired or limiter.balance >= limiter.capacity / 2)
-        pays_off = self._pays_off_unsampled(request, covered)
+        worth_forwarding = self._is_worth_forwarding_unsampled(request, covered)
         if self.context.random.random() >= self.counter.sampling_ratio:
             request.reported_units = -1.0
-            request.admitted_unsampled = pays_off
+            request.admitted_unsampled = worth_forwarding
             return
         request.covered_locally = covered
-        request.reported_units = request.units / self.counter.sampling_ratio if pays_off else request.units
+        request.reported_units = (
+            request.units / self.counter.sampling_ratio if worth_forwarding else request.units
+        )
         limiter.awaiting_reading = True
         self._call_counter(limiter, request.reported_units)
 
-    def _pays_off_unsampled(self, request: PendingRequest, covered: bool) -> bool:
+    def _is_worth_forwarding_unsampled(self, request: PendingRequest, covered: bool) -> bool:
         """Return whether forwarding without a reading is worth its expected cost, by the grant ratio."""
         plan = request.plan
-        granted = self.grant_ratios[plan.name, covered, request.request.is_retry]
-        return granted + (1.0 - granted) * (plan.over_quota_value - plan.over_quota_cost) >= 0
+        grant_ratio = self.grant_ratios[plan.name, covered, request.request.is_retry]
+        return grant_ratio + (1.0 - grant_ratio) * (plan.over_quota_value - plan.over_quota_cost) >= 0
 
     def _call_counter(self, limiter: Limiter, requested_units: float, correction: float = 0.0) -> None:
         name = f"{limiter.customer}.{int(self.context.quota_time // COUNTER_EPOCH)}"
@@ -91,15 +93,15 @@
         """Schedule a report of the request's units, unless a call has reported them."""
         if request.limiter.is_fine_grained and request.reported_units == 0:
             request.reported_units = request.units
-            self._report_soon(request.limiter, request.units)
+            self._schedule_report(request.limiter, request.units)
 
     def request_withdrawn(self, request: PendingRequest) -> None:
         """Schedule a correction of the units reported for a request that is not forwarded."""
         if request.limiter.is_fine_grained and request.reported_units > 0:
-            self._report_soon(request.limiter, -request.reported_units)
+            self._schedule_report(request.limiter, -request.reported_units)
             request.reported_units = 0.0
 
-    def _report_soon(self, limiter: Limiter, units: float) -> None:
+    def _schedule_report(self, limiter: Limiter, units: float) -> None:
         limiter.unreported_units += units
         if not limiter.report_scheduled:
             limiter.report_scheduled = True
@@ -129,9 +131,9 @@
         limiter.set_quota_fraction(1.0, now)
         balance = burst + unused + call.requested_units
         self._record_grant(limiter, call, balance)
-        forwarded = call.amount - call.requested_units
-        if balance < 0 < forwarded:  # units beyond the quota are not charged to it
-            self._report_soon(limiter, -min(forwarded, -balance))
+        forwarded_units = call.amount - call.requested_units
+        if balance < 0 < forwarded_units:  # units beyond the quota are not charged to it
+            self._schedule_report(limiter, -min(forwarded_units, -balance))
         limiter.balance = min(burst, balance) - limiter.queued_units
         limiter.reading_fresh_until = now + READING_REUSE_TIME
         limiter.reading_valid_until = now + READING_LIFETIME
--- a/quota_gateway/policy/forwarding.py
+++ b/quota_gateway/policy/forwarding.py
@@ -8,7 +8,7 @@
 from quota_gateway.policy.fine_grained_quota import FineGrainedQuota
 from quota_gateway.policy.latency_estimates import LatencyEstimates, useful_until
 from quota_gateway.policy.load_balancing import LoadBalancer
-from quota_gateway.policy.retries import RetryBudget, client_may_repeat, remaining_window
+from quota_gateway.policy.retries import RetryBudget, client_may_retry, remaining_idempotency_window
 from quota_gateway.policy.token_bucket import EPSILON
 from quota_gateway.state.context import EngineContext
 from quota_gateway.state.limiter_state import PERIOD
@@ -43,22 +43,22 @@
 
     def _give_up(self, request: PendingRequest, reason: Reason) -> None:
         if request.is_charged and not request.attempts:
-            request.limiter.give_back(request.units)
+            request.limiter.refund(request.units)
             self.fine_grained.request_withdrawn(request)
-        self.answer_with_advice(request, PERIOD, reason)
+        self.answer_with_retry_after(request, PERIOD, reason)
 
     def _start(self, request: PendingRequest, endpoint: EndpointState) -> None:
         if not request.attempts:
             self._count_first_attempt(request)
         attempt = AttemptState(endpoint, self.context.now, self.latency.expected(request))
-        send_within = remaining_window(request, self.context.now)
+        send_within = remaining_idempotency_window(request, self.context.now)
         self.admission.attempt_started(endpoint)
         request.limiter.in_flight += 1
         request.in_flight += 1
         request.attempts.append(attempt)
         request.first_possibly_executed = request.first_possibly_executed or attempt
         self.context.emit(StartAttempt(request.id, endpoint.id, self._timeout(request), send_within))
-        self.watch_lateness(request, len(request.attempts) - 1)
+        self.set_late_timer(request, len(request.attempts) - 1)
 
     def _count_first_attempt(self, request: PendingRequest) -> None:
         if request.plan.hard_limit_rate > 0:
@@ -66,7 +66,7 @@
         self.retry_budget.deposit()
         self.peer.report(request.limiter, 0.0 if request.over_quota else request.units)
 
-    def watch_lateness(self, request: PendingRequest, attempt_index: int) -> None:
+    def set_late_timer(self, request: PendingRequest, attempt_index: int) -> None:
         """Set the timer after which an attempt is late, unless the request's body is still being received."""
         if not request.request.body_incomplete:
             delay = max(LATE_THRESHOLD_FRACTION * request.latency_objective, EPSILON)
@@ -77,32 +77,32 @@
         if request.request.body_incomplete:
             return 0.0
         now = self.context.now
-        until = max(useful_until(request), now + LATE_THRESHOLD_FRACTION * request.latency_objective)
-        return min(request.request.deadline, until) - now
+        end = max(useful_until(request), now + LATE_THRESHOLD_FRACTION * request.latency_objective)
+        return min(request.request.deadline, end) - now
 
     def answer(self, request: PendingRequest, retry_after: float, reason: Reason) -> None:
         """Reject or fail a request that is not served; `retry_after` is in seconds."""
         if request.answered or request.streaming:
             return
         request.answered = True
-        if client_may_repeat(request):
+        if client_may_retry(request):
             settings = self.context.settings
-            longest = settings.max_retry_after if settings.retry_after_allowed else 0.0
-            self.context.emit(Reject(request.id, min(max(retry_after, 0.0), longest), reason))
+            longest_retry_after = settings.max_retry_after if settings.retry_after_allowed else 0.0
+            self.context.emit(Reject(request.id, min(max(retry_after, 0.0), longest_retry_after), reason))
         else:
             self.context.emit(FailRequest(request.id, reason))
         self.cancel_attempts(request)
-        self.forget_if_finished(request)
+        self.remove_if_finished(request)
 
-    def answer_with_advice(self, request: PendingRequest, wait: float, reason: Reason) -> None:
+    def answer_with_retry_after(self, request: PendingRequest, wait: float, reason: Reason) -> None:
         """Reject a request and advise the client when to retry; `wait` is in seconds.
 
         Retry-After is `wait`, after which this gateway can serve the request, if the response is then still
         useful. Otherwise it is short: another gateway may have quota, or an endpoint a free slot.
         """
         remaining = useful_until(request) - self.context.now - self.latency.expected(request)
-        soon = SHORT_RETRY_AFTER_FRACTION * request.latency_objective
-        self.answer(request, wait if wait <= remaining else soon, reason)
+        short_wait = SHORT_RETRY_AFTER_FRACTION * request.latency_objective
+        self.answer(request, wait if wait <= remaining else short_wait, reason)
 
     def cancel_attempts(self, request: PendingRequest) -> None:
         """Cancel the attempts in flight, if the settings allow it and no response is being streamed."""
@@ -112,13 +112,13 @@
             if attempt.in_flight:
                 self.context.emit(CancelAttempt(request.id, index))
 
-    def forget_if_finished(self, request: PendingRequest) -> None:
+    def remove_if_finished(self, request: PendingRequest) -> None:
         """Remove an answered request without attempts in flight; refund its units if no attempt was sent."""
         if request.in_flight or not request.answered:
             return
-        known = self.requests.pop(request.id, None) is not None
-        if known and request.attempts and request.never_sent and request.is_charged:
+        removed = self.requests.pop(request.id, None) is not None
+        if removed and request.attempts and request.never_sent and request.is_charged:
             request.limiter.refill(self.context.now)
-            request.limiter.give_back(request.units)
+            request.limiter.refund(request.units)
             self.fine_grained.request_withdrawn(request)
             self.peer.report(request.limiter, -request.units)
--- a/quota_gateway/policy/latency_estimates.py
+++ b/quota_gateway/policy/latency_estimates.py
@@ -41,8 +41,8 @@
     def record(self, request: PendingRequest, attempt: AttemptState, elapsed: float) -> None:
         """Update the estimates with the response time of a successful attempt, in seconds."""
         for key in (request.duration_key, (request.request_class.name, 0.0)):
-            before = self.durations.get(key, elapsed)
-            self.durations[key] = before + SAMPLE_WEIGHT * (elapsed - before)
+            average = self.durations.get(key, elapsed)
+            self.durations[key] = average + SAMPLE_WEIGHT * (elapsed - average)
         machine_type = attempt.endpoint.endpoint.machine_type
         factor = self.machine_type_factor(machine_type)
         sample = elapsed / max(attempt.expected_duration, MIN_DURATION)
@@ -56,14 +56,14 @@
         retry is taken to be as old as the longest Retry-After, or as its timeout allows if that is less.
         """
         timeout = request.client_timeout or request.deadline - self.context.now
-        usual = self.client_timeouts.get(request_class.name, timeout)
+        average = self.client_timeouts.get(request_class.name, timeout)
         if not request.is_retry:
-            self.client_timeouts[request_class.name] = usual + SAMPLE_WEIGHT * (timeout - usual)
+            self.client_timeouts[request_class.name] = average + SAMPLE_WEIGHT * (timeout - average)
             return 0.0
         age = max(request_class.deadline - timeout, 0.0)
         settings = self.context.settings
-        advised = settings.max_retry_after if settings.retry_after_allowed else 0.0
-        return age if timeout < SAME_TIMEOUT_RATIO * usual else min(age, advised)
+        longest_retry_after = settings.max_retry_after if settings.retry_after_allowed else 0.0
+        return age if timeout < SAME_TIMEOUT_RATIO * average else min(age, longest_retry_after)
 
 
 def useful_until(request: PendingRequest) -> float:
--- a/quota_gateway/policy/load_balancing.py
+++ b/quota_gateway/policy/load_balancing.py
@@ -6,7 +6,7 @@
 from quota_gateway.policy.endpoint_registry import EndpointRegistry
 from quota_gateway.policy.latency_estimates import LatencyEstimates
 from quota_gateway.policy.outlier_detection import OUTLIER_THRESHOLD, decay, is_rejecting
-from quota_gateway.policy.retries import may_repeat_at
+from quota_gateway.policy.retries import may_retry_at
 from quota_gateway.policy.slow_start import SlowStart
 from quota_gateway.policy.token_bucket import EPSILON
 from quota_gateway.state.context import EngineContext
@@ -32,13 +32,13 @@
 
         Unusable endpoints are drawn again, and so are outliers while draws are left.
         """
-        pool = self._pool(request)
-        self.slow_start.choice = None
+        pool = self._eligible_endpoints(request)
+        self.slow_start.accepted_endpoint = None
         if not pool:
-            return self._first_allowed(request, pool)
+            return self._first_usable(request, pool)
         best: EndpointState | None = None
         best_cost = 0.0
-        found = 0
+        compared = 0
         for draw in range(MAX_DRAWS):
             endpoint = self._draw(pool)
             if self.slow_start.is_warming_up(endpoint):
@@ -51,10 +51,10 @@
             if best is None or cost < best_cost:
                 best = endpoint
                 best_cost = cost
-            found += 1
-            if found >= CHOICES and best_cost < OUTLIER_THRESHOLD * request.latency_objective:
+            compared += 1
+            if compared >= CHOICES and best_cost < OUTLIER_THRESHOLD * request.latency_objective:
                 break
-        best = best or self._first_allowed(request, pool)
+        best = best or self._first_usable(request, pool)
         if best is None:
             endpoint = self._draw(pool)
             return endpoint if self._slow_start_allows(request, endpoint, True) else None
@@ -72,15 +72,15 @@
             return False
         if request.in_flight and not settings.hedging_allowed:
             return False
-        if not may_repeat_at(request, endpoint, self.context.now):
+        if not may_retry_at(request, endpoint, self.context.now):
             return False
-        if self.slow_start.is_warming_up(endpoint) and endpoint is not self.slow_start.choice:
+        if self.slow_start.is_warming_up(endpoint) and endpoint is not self.slow_start.accepted_endpoint:
             return False
         if request.attempts or request.plan.hard_limit_rate <= 0:
             return True
         return request.units <= request.limiter.hard_limit_balance + EPSILON
 
-    def _pool(self, request: PendingRequest) -> Sequence[EndpointState]:
+    def _eligible_endpoints(self, request: PendingRequest) -> Sequence[EndpointState]:
         candidates = self.registry.candidates
         first = request.first_possibly_executed
         if first is None or not request.has_idempotency_key:
@@ -91,19 +91,21 @@
     def _draw(self, pool: Sequence[EndpointState]) -> EndpointState:
         return pool[int(self.context.random.random() * len(pool))]
 
-    def _slow_start_allows(self, request: PendingRequest, endpoint: EndpointState, full: bool) -> bool:
-        return self.slow_start.draw(endpoint, full) and self.may_send(request, endpoint)
+    def _slow_start_allows(
+        self, request: PendingRequest, endpoint: EndpointState, warm_endpoints_full: bool
+    ) -> bool:
+        return self.slow_start.draw(endpoint, warm_endpoints_full) and self.may_send(request, endpoint)
 
-    def _first_allowed(self, request: PendingRequest, pool: Sequence[EndpointState]) -> EndpointState | None:
-        everywhere = (*pool, *self.registry.serving)
-        return next((endpoint for endpoint in everywhere if self.may_send(request, endpoint)), None)
+    def _first_usable(self, request: PendingRequest, pool: Sequence[EndpointState]) -> EndpointState | None:
+        fallbacks = (*pool, *self.registry.serving)
+        return next((endpoint for endpoint in fallbacks if self.may_send(request, endpoint)), None)
 
     def _cost(self, request: PendingRequest, endpoint: EndpointState) -> float:
         """Return the expected response time in seconds, plus penalties for failures, lateness and repeats."""
         decay(endpoint, self.context.now)
         repeats = sum(1 for attempt in request.attempts if attempt.endpoint is endpoint)
         repeats += is_rejecting(endpoint, request, self.context.now)
-        slowness = self.latency.machine_type_factor(endpoint.endpoint.machine_type)
-        slowness *= endpoint.in_flight + 1.0
+        relative_latency = self.latency.machine_type_factor(endpoint.endpoint.machine_type)
+        relative_latency *= endpoint.in_flight + 1.0
         penalty = endpoint.failure_score + endpoint.late_in_flight + repeats
-        return self.latency.expected(request) * slowness + penalty * request.latency_objective
+        return self.latency.expected(request) * relative_latency + penalty * request.latency_objective
--- a/quota_gateway/policy/outlier_detection.py
+++ b/quota_gateway/policy/outlier_detection.py
@@ -24,8 +24,8 @@
 def record_failure(endpoint: EndpointState, outcome: Outcome) -> bool:
     """Raise the score after a failed attempt; return whether this made the endpoint an outlier."""
     was_outlier = is_outlier(endpoint)
-    floor = UNREACHABLE_SCORE if outcome is Outcome.CONNECT_FAILED else 0.0
-    endpoint.failure_score = max(min(2 * endpoint.failure_score + 1.0, MAX_SCORE), floor)
+    minimum = UNREACHABLE_SCORE if outcome is Outcome.CONNECT_FAILED else 0.0
+    endpoint.failure_score = max(min(2 * endpoint.failure_score + 1.0, MAX_SCORE), minimum)
     return not was_outlier
 
 
--- a/quota_gateway/policy/quota_sync.py
+++ b/quota_gateway/policy/quota_sync.py
@@ -82,8 +82,8 @@
         limiter.report_scheduled = True
         quota_time = self.context.quota_time
         slot = (zlib.crc32(limiter.customer.encode()) % REPORT_SLOTS) / REPORT_SLOTS_PER_PERIOD
-        due = (quota_time // PERIOD + 1 + slot) * PERIOD
-        self.context.set_timer(max(due - quota_time, 1e-6), ReportDemandTimer(limiter.customer))
+        report_at = (quota_time // PERIOD + 1 + slot) * PERIOD
+        self.context.set_timer(max(report_at - quota_time, 1e-6), ReportDemandTimer(limiter.customer))
 
     def report_demand(self, limiter: Limiter) -> None:
         """Report the last period's demand and schedule a reading, if the customer is near its quota."""
@@ -95,16 +95,16 @@
         limiter.refill(now)
         if limiter.reading_valid_until < now:
             limiter.set_quota_fraction(1.0 / limiter.quota_spread, now)
-        lasting = limiter.local_demand > ACTIVE_DEMAND_FRACTION * limiter.plan.rate
-        if demand > 0 or limiter.current_demand > 0 or lasting:
+        is_active = limiter.local_demand > ACTIVE_DEMAND_FRACTION * limiter.plan.rate
+        if demand > 0 or limiter.current_demand > 0 or is_active:
             self.schedule_report(limiter)
         if not self.counter.is_paused() and _is_near_quota(limiter):
             limiter.reported_demand = demand
             if demand > 0:
                 name = f"{limiter.customer}.{period}"
                 self.context.emit(IncrementCounter(name, demand, COUNT_LIFETIME))
-            wait = max(self.context.settings.counter_timeout, EPSILON)
-            self.context.set_timer(wait, ReadDemandTimer(limiter.customer, period))
+            delay = max(self.context.settings.counter_timeout, EPSILON)
+            self.context.set_timer(delay, ReadDemandTimer(limiter.customer, period))
 
     def read_demand(self, limiter: Limiter, period: int) -> None:
         """Request the fleet's demand in a period from the counter."""
@@ -122,9 +122,9 @@
         limiter.fleet_demand = max(limiter.fleet_demand, limiter.local_demand)
         limiter.reading_valid_until = now + READING_LIFETIME
         quota = limiter.plan.rate
-        spare = (quota - limiter.fleet_demand) / limiter.quota_spread
-        if spare >= 0:
-            rate = limiter.local_demand + spare
+        spare_rate = (quota - limiter.fleet_demand) / limiter.quota_spread
+        if spare_rate >= 0:
+            rate = limiter.local_demand + spare_rate
         else:
             rate = quota * limiter.local_demand / limiter.fleet_demand
         minimum = MIN_QUOTA_FRACTION / limiter.quota_spread
@@ -134,5 +134,5 @@
 
 def _is_near_quota(limiter: Limiter) -> bool:
     even_rate = limiter.plan.rate / limiter.quota_spread
-    spent = limiter.balance < (1.0 - NEAR_QUOTA_FRACTION) * limiter.capacity
-    return spent or limiter.local_demand > NEAR_QUOTA_FRACTION * even_rate
+    mostly_spent = limiter.balance < (1.0 - NEAR_QUOTA_FRACTION) * limiter.capacity
+    return mostly_spent or limiter.local_demand > NEAR_QUOTA_FRACTION * even_rate
--- a/quota_gateway/policy/request_lifecycle.py
+++ b/quota_gateway/policy/request_lifecycle.py
@@ -44,20 +44,20 @@
         first_sent_at = now - self.latency.retry_age(event, request_class)
         request = PendingRequest(event, request_class, limiter, now, first_sent_at, now)
         self.queue.forwarder.requests[request.id] = request
-        self._limit(request)
+        self._apply_rate_limit(request)
 
-    def _limit(self, request: PendingRequest) -> None:
+    def _apply_rate_limit(self, request: PendingRequest) -> None:
         limiter = request.limiter
-        if self._is_late_retry(request) and not self._has_spare_quota(request):
+        if self._is_late_retry(request) and not self._can_afford_late_retry(request):
             self.queue.forwarder.answer(request, PERIOD, Reason.LATE_RETRY)
             return
-        max_wait = self.queue.set_deadline(request)
+        max_wait = self.queue.set_queue_deadline(request)
         if limiter.is_fine_grained:
             self.queue.fine_grained.request_reading(request)
         else:
             self.quota.schedule_report(limiter)
         if request.reported_units < 0 and not request.admitted_unsampled:
-            self.queue.forwarder.answer_with_advice(request, PERIOD, Reason.QUOTA)
+            self.queue.forwarder.answer_with_retry_after(request, PERIOD, Reason.QUOTA)
             return
         self.queue.admit(request, max_wait)
 
@@ -66,10 +66,10 @@
         finished_at = self.context.now + self.latency.expected(request)
         return request.request.is_retry and finished_at > useful_until(request)
 
-    def _has_spare_quota(self, request: PendingRequest) -> bool:
+    def _can_afford_late_retry(self, request: PendingRequest) -> bool:
         """Return whether capacity and quota suffice for a request whose response has no value."""
-        spare = self.admission.has_spare_capacity(LATE_RETRY_LIMIT_FRACTION)
-        return spare and request.limiter.is_half_full()
+        has_capacity = self.admission.has_spare_capacity(LATE_RETRY_LIMIT_FRACTION)
+        return has_capacity and request.limiter.is_half_full()
 
     def body_received(self, request: PendingRequest, deadline: float) -> None:
         """Set the deadline of a request whose streamed body is complete, and start its latency objective."""
@@ -79,7 +79,7 @@
         request.first_sent_at += self.context.now - request.received_at
         for index, attempt in enumerate(request.attempts):
             if attempt.in_flight:
-                self.queue.forwarder.watch_lateness(request, index)
+                self.queue.forwarder.set_late_timer(request, index)
 
     def client_disconnected(self, request: PendingRequest) -> None:
         """Cancel the request's attempts and remove it from the queue."""
@@ -87,7 +87,7 @@
         self.queue.forwarder.cancel_attempts(request)
         self.queue.remove(request)
         self.queue.release(request.limiter)
-        self.queue.forwarder.forget_if_finished(request)
+        self.queue.forwarder.remove_if_finished(request)
 
     def client_half_closed(self, request: PendingRequest) -> None:
         """Start no more attempts; one in flight may still serve a client that has only half-closed."""
--- a/quota_gateway/policy/request_queue.py
+++ b/quota_gateway/policy/request_queue.py
@@ -27,27 +27,27 @@
     fine_grained: FineGrainedQuota
     forwarder: Forwarder
 
-    def set_deadline(self, request: PendingRequest) -> float:
+    def set_queue_deadline(self, request: PendingRequest) -> float:
         """Set until when the request may be queued, and return the longest wait in seconds."""
         now = self.context.now
-        useful = max(useful_until(request) - now, 0.0)
-        remaining = request.request.deadline - now
-        wait = min(MAX_WAIT_FRACTION * request.latency_objective, useful, remaining / 2)
+        useful_time = max(useful_until(request) - now, 0.0)
+        remaining_time = request.request.deadline - now
+        wait = min(MAX_WAIT_FRACTION * request.latency_objective, useful_time, remaining_time / 2)
         request.queue_deadline = now + wait
         return wait
 
     def admit(self, request: PendingRequest, max_wait: float) -> None:
         """Forward a request that the limiter covers, or queue it if it can leave within `max_wait`."""
         limiter = request.limiter
-        first = not limiter.queue and limiter.has_free_slot() and not limiter.awaiting_reading
-        if first and (request.admitted_unsampled or limiter.wait_time(request.units) <= 0):
+        may_leave = not limiter.queue and limiter.has_free_slot() and not limiter.awaiting_reading
+        if may_leave and (request.admitted_unsampled or limiter.wait_time(request.units) <= 0):
             limiter.balance -= request.units if limiter.plan.rate > 0 else 0.0
             self.fine_grained.request_forwarded(request)
             self.forwarder.forward(request)
             return
         wait = limiter.queueing_time(request.units)
         if wait > max_wait and not limiter.awaiting_reading:
-            self._overflow(request, wait)
+            self._handle_over_quota(request, wait)
             return
         limiter.enqueue(request)
         self.release(limiter)
@@ -72,10 +72,10 @@
                 return
 
     def _set_release_timer(self, limiter: Limiter, wait: float) -> None:
-        due = self.context.now + wait
-        earlier = limiter.release_due <= self.context.now or due < limiter.release_due - EPSILON
-        if limiter.has_free_slot() and earlier:
-            limiter.release_due = due
+        release_at = self.context.now + wait
+        is_needed = limiter.release_due <= self.context.now or release_at < limiter.release_due - EPSILON
+        if limiter.has_free_slot() and is_needed:
+            limiter.release_due = release_at
             self.context.set_timer(max(wait, MIN_TIMER_DELAY), ReleaseQueueTimer(limiter.customer))
 
     def time_out(self, request: PendingRequest) -> None:
@@ -94,19 +94,19 @@
 
     def _drop(self, request: PendingRequest) -> None:
         self.remove(request)
-        self._overflow(request, request.limiter.wait_time(request.units))
+        self._handle_over_quota(request, request.limiter.wait_time(request.units))
 
-    def _overflow(self, request: PendingRequest, wait: float) -> None:
+    def _handle_over_quota(self, request: PendingRequest, wait: float) -> None:
         """Forward a request over the quota without a charge, or reject it.
 
         It is forwarded if there is spare capacity, the plan has no hard limit, and the response is worth more
         than it costs.
         """
         plan = request.plan
-        pays = plan.over_quota_value > plan.over_quota_cost and plan.hard_limit_rate <= 0
-        spare = self.admission.has_spare_capacity(OVER_QUOTA_LIMIT_FRACTION)
-        if pays and spare and not request.attempts and not request.answered:
+        worth_serving = plan.over_quota_value > plan.over_quota_cost and plan.hard_limit_rate <= 0
+        has_capacity = self.admission.has_spare_capacity(OVER_QUOTA_LIMIT_FRACTION)
+        if worth_serving and has_capacity and not request.attempts and not request.answered:
             request.over_quota = True
             self.forwarder.forward(request)
         else:
-            self.forwarder.answer_with_advice(request, wait, Reason.QUOTA)
+            self.forwarder.answer_with_retry_after(request, wait, Reason.QUOTA)
--- a/quota_gateway/policy/retries.py
+++ b/quota_gateway/policy/retries.py
@@ -28,7 +28,7 @@
         self.balance -= 1.0
 
 
-def may_repeat_at(request: PendingRequest, endpoint: EndpointState, now: float) -> bool:
+def may_retry_at(request: PendingRequest, endpoint: EndpointState, now: float) -> bool:
     """Return whether another attempt at the endpoint can't make the request take effect twice."""
     first = request.first_possibly_executed
     if first is None:
@@ -41,7 +41,7 @@
     return same_group and now - first.sent_at < request.request_class.idempotency_window
 
 
-def remaining_window(request: PendingRequest, now: float) -> float:
+def remaining_idempotency_window(request: PendingRequest, now: float) -> float:
     """Return the seconds within which a retry with an idempotency key must be sent; 0 for no bound."""
     first = request.first_possibly_executed
     if first is None or not request.has_idempotency_key:
@@ -49,7 +49,7 @@
     return first.sent_at + request.request_class.idempotency_window - now
 
 
-def client_may_repeat(request: PendingRequest) -> bool:
+def client_may_retry(request: PendingRequest) -> bool:
     """Return whether the client can safely send the request again."""
     if request.first_possibly_executed is None:
         return True
--- a/quota_gateway/policy/slow_start.py
+++ b/quota_gateway/policy/slow_start.py
@@ -22,7 +22,7 @@
 
     context: EngineContext
     registry: EndpointRegistry
-    choice: EndpointState | None = None  # endpoint that the last draw accepted
+    accepted_endpoint: EndpointState | None = None  # endpoint that the last draw accepted
 
     def factor(self, endpoint: EndpointState) -> float:
         """Return the fraction of its capacity that an endpoint has at least; 1 once it is warm."""
@@ -56,15 +56,15 @@
         """
         candidates = self.registry.candidates
         capacity = sum(self.factor(candidate) for candidate in candidates if not is_outlier(candidate))
-        even = self.factor(endpoint) * len(candidates) / max(capacity, 1.0)
-        return min(even, self.budget(endpoint))
+        even_probability = self.factor(endpoint) * len(candidates) / max(capacity, 1.0)
+        return min(even_probability, self.budget(endpoint))
 
-    def draw(self, endpoint: EndpointState, warm_ones_are_full: bool) -> bool:
+    def draw(self, endpoint: EndpointState, warm_endpoints_full: bool) -> bool:
         """Accept the endpoint with its probability, or with its budget's rest once the warm ones are full."""
         if not self.is_warming_up(endpoint):
             return False
         probability = self.probability(endpoint)
-        if warm_ones_are_full:
+        if warm_endpoints_full:
             probability = self.budget(endpoint) - probability
-        self.choice = endpoint if self.context.random.random() < probability else None
-        return self.choice is endpoint
+        self.accepted_endpoint = endpoint if self.context.random.random() < probability else None
+        return self.accepted_endpoint is endpoint
--- a/quota_gateway/policy/start_times.py
+++ b/quota_gateway/policy/start_times.py
@@ -24,7 +24,7 @@
 class StartTimes:
     """Keeps the start of each endpoint; times are in seconds."""
 
-    confirmed_at: float = -inf  # time of discovery's last response
+    last_response_at: float = -inf  # time of discovery's last response
     known: dict[str, KnownStart] = field(default_factory=dict)  # by endpoint id, oldest entry first
 
     def observe(self, endpoint_id: str, listed_at: float | None, now: float) -> float | None:
@@ -33,23 +33,23 @@
         if known is not None and known.listed_at == listed_at:
             return known.counts_from
         counts_from = listed_at
-        if listed_at is not None and not self.confirmed_at <= listed_at <= now:
+        if listed_at is not None and not self.last_response_at <= listed_at <= now:
             counts_from = now
-        self._remember(endpoint_id, KnownStart(listed_at, counts_from))
+        self._store(endpoint_id, KnownStart(listed_at, counts_from))
         return counts_from
 
     def merge(self, endpoint_id: str, start: KnownStart) -> None:
         """Merge a start that the older process of a hot restart knows from lists before this one's start."""
         known = self.known.get(endpoint_id)
         if known is None or known.listed_at == start.listed_at:
-            self._remember(endpoint_id, start)
+            self._store(endpoint_id, start)
 
-    def _remember(self, endpoint_id: str, start: KnownStart) -> None:
+    def _store(self, endpoint_id: str, start: KnownStart) -> None:
         self.known.pop(endpoint_id, None)
         self.known[endpoint_id] = start
         if len(self.known) > MAX_KNOWN_STARTS:
             del self.known[next(iter(self.known))]
 
-    def list_answered(self, now: float) -> None:
+    def list_received(self, now: float) -> None:
         """Record a response of discovery: endpoints that are not in its list have yet to start."""
-        self.confirmed_at = now
+        self.last_response_at = now
--- a/quota_gateway/policy/subsetting.py
+++ b/quota_gateway/policy/subsetting.py
@@ -26,21 +26,23 @@
 
     def __init__(self, endpoints: Sequence[EndpointState], gateway_index: int, gateways: int) -> None:
         self._endpoints = endpoints
-        self._size = subset_size(len(endpoints), gateways)
-        self._begin = gateway_index / gateways
-        self._ring = _positions(endpoints) if self._size < len(endpoints) else []
+        self._subset_size = subset_size(len(endpoints), gateways)
+        self._arc_start = gateway_index / gateways
+        self._ring = _positions(endpoints) if self._subset_size < len(endpoints) else []
 
     def select(self, is_healthy: Callable[[EndpointState], bool]) -> Sequence[EndpointState]:
         """Return this gateway's subset, widened while too few of its endpoints are healthy."""
         if not self._ring:
             return self._endpoints
-        begin = self._begin
-        length = self._size / len(self._endpoints)
+        arc_start = self._arc_start
+        arc_length = self._subset_size / len(self._endpoints)
         while True:
-            chosen = [endpoint for position, endpoint in self._ring if (position - begin) % 1.0 < length]
-            if length >= 1.0 or sum(map(is_healthy, chosen)) >= MIN_HEALTHY_FRACTION * self._size:
-                return chosen
-            length *= 2
+            subset = [
+                endpoint for position, endpoint in self._ring if (position - arc_start) % 1.0 < arc_length
+            ]
+            if arc_length >= 1.0 or sum(map(is_healthy, subset)) >= MIN_HEALTHY_FRACTION * self._subset_size:
+                return subset
+            arc_length *= 2
 
 
 def _positions(endpoints: Sequence[EndpointState]) -> list[tuple[float, EndpointState]]:
@@ -52,7 +54,7 @@
     for endpoint in endpoints:
         zones[endpoint.endpoint.zone].append(endpoint)
     positions = []
-    for zone in zones.values():
-        zone.sort(key=lambda endpoint: (zlib.crc32(endpoint.id.encode()), endpoint.id))
-        positions += [((rank + 0.5) / len(zone), endpoint) for rank, endpoint in enumerate(zone)]
+    for members in zones.values():
+        members.sort(key=lambda endpoint: (zlib.crc32(endpoint.id.encode()), endpoint.id))
+        positions += [((rank + 0.5) / len(members), endpoint) for rank, endpoint in enumerate(members)]
     return positions
--- a/quota_gateway/policy/token_bucket.py
+++ b/quota_gateway/policy/token_bucket.py
@@ -22,10 +22,10 @@
     def refill(self, now: float) -> None:
         """Add the tokens earned since the last refill, up to the capacity less the queued units."""
         elapsed = max(now - self.updated_at, 0.0)
-        earned = self.balance + self.rate * elapsed
-        self.balance = max(self.balance, min(earned, self.capacity - self.queued_units))
-        hard_limit = self.hard_limit_balance + self.hard_limit_rate * elapsed
-        self.hard_limit_balance = min(self.hard_limit_capacity, hard_limit)
+        refilled = self.balance + self.rate * elapsed
+        self.balance = max(self.balance, min(refilled, self.capacity - self.queued_units))
+        hard_limit_refilled = self.hard_limit_balance + self.hard_limit_rate * elapsed
+        self.hard_limit_balance = min(self.hard_limit_capacity, hard_limit_refilled)
         self.updated_at = now
 
     def set_quota_fraction(self, fraction: float, now: float) -> None:
@@ -36,16 +36,16 @@
         self.capacity = self.plan.burst * fraction
         self.balance = min(self.balance, self.capacity - self.queued_units)
 
-    def give_back(self, units: float) -> None:
+    def refund(self, units: float) -> None:
         """Refund units that were charged but not used."""
         self.balance = min(self.balance + units, self.capacity - self.queued_units)
 
     def wait_time(self, units: float) -> float:
         """Return the seconds until the head of the queue, or a new request if it is empty, may leave."""
         wait = 0.0
-        missing = min(units, self.capacity) - (self.balance + self.queued_units)
-        if self.plan.rate > 0 and missing > EPSILON:
-            wait = missing / self.rate
+        deficit = min(units, self.capacity) - (self.balance + self.queued_units)
+        if self.plan.rate > 0 and deficit > EPSILON:
+            wait = deficit / self.rate
         if self.plan.hard_limit_rate > 0 and units - self.hard_limit_balance > EPSILON:
             wait = max(wait, (units - self.hard_limit_balance) / self.hard_limit_rate)
         return wait
@@ -71,11 +71,11 @@
         self.refill(now)
         full = self.plan.rate <= 0 or self.balance >= self.capacity - EPSILON
         full = full and self.hard_limit_balance >= self.hard_limit_capacity - EPSILON
-        waiting = self.report_scheduled or self.counter_calls or self.awaiting_reading
-        return full and not (self.queue or self.in_flight or waiting)
+        awaits_event = self.report_scheduled or self.counter_calls or self.awaiting_reading
+        return full and not (self.queue or self.in_flight or awaits_event)
 
-    def merge_balance(self, other: float, now: float) -> None:
+    def merge_balance(self, peer_balance: float, now: float) -> None:
         """Lower the balance to another process's less what was spent here, unless it is lower already."""
         self.refill(now)
         spent = max(self.capacity - self.balance, 0.0)
-        self.balance = min(self.balance, other - spent)
+        self.balance = min(self.balance, peer_balance - spent)
--- a/quota_gateway/state/peer_process.py
+++ b/quota_gateway/state/peer_process.py
@@ -24,4 +24,4 @@
     def charge(self, limiter: Limiter, units: float) -> None:
         """Charge units that the other process has reported."""
         limiter.refill(self.context.now)
-        limiter.give_back(-units)
+        limiter.refund(-units)
