--- a/quota_gateway/policy/admission.py
+++ b/quota_gateway/policy/admission.py
@@ -78,7 +78,7 @@
         A sample changes the ratio in proportion to the time since the last one, up to SAMPLE_INTERVAL.
         """
         endpoint.concurrency_limit = _adjusted_limit(
-            endpoint.concurrency_limit, late, endpoint.in_flight, endpoint.minimum_limit
+            endpoint.concurrency_limit, late, endpoint.in_flight, endpoint.min_concurrency_limit
         )
         fleet_minimum = FLEET_INITIAL_LIMIT * MINIMUM_TO_INITIAL_LIMIT * len(self.registry.serving)
         minimum = max(MIN_CONCURRENCY_LIMIT, fleet_minimum / self.context.settings.gateway_count)
--- a/quota_gateway/policy/attempt_results.py
+++ b/quota_gateway/policy/attempt_results.py
@@ -11,7 +11,7 @@
 from quota_gateway.policy.latency_estimates import LatencyEstimates
 from quota_gateway.policy.request_queue import RequestQueue
 from quota_gateway.state.context import EngineContext
-from quota_gateway.state.limiter_state import PERIOD
+from quota_gateway.state.limiter_state import QUOTA_PERIOD
 from quota_gateway.state.records import AttemptState, PendingRequest
 
 
@@ -89,7 +89,7 @@
         in_time = retry_deadline - self.context.now > self.latency.expected(request)
         affordable = budget_exempt or self.forwarder.retry_budget.is_available()
         if outcome is Outcome.TIMED_OUT or not in_time or not affordable:
-            self.forwarder.answer(request, PERIOD, Reason.NO_RETRY)
+            self.forwarder.answer(request, QUOTA_PERIOD, Reason.NO_RETRY)
             return
         if not budget_exempt:
             self.forwarder.retry_budget.withdraw()
--- a/quota_gateway/policy/fine_grained_quota.py
+++ b/quota_gateway/policy/fine_grained_quota.py
@@ -15,12 +15,12 @@
 from quota_gateway.policy.quota_sync import READING_LIFETIME, CounterHealth
 from quota_gateway.policy.token_bucket import EPSILON
 from quota_gateway.state.context import EngineContext
-from quota_gateway.state.limiter_state import PERIOD, CounterCall
+from quota_gateway.state.limiter_state import QUOTA_PERIOD, PendingCounterCall
 from quota_gateway.state.records import Limiter, PendingRequest
 
 COUNTER_EPOCH = 60.0  # seconds of use summed under one counter name: the counter keeps no name for longer
-READING_REUSE_TIME = PERIOD / 10  # seconds for which a reading also decides on further requests
-REPORT_DELAY = 0.25 * PERIOD  # seconds until units are reported that no request waits for
+READING_REUSE_TIME = QUOTA_PERIOD / 10  # seconds for which a reading also decides on further requests
+REPORT_DELAY = 0.25 * QUOTA_PERIOD  # seconds until units are reported that no request waits for
 CORRECTION_THRESHOLD = 0.25  # unused units, as a fraction of the burst, from which the counter is corrected
 GRANT_WEIGHT = 0.15  # weight of one reading in a grant ratio: about the last dozen readings count
 
@@ -80,7 +80,7 @@
     def _call_counter(self, limiter: Limiter, requested_units: float, correction: float = 0.0) -> None:
         name = f"{limiter.customer}.{int(self.context.quota_time // COUNTER_EPOCH)}"
         amount = limiter.unreported_units + requested_units
-        limiter.counter_calls.append(CounterCall(name, requested_units, amount))
+        limiter.counter_calls.append(PendingCounterCall(name, requested_units, amount))
         self.context.emit(IncrementCounter(name, amount + correction, COUNTER_EPOCH))
         limiter.unreported_units = 0.0
 
@@ -121,7 +121,7 @@
         limiter.awaiting_reading = False
         return True
 
-    def _apply_total(self, limiter: Limiter, call: CounterCall, total: float) -> None:
+    def _apply_total(self, limiter: Limiter, call: PendingCounterCall, total: float) -> None:
         """Set the balance from the units that all gateways forwarded in this epoch."""
         now = self.context.now
         burst = limiter.plan.burst
@@ -138,7 +138,7 @@
         limiter.reading_fresh_until = now + READING_REUSE_TIME
         limiter.reading_valid_until = now + READING_LIFETIME
 
-    def _correct_total(self, limiter: Limiter, call: CounterCall, total: float, unused: float) -> None:
+    def _correct_total(self, limiter: Limiter, call: PendingCounterCall, total: float, unused: float) -> None:
         """Raise the counter so that it stays within a burst of what the quota has earned."""
         burst = limiter.plan.burst
         if unused > burst and total <= call.amount + EPSILON:  # the first call for a new or expired name
@@ -146,7 +146,7 @@
         elif call.amount and unused > CORRECTION_THRESHOLD * burst:  # other gateways may be correcting too
             self._call_counter(limiter, 0.0, min(unused, burst / 2))
 
-    def _record_grant(self, limiter: Limiter, call: CounterCall, balance: float) -> None:
+    def _record_grant(self, limiter: Limiter, call: PendingCounterCall, balance: float) -> None:
         first = limiter.queue[0] if limiter.queue else None
         if call.requested_units > 0 and first is not None and first.reported_units > 0:
             key = (limiter.plan.name, first.covered_locally, first.request.is_retry)
--- a/quota_gateway/policy/forwarding.py
+++ b/quota_gateway/policy/forwarding.py
@@ -11,7 +11,7 @@
 from quota_gateway.policy.retries import RetryBudget, client_may_retry, remaining_idempotency_window
 from quota_gateway.policy.token_bucket import EPSILON
 from quota_gateway.state.context import EngineContext
-from quota_gateway.state.limiter_state import PERIOD
+from quota_gateway.state.limiter_state import QUOTA_PERIOD
 from quota_gateway.state.peer_process import PeerProcess
 from quota_gateway.state.records import AttemptState, EndpointState, PendingRequest
 
@@ -45,7 +45,7 @@
         if request.is_charged and not request.attempts:
             request.limiter.refund(request.units)
             self.fine_grained.request_withdrawn(request)
-        self.answer_with_retry_after(request, PERIOD, reason)
+        self.answer_with_retry_after(request, QUOTA_PERIOD, reason)
 
     def _start(self, request: PendingRequest, endpoint: EndpointState) -> None:
         if not request.attempts:
--- a/quota_gateway/policy/outlier_detection.py
+++ b/quota_gateway/policy/outlier_detection.py
@@ -32,14 +32,14 @@
 def record_success(endpoint: EndpointState, request: PendingRequest) -> None:
     """Halve the score, and no longer expect the endpoint to reject the request's class and plan."""
     endpoint.failure_score /= 2
-    endpoint.rejecting_until.pop(request.kind, None)
+    endpoint.rejecting_until.pop(request.rejection_key, None)
 
 
 def record_rejection(endpoint: EndpointState, request: PendingRequest, now: float) -> None:
     """Avoid the endpoint for requests of this class and plan; it may accept others, so no score is raised."""
-    endpoint.rejecting_until[request.kind] = now + REJECTION_LIFETIME
+    endpoint.rejecting_until[request.rejection_key] = now + REJECTION_LIFETIME
 
 
 def is_rejecting(endpoint: EndpointState, request: PendingRequest, now: float) -> bool:
     """Return whether the endpoint is expected to reject the request's class and plan."""
-    return endpoint.rejecting_until.get(request.kind, 0.0) > now
+    return endpoint.rejecting_until.get(request.rejection_key, 0.0) > now
--- a/quota_gateway/policy/quota_sync.py
+++ b/quota_gateway/policy/quota_sync.py
@@ -9,11 +9,11 @@
 from quota_gateway.model.timers import ReadDemandTimer, ReportDemandTimer
 from quota_gateway.policy.token_bucket import EPSILON
 from quota_gateway.state.context import EngineContext
-from quota_gateway.state.limiter_state import PERIOD
+from quota_gateway.state.limiter_state import QUOTA_PERIOD
 from quota_gateway.state.records import Limiter
 
-READING_LIFETIME = 2.5 * PERIOD  # seconds: a reading outlasts one lost call, not an unreachable counter
-COUNT_LIFETIME = 4 * PERIOD  # seconds for which the counter keeps the demand of a period
+READING_LIFETIME = 2.5 * QUOTA_PERIOD  # seconds: a reading outlasts one lost call, not an unreachable counter
+COUNT_LIFETIME = 4 * QUOTA_PERIOD  # seconds for which the counter keeps the demand of a period
 DEMAND_WEIGHT = 0.5  # weight of the last period in the smoothed demand: with few requests a second it jumps
 # Fraction of the gateway's even part of the quota that is in demand, or of its capacity that is spent, above
 # which demand is reported and read.
@@ -35,7 +35,7 @@
 PROMPT_REPLY_FACTOR = 1.25  # longest prompt reply, relative to the fastest one: the call met hardly any queue
 FASTEST_REPLY_GROWTH = 1.001  # factor of the fastest reply's time with each reply: the counter may slow down
 UNREACHABLE_FAILURES = 3  # consecutive failures from which the counter is unreachable rather than overloaded
-MAX_BACKOFF_EXPONENT = 4  # highest exponent of the backoff, which is PERIOD / 8 times a power of two
+MAX_BACKOFF_EXPONENT = 4  # highest exponent of the backoff, which is QUOTA_PERIOD / 8 times a power of two
 
 
 @dataclass(slots=True, eq=False)
@@ -62,7 +62,7 @@
             return
         self.consecutive_failures = min(self.consecutive_failures + 1, MAX_BACKOFF_EXPONENT)
         if reply.outcome is Outcome.CONNECT_FAILED or self.consecutive_failures >= UNREACHABLE_FAILURES:
-            self.paused_until = self.context.now + PERIOD * 2**self.consecutive_failures / 8
+            self.paused_until = self.context.now + QUOTA_PERIOD * 2**self.consecutive_failures / 8
         else:
             self.sampling_ratio = max(self.sampling_ratio * SAMPLING_DECREASE, MIN_SAMPLING_RATIO)
 
@@ -82,7 +82,7 @@
         limiter.report_scheduled = True
         quota_time = self.context.quota_time
         slot = (zlib.crc32(limiter.customer.encode()) % REPORT_SLOTS) / REPORT_SLOTS_PER_PERIOD
-        report_at = (quota_time // PERIOD + 1 + slot) * PERIOD
+        report_at = (quota_time // QUOTA_PERIOD + 1 + slot) * QUOTA_PERIOD
         self.context.set_timer(max(report_at - quota_time, 1e-6), ReportDemandTimer(limiter.customer))
 
     def report_demand(self, limiter: Limiter) -> None:
@@ -91,7 +91,7 @@
         limiter.record_demand(0.0, self.context.quota_time)
         period = limiter.demand_period - 1
         demand = limiter.previous_demand
-        limiter.local_demand += DEMAND_WEIGHT * (demand / PERIOD - limiter.local_demand)
+        limiter.local_demand += DEMAND_WEIGHT * (demand / QUOTA_PERIOD - limiter.local_demand)
         limiter.refill(now)
         if limiter.reading_valid_until < now:
             limiter.set_quota_fraction(1.0 / limiter.quota_spread, now)
@@ -118,7 +118,7 @@
         if total < limiter.reported_demand * (1.0 - 1e-6) - EPSILON:
             return False
         now = self.context.now
-        limiter.fleet_demand += DEMAND_WEIGHT * (total / PERIOD - limiter.fleet_demand)
+        limiter.fleet_demand += DEMAND_WEIGHT * (total / QUOTA_PERIOD - limiter.fleet_demand)
         limiter.fleet_demand = max(limiter.fleet_demand, limiter.local_demand)
         limiter.reading_valid_until = now + READING_LIFETIME
         quota = limiter.plan.rate
--- a/quota_gateway/policy/request_lifecycle.py
+++ b/quota_gateway/policy/request_lifecycle.py
@@ -10,7 +10,7 @@
 from quota_gateway.policy.request_queue import RequestQueue
 from quota_gateway.state.context import EngineContext
 from quota_gateway.state.limiter_registry import LimiterRegistry
-from quota_gateway.state.limiter_state import PERIOD
+from quota_gateway.state.limiter_state import QUOTA_PERIOD
 from quota_gateway.state.records import PendingRequest
 
 # Part of the concurrency limit in use, below which retries are forwarded whose response would be late.
@@ -49,7 +49,7 @@
     def _apply_rate_limit(self, request: PendingRequest) -> None:
         limiter = request.limiter
         if self._is_late_retry(request) and not self._can_afford_late_retry(request):
-            self.queue.forwarder.answer(request, PERIOD, Reason.LATE_RETRY)
+            self.queue.forwarder.answer(request, QUOTA_PERIOD, Reason.LATE_RETRY)
             return
         max_wait = self.queue.set_queue_deadline(request)
         if limiter.is_fine_grained:
@@ -57,7 +57,7 @@
         else:
             self.quota.schedule_report(limiter)
         if request.reported_units < 0 and not request.admitted_unsampled:
-            self.queue.forwarder.answer_with_retry_after(request, PERIOD, Reason.QUOTA)
+            self.queue.forwarder.answer_with_retry_after(request, QUOTA_PERIOD, Reason.QUOTA)
             return
         self.queue.admit(request, max_wait)
 
@@ -96,5 +96,5 @@
         request.not_resendable = True
         self.queue.remove(request)
         if not request.in_flight:
-            self.queue.forwarder.answer(request, PERIOD, Reason.CLIENT_GONE)
+            self.queue.forwarder.answer(request, QUOTA_PERIOD, Reason.CLIENT_GONE)
         self.queue.release(request.limiter)
--- a/quota_gateway/state/limiter_registry.py
+++ b/quota_gateway/state/limiter_registry.py
@@ -8,7 +8,7 @@
 from quota_gateway.model.settings import Plan
 from quota_gateway.policy.token_bucket import TokenBucketLimiter, is_too_small_to_split
 from quota_gateway.state.context import EngineContext
-from quota_gateway.state.limiter_state import PERIOD
+from quota_gateway.state.limiter_state import QUOTA_PERIOD
 from quota_gateway.state.records import Limiter
 
 EVICTION_CHECKS = 2  # limiters checked for each new one: idle limiters are evicted without a full scan
@@ -46,9 +46,9 @@
     def _evict_or_keep(self, customer: str) -> None:
         limiter = self.limiters[customer]
         now = self.context.now
-        period = self.context.quota_time // PERIOD
-        unused = limiter.reading_valid_until < now and limiter.demand_period < period
-        if unused and limiter.is_idle(now):
+        period = self.context.quota_time // QUOTA_PERIOD
+        is_unused = limiter.reading_valid_until < now and limiter.demand_period < period
+        if is_unused and limiter.is_idle(now):
             del self.limiters[customer]
         else:
             self.eviction_queue.append(customer)
--- a/quota_gateway/state/limiter_state.py
+++ b/quota_gateway/state/limiter_state.py
@@ -8,10 +8,10 @@
 
 from quota_gateway.model.settings import Plan
 
-PERIOD = 1.0  # seconds per demand count: the paper's value, and short compared to clients' timeouts
+QUOTA_PERIOD = 1.0  # seconds per demand count: the paper's value, and short compared to clients' timeouts
 
 
-class Sized(Protocol):
+class HasUnits(Protocol):
     """What the limiter needs to know about a queued request."""
 
     @property
@@ -19,11 +19,11 @@
         """Units that the request is charged for."""
 
 
-Queued = TypeVar("Queued", bound=Sized)
+Queued = TypeVar("Queued", bound=HasUnits)
 
 
 @dataclass(frozen=True, slots=True)
-class CounterCall:
+class PendingCounterCall:
     """A call to the counter that is in flight."""
 
     name: str  # name of the counter value
@@ -67,11 +67,11 @@
         self.expected_reading = ""  # name of the counter value that is being read
         self.is_fine_grained = False  # the quota is too small to be split among gateways
         self.unreported_units = 0.0  # below 0 if too many were reported
-        self.counter_calls: deque[CounterCall] = deque()  # calls in flight, oldest first
+        self.counter_calls: deque[PendingCounterCall] = deque()  # calls in flight, oldest first
 
     def record_demand(self, units: float, quota_time: float) -> None:
         """Count units that were requested in the current period."""
-        period = int(quota_time // PERIOD)
+        period = int(quota_time // QUOTA_PERIOD)
         if period != self.demand_period:
             self.previous_demand = self.current_demand if period == self.demand_period + 1 else 0.0
             self.demand_period = period
--- a/quota_gateway/state/records.py
+++ b/quota_gateway/state/records.py
@@ -18,7 +18,7 @@
     endpoint: Endpoint
     concurrency_limit: float  # attempts that this gateway may have in flight at the endpoint
     decayed_at: float  # when `failure_score` was last decayed
-    minimum_limit: float = 1.0  # lower bound of `concurrency_limit`
+    min_concurrency_limit: float = 1.0  # lower bound of `concurrency_limit`
     in_flight: int = 0  # attempts, including late ones
     late_in_flight: int = 0  # attempts in flight that are late
     failure_score: float = 0.0  # doubled and raised by one by a failure, halved by time and by a success
@@ -85,7 +85,7 @@
     plan: Plan = field(init=False)
     latency_objective: float = field(init=False)  # seconds within which its response has its full value
     # Request class and plan, by which endpoints reject requests.
-    kind: tuple[str, str] = field(init=False)
+    rejection_key: tuple[str, str] = field(init=False)
     # Request class and units, rounded up: clients choose the fractions, and each would need its own entry.
     duration_key: tuple[str, float] = field(init=False)
 
@@ -95,7 +95,7 @@
         self.units = self.request.units
         self.plan = self.limiter.plan
         self.latency_objective = self.request_class.latency_objective
-        self.kind = (self.request_class.name, self.plan.name)
+        self.rejection_key = (self.request_class.name, self.plan.name)
         self.duration_key = (self.request_class.name, float(math.ceil(self.units)))
 
     @property
--- a/quota_gateway/state/saved_state.py
+++ b/quota_gateway/state/saved_state.py
@@ -79,15 +79,15 @@
         returned_at = {key: time + seconds for key, time in self.returned_at.items()}
         return self._replace(
             saved_at=self.saved_at + seconds,
-            starts=[_moved_start(start, seconds) for start in self.starts],
+            starts=[_shifted_start(start, seconds) for start in self.starts],
             started_at=self.started_at + seconds,
-            limiters=[_moved_limiter(limiter, seconds) for limiter in self.limiters],
-            endpoints=[self._moved_endpoint(endpoint, seconds) for endpoint in self.endpoints],
+            limiters=[_shifted_limiter(limiter, seconds) for limiter in self.limiters],
+            endpoints=[self._shifted_endpoint(endpoint, seconds) for endpoint in self.endpoints],
             returned_at=returned_at,
             counter_paused_until=self.counter_paused_until + seconds,
         )
 
-    def _moved_endpoint(self, endpoint: SavedEndpoint, seconds: float) -> SavedEndpoint:
+    def _shifted_endpoint(self, endpoint: SavedEndpoint, seconds: float) -> SavedEndpoint:
         """Shift an endpoint's times, except a listed start, which is not by this gateway's clock."""
         started_at = endpoint.started_at
         if started_at is not None and started_at == self.returned_at.get(endpoint.endpoint_id):
@@ -95,13 +95,13 @@
         return endpoint._replace(started_at=started_at, decayed_at=endpoint.decayed_at + seconds)
 
 
-def _moved_start(start: SavedStart, seconds: float) -> SavedStart:
+def _shifted_start(start: SavedStart, seconds: float) -> SavedStart:
     if start.counts_from is None:
         return start
     return start._replace(counts_from=start.counts_from + seconds)
 
 
-def _moved_limiter(limiter: SavedLimiter, seconds: float) -> SavedLimiter:
+def _shifted_limiter(limiter: SavedLimiter, seconds: float) -> SavedLimiter:
     return limiter._replace(
         updated_at=limiter.updated_at + seconds,
         reading_valid_until=limiter.reading_valid_until + seconds,
