--- a/quota_gateway/policy/admission.py
+++ b/quota_gateway/policy/admission.py
@@ -42,7 +42,7 @@
     fleet_failure_rate: float = 0.0  # fraction of failed or late responses; handed over in a hot restart
 
     def should_shed(self, request: PendingRequest) -> bool:
-        """Return whether to shed the request; customers with less than half of their tokens go first."""
+        """Return whether to shed the request; those of customers with few tokens left go first."""
         rng = self.context.random
         if self.in_flight >= self.concurrency_limit + rng.random() - 0.5:
             return True
@@ -66,7 +66,7 @@
         self.in_flight -= not attempt.is_late
 
     def attempt_late(self, attempt: AttemptState) -> None:
-        """Record a late sample for an attempt in flight, which then leaves the gateway's limit."""
+        """Record a late sample for an attempt in flight; the gateway's limit no longer counts it."""
         attempt.is_late = True
         attempt.endpoint.late_in_flight += 1
         self.in_flight -= 1
--- a/quota_gateway/policy/endpoint_registry.py
+++ b/quota_gateway/policy/endpoint_registry.py
@@ -97,7 +97,7 @@
             self.returned_at[key] = max(time, self.returned_at.get(key, time))
 
     def restore(self, saved: SavedEndpoint) -> None:
-        """Restore what the previous process learned of an endpoint since its start."""
+        """Restore what the previous process learned about an endpoint since its start."""
         state = self.endpoints.get(saved.endpoint_id)
         if state is None:
             return
--- a/quota_gateway/policy/fine_grained_quota.py
+++ b/quota_gateway/policy/fine_grained_quota.py
@@ -116,7 +116,7 @@
         limiter.counter_calls.remove(call)
         if reply.outcome is Outcome.SUCCESS:
             self._apply_total(limiter, call, reply.total)
-        elif reply.outcome is not Outcome.TIMED_OUT:  # then the counter has added nothing
+        elif reply.outcome is not Outcome.TIMED_OUT:  # such a call has added nothing
             limiter.unreported_units += call.amount
         limiter.awaiting_reading = False
         return True
--- a/quota_gateway/policy/retries.py
+++ b/quota_gateway/policy/retries.py
@@ -11,7 +11,7 @@
 
 @dataclass(slots=True, eq=False)
 class RetryBudget:
-    """A balance of retries; a retry after an attempt that was not executed may be free of it."""
+    """The balance of retries; a retry after an attempt that was not executed may be made without it."""
 
     balance: float = MAX_RETRY_BALANCE
 
@@ -29,7 +29,7 @@
 
 
 def may_retry_at(request: PendingRequest, endpoint: EndpointState, now: float) -> bool:
-    """Return whether another attempt at the endpoint can't make the request take effect twice."""
+    """Return whether another attempt at the endpoint is safe: the request can't take effect twice."""
     first = request.first_possibly_executed
     if first is None:
         return True
