--- a/quota_gateway/policy/attempt_results.py
+++ b/quota_gateway/policy/attempt_results.py
@@ -1,4 +1,4 @@
-"""Handling of finished attempts: samples, charges and retries."""
+"""Handling of attempt results: samples, charges and retries."""
 
 from dataclasses import dataclass
 
@@ -6,18 +6,18 @@
 from quota_gateway.model.events import AttemptEnded, ResponseStreamStarted
 from quota_gateway.model.outcomes import Outcome
 from quota_gateway.policy import outlier_detection
-from quota_gateway.policy.admission import LATE_FRACTION, AdmissionController
+from quota_gateway.policy.admission import LATE_THRESHOLD_FRACTION, AdmissionController
 from quota_gateway.policy.forwarding import Forwarder
 from quota_gateway.policy.latency_estimates import LatencyEstimates
 from quota_gateway.policy.request_queue import RequestQueue
 from quota_gateway.state.context import EngineContext
-from quota_gateway.state.limiter_state import PERIOD
+from quota_gateway.state.limiter_state import QUOTA_PERIOD
 from quota_gateway.state.records import AttemptState, PendingRequest
 
 
 @dataclass(slots=True, eq=False)
 class AttemptResults:
-    """Passes the result of each attempt to the mechanisms that learn from it."""
+    """Updates estimates and limits with the result of each attempt, and retries or answers its request."""
 
     context: EngineContext
     admission: AdmissionController
@@ -26,7 +26,7 @@
     queue: RequestQueue
 
     def attempt_ended(self, event: AttemptEnded) -> None:
-        """Learn from the outcome, charge the actual units, and retry or forget the request."""
+        """Record the outcome, charge the actual units, and retry, answer or remove the request."""
         request = self.forwarder.requests.get(event.request_id)
         attempt = request.attempt_in_flight(event.attempt_index) if request is not None else None
         if request is None or attempt is None:
@@ -38,35 +38,35 @@
             self.admission.attempt_finished(attempt)
         request.in_flight -= 1
         request.limiter.in_flight -= 1
-        possible = (other for other in request.attempts if not other.proven_not_executed)
-        request.first_possibly_executed = next(possible, None)
+        possibly_executed = (other for other in request.attempts if not other.proven_not_executed)
+        request.first_possibly_executed = next(possibly_executed, None)
         if not attempt.is_streaming:
-            self._learn(request, attempt, event.outcome, event.elapsed)
-        self._settle_units(request, event.actual_units)
+            self._record_result(request, attempt, event.outcome, event.elapsed)
+        self._charge_actual_units(request, event.actual_units)
         request.answered = request.answered or event.request_answered
         if not request.answered and not request.in_flight:
             self._retry_or_answer(request, event.outcome)
-        self.forwarder.forget_if_finished(request)
+        self.forwarder.remove_if_finished(request)
         if request.limiter.queue and request.plan.concurrency > 0:
             self.queue.release(request.limiter)
 
     def attempt_late(self, request: PendingRequest, attempt_index: int) -> None:
-        """Sample an attempt that has no response when it becomes late."""
+        """Record a late sample for an attempt that is still waiting for its response."""
         attempt = request.attempts[attempt_index]
         if attempt.awaits_response:
             self.admission.attempt_late(attempt)
 
     def stream_started(self, request: PendingRequest, event: ResponseStreamStarted) -> None:
-        """Sample a response by its first bytes, and release its slot while the rest is streamed."""
+        """Record the time to the first byte, and release the concurrency slot while the rest is streamed."""
         request.streaming = True
         attempt = request.attempt_in_flight(event.attempt_index)
         if attempt is not None:
             elapsed = event.elapsed or self.context.now - attempt.sent_at
             self.admission.attempt_finished(attempt)
             attempt.is_streaming = True
-            self._learn(request, attempt, Outcome.SUCCESS, elapsed)
+            self._record_result(request, attempt, Outcome.SUCCESS, elapsed)
 
-    def _settle_units(self, request: PendingRequest, actual_units: float) -> None:
+    def _charge_actual_units(self, request: PendingRequest, actual_units: float) -> None:
         if actual_units <= 0 or request.units_settled or not request.is_charged:
             return
         request.units_settled = True
@@ -74,25 +74,28 @@
         limiter.refill(self.context.now)
         unused = request.units - actual_units
         self.forwarder.peer.report(limiter, -unused)
-        limiter.give_back(unused)
+        limiter.refund(unused)
         if limiter.is_fine_grained and request.reported_units > 0:
             limiter.unreported_units -= unused * request.reported_units / request.units
         self.queue.release(limiter)
 
     def _retry_or_answer(self, request: PendingRequest, outcome: Outcome) -> None:
-        end = min(request.request.deadline, request.first_sent_at + request.latency_objective)
-        # a rejected attempt took no work: its retry is free, unless load is shed
-        free = outcome.proves_not_executed and self.context.random.random() < self.admission.admit_ratio
-        in_time = end - self.context.now > self.latency.expected(request)
-        affordable = free or self.forwarder.retry_budget.is_available()
+        retry_deadline = min(request.request.deadline, request.first_sent_at + request.latency_objective)
+        # An attempt that was not executed took no work, so its retry does not use the retry budget. While
+        # load is shed, this holds for the admitted fraction of such retries only.
+        budget_exempt = (
+            outcome.proves_not_executed and self.context.random.random() < self.admission.admit_ratio
+        )
+        in_time = retry_deadline - self.context.now > self.latency.expected(request)
+        affordable = budget_exempt or self.forwarder.retry_budget.is_available()
         if outcome is Outcome.TIMED_OUT or not in_time or not affordable:
-            self.forwarder.answer(request, PERIOD, Reason.NO_RETRY)
+            self.forwarder.answer(request, QUOTA_PERIOD, Reason.NO_RETRY)
             return
-        if not free:
+        if not budget_exempt:
             self.forwarder.retry_budget.withdraw()
         self.forwarder.forward(request)
 
-    def _learn(
+    def _record_result(
         self, request: PendingRequest, attempt: AttemptState, outcome: Outcome, elapsed: float
     ) -> None:
         if outcome in (Outcome.CANCELLED, Outcome.NOT_SENT):
@@ -103,7 +106,7 @@
             outlier_detection.record_rejection(endpoint, request, self.context.now)
             return
         failed = outcome is not Outcome.SUCCESS
-        late = elapsed > LATE_FRACTION * request.latency_objective
+        late = elapsed > LATE_THRESHOLD_FRACTION * request.latency_objective
         self.admission.record_failure_rate(failed or late)
         if not attempt.is_late and outcome in (Outcome.SUCCESS, Outcome.TIMED_OUT):
             self.admission.record_sample(late, endpoint)
--- a/quota_gateway/policy/fine_grained_quota.py
+++ b/quota_gateway/policy/fine_grained_quota.py
@@ -1,7 +1,8 @@
-"""Quotas that are too small to split: many gateways share a burst of which none could hold a request.
+"""Quotas that are too small to split: a gateway's part of the burst might not cover a single request.
 
-Such a quota is not split. A reading of the counter gives the balance of the whole quota from the units that
-all gateways forwarded; while the counter is overloaded, a sample of the requests is read for all of them.
+Such a quota is shared. The counter sums the units that all gateways forwarded, and a reading of it gives the
+balance of the entire quota. While the counter is overloaded, only a sample of the requests calls it, on
+behalf of all of them.
 """
 
 from dataclasses import dataclass
@@ -14,38 +15,39 @@
 from quota_gateway.policy.quota_sync import READING_LIFETIME, CounterHealth
 from quota_gateway.policy.token_bucket import EPSILON
 from quota_gateway.state.context import EngineContext
-from quota_gateway.state.limiter_state import PERIOD, CounterCall
+from quota_gateway.state.limiter_state import QUOTA_PERIOD, PendingCounterCall
 from quota_gateway.state.records import Limiter, PendingRequest
 
-EPOCH = 60.0  # seconds of use that one name adds up: the longest that the counter keeps a name
-FRESH_FOR = PERIOD / 10  # that a reading serves further requests
-REPORT_DELAY = 0.25 * PERIOD  # until units are reported that no request waits for
-CORRECTION_THRESHOLD = 0.25  # of the burst: unused units from which the sum is corrected
-GRANT_WEIGHT = 0.15  # of one reading in a grant ratio: about the last dozen count
+COUNTER_EPOCH = 60.0  # seconds of use summed under one counter name: the counter keeps no name for longer
+READING_REUSE_TIME = QUOTA_PERIOD / 10  # seconds for which a reading also decides on further requests
+REPORT_DELAY = 0.25 * QUOTA_PERIOD  # seconds until units are reported that no request waits for
+CORRECTION_THRESHOLD = 0.25  # unused units, as a fraction of the burst, from which the counter is corrected
+GRANT_WEIGHT = 0.15  # weight of one reading in a grant ratio: about the last dozen readings count
 
 
 def initial_grant_ratios(settings: Settings) -> dict[tuple[str, bool, bool], float]:
-    """Return the ratios before any reading: requests are granted that are covered and are no retries."""
-    kinds = [(False, False), (False, True), (True, False), (True, True)]
+    """Return the initial ratios: requests that are covered locally and are not retries count as granted."""
+    combinations = [(False, False), (False, True), (True, False), (True, True)]
     return {
-        (p.name, covered, retry): float(covered and not retry)
-        for p in settings.plans
-        for covered, retry in kinds
+        (plan.name, covered, retry): float(covered and not retry)
+        for plan in settings.plans
+        for covered, retry in combinations
     }
 
 
 @dataclass(slots=True, eq=False)
 class FineGrainedQuota:
-    """Reads and reports the units of quotas that are not split."""
+    """Reads and reports the units of quotas that are too small to split."""
 
     context: EngineContext
     counter: CounterHealth
-    # part of the sampled requests that the quota covered: by plan, by whether this gateway's part seemed to
-    # cover them, and by whether they were retries, most likely rejected elsewhere for want of quota
+    # Fraction of the sampled requests that the quota covered, by plan name, by whether this gateway's part of
+    # the quota covered them, and by whether they were retries, which most likely were rejected by another
+    # gateway for lack of quota.
     grant_ratios: dict[tuple[str, bool, bool], float]
 
     def request_reading(self, request: PendingRequest) -> None:
-        """Call the counter and let the request wait, where the local balance can't decide on it."""
+        """Call the counter, unless the local balance decides; the request waits for the reply."""
         limiter = request.limiter
         now = self.context.now
         expired = now >= limiter.reading_valid_until
@@ -55,49 +57,51 @@
             return
         wait = limiter.wait_time(request.units)
         if not expired and wait > request.queue_deadline - now:
-            return  # too little, even if no other gateway has used any since
+            return  # the quota does not cover it in time, even if no other gateway has used any since
         covered = wait <= 0 and (expired or limiter.balance >= limiter.capacity / 2)
-        pays_off = self._pays_off_unsampled(request, covered)
+        worth_forwarding = self._is_worth_forwarding_unsampled(request, covered)
         if self.context.random.random() >= self.counter.sampling_ratio:
             request.reported_units = -1.0
-            request.admitted_unsampled = pays_off
+            request.admitted_unsampled = worth_forwarding
             return
         request.covered_locally = covered
-        request.reported_units = request.units / self.counter.sampling_ratio if pays_off else request.units
+        request.reported_units = (
+            request.units / self.counter.sampling_ratio if worth_forwarding else request.units
+        )
         limiter.awaiting_reading = True
         self._call_counter(limiter, request.reported_units)
 
-    def _pays_off_unsampled(self, request: PendingRequest, covered: bool) -> bool:
-        """Return whether forwarding without a reading pays off, by the grant ratio of sampled requests."""
+    def _is_worth_forwarding_unsampled(self, request: PendingRequest, covered: bool) -> bool:
+        """Return whether forwarding without a reading is worth its expected cost, by the grant ratio."""
         plan = request.plan
-        granted = self.grant_ratios[plan.name, covered, request.request.is_retry]
-        return granted + (1.0 - granted) * (plan.over_quota_value - plan.over_quota_cost) >= 0
+        grant_ratio = self.grant_ratios[plan.name, covered, request.request.is_retry]
+        return grant_ratio + (1.0 - grant_ratio) * (plan.over_quota_value - plan.over_quota_cost) >= 0
 
     def _call_counter(self, limiter: Limiter, requested_units: float, correction: float = 0.0) -> None:
-        name = f"{limiter.customer}.{int(self.context.quota_time // EPOCH)}"
+        name = f"{limiter.customer}.{int(self.context.quota_time // COUNTER_EPOCH)}"
         amount = limiter.unreported_units + requested_units
-        limiter.counter_calls.append(CounterCall(name, requested_units, amount))
-        self.context.emit(IncrementCounter(name, amount + correction, EPOCH))
+        limiter.counter_calls.append(PendingCounterCall(name, requested_units, amount))
+        self.context.emit(IncrementCounter(name, amount + correction, COUNTER_EPOCH))
         limiter.unreported_units = 0.0
 
     def report_unreported(self, limiter: Limiter) -> None:
-        """Report the units that no call has reported yet."""
+        """Report units that have not been reported yet to the counter."""
         if limiter.unreported_units and not self.counter.is_paused():
             self._call_counter(limiter, 0.0)
 
     def request_forwarded(self, request: PendingRequest) -> None:
-        """Schedule the report of the request's units, if no call has reported them."""
+        """Schedule a report of the request's units, unless a call has reported them."""
         if request.limiter.is_fine_grained and request.reported_units == 0:
             request.reported_units = request.units
-            self._report_soon(request.limiter, request.units)
+            self._schedule_report(request.limiter, request.units)
 
     def request_withdrawn(self, request: PendingRequest) -> None:
-        """Correct the units reported for a request that is not forwarded."""
+        """Schedule a correction of the units reported for a request that is not forwarded."""
         if request.limiter.is_fine_grained and request.reported_units > 0:
-            self._report_soon(request.limiter, -request.reported_units)
+            self._schedule_report(request.limiter, -request.reported_units)
             request.reported_units = 0.0
 
-    def _report_soon(self, limiter: Limiter, units: float) -> None:
+    def _schedule_report(self, limiter: Limiter, units: float) -> None:
         limiter.unreported_units += units
         if not limiter.report_scheduled:
             limiter.report_scheduled = True
@@ -112,37 +116,37 @@
         limiter.counter_calls.remove(call)
         if reply.outcome is Outcome.SUCCESS:
             self._apply_total(limiter, call, reply.total)
-        elif reply.outcome is not Outcome.TIMED_OUT:  # nothing was added
+        elif reply.outcome is not Outcome.TIMED_OUT:  # such a call has added nothing
             limiter.unreported_units += call.amount
         limiter.awaiting_reading = False
         return True
 
-    def _apply_total(self, limiter: Limiter, call: CounterCall, total: float) -> None:
-        """Set the balance by the units forwarded since the name's start."""
+    def _apply_total(self, limiter: Limiter, call: PendingCounterCall, total: float) -> None:
+        """Set the balance from the units that all gateways forwarded in this epoch."""
         now = self.context.now
         burst = limiter.plan.burst
-        # what the quota has earned, if there were no limit on the burst
-        unused = limiter.plan.rate * (self.context.quota_time % EPOCH) - total
+        # Tokens earned in this epoch less those used, as if the burst were unlimited.
+        unused = limiter.plan.rate * (self.context.quota_time % COUNTER_EPOCH) - total
         self._correct_total(limiter, call, total, unused)
         limiter.set_quota_fraction(1.0, now)
         balance = burst + unused + call.requested_units
         self._record_grant(limiter, call, balance)
-        forwarded = call.amount - call.requested_units
-        if balance < 0 < forwarded:  # beyond the quota, which takes nothing from it
-            self._report_soon(limiter, -min(forwarded, -balance))
+        forwarded_units = call.amount - call.requested_units
+        if balance < 0 < forwarded_units:  # units beyond the quota are not charged to it
+            self._schedule_report(limiter, -min(forwarded_units, -balance))
         limiter.balance = min(burst, balance) - limiter.queued_units
-        limiter.reading_fresh_until = now + FRESH_FOR
+        limiter.reading_fresh_until = now + READING_REUSE_TIME
         limiter.reading_valid_until = now + READING_LIFETIME
 
-    def _correct_total(self, limiter: Limiter, call: CounterCall, total: float, unused: float) -> None:
-        """Keep the sum within a burst of what the quota has earned."""
+    def _correct_total(self, limiter: Limiter, call: PendingCounterCall, total: float, unused: float) -> None:
+        """Raise the counter so that it stays within a burst of what the quota has earned."""
         burst = limiter.plan.burst
-        if unused > burst and total <= call.amount + EPSILON:  # a new or forgotten name: its first caller
+        if unused > burst and total <= call.amount + EPSILON:  # the first call for a new or expired name
             self._call_counter(limiter, 0.0, unused)
-        elif call.amount and unused > CORRECTION_THRESHOLD * burst:  # others may be doing the same
+        elif call.amount and unused > CORRECTION_THRESHOLD * burst:  # other gateways may be correcting too
             self._call_counter(limiter, 0.0, min(unused, burst / 2))
 
-    def _record_grant(self, limiter: Limiter, call: CounterCall, balance: float) -> None:
+    def _record_grant(self, limiter: Limiter, call: PendingCounterCall, balance: float) -> None:
         first = limiter.queue[0] if limiter.queue else None
         if call.requested_units > 0 and first is not None and first.reported_units > 0:
             key = (limiter.plan.name, first.covered_locally, first.request.is_retry)
--- a/quota_gateway/policy/request_lifecycle.py
+++ b/quota_gateway/policy/request_lifecycle.py
@@ -1,4 +1,4 @@
-"""Request lifecycle: arrival, request body, and disconnects of the client."""
+"""Request lifecycle: arrival, end of the body, and disconnects of the client."""
 
 from dataclasses import dataclass, replace
 
@@ -10,10 +10,11 @@
 from quota_gateway.policy.request_queue import RequestQueue
 from quota_gateway.state.context import EngineContext
 from quota_gateway.state.limiter_registry import LimiterRegistry
-from quota_gateway.state.limiter_state import PERIOD
+from quota_gateway.state.limiter_state import QUOTA_PERIOD
 from quota_gateway.state.records import PendingRequest
 
-LATE_RETRY_LIMIT_FRACTION = 0.25  # of the concurrency limit, below which late retries are forwarded
+# Part of the concurrency limit in use, below which retries are forwarded whose response would be late.
+LATE_RETRY_LIMIT_FRACTION = 0.25
 
 
 @dataclass(slots=True, eq=False)
@@ -43,42 +44,42 @@
         first_sent_at = now - self.latency.retry_age(event, request_class)
         request = PendingRequest(event, request_class, limiter, now, first_sent_at, now)
         self.queue.forwarder.requests[request.id] = request
-        self._limit(request)
+        self._apply_rate_limit(request)
 
-    def _limit(self, request: PendingRequest) -> None:
+    def _apply_rate_limit(self, request: PendingRequest) -> None:
         limiter = request.limiter
-        if self._is_late_retry(request) and not self._has_spare_quota(request):
-            self.queue.forwarder.answer(request, PERIOD, Reason.LATE_RETRY)
+        if self._is_late_retry(request) and not self._can_afford_late_retry(request):
+            self.queue.forwarder.answer(request, QUOTA_PERIOD, Reason.LATE_RETRY)
             return
-        max_wait = self.queue.set_deadline(request)
+        max_wait = self.queue.set_queue_deadline(request)
         if limiter.is_fine_grained:
             self.queue.fine_grained.request_reading(request)
         else:
             self.quota.schedule_report(limiter)
         if request.reported_units < 0 and not request.admitted_unsampled:
-            self.queue.forwarder.answer_with_advice(request, PERIOD, Reason.QUOTA)
+            self.queue.forwarder.answer_with_retry_after(request, QUOTA_PERIOD, Reason.QUOTA)
             return
         self.queue.admit(request, max_wait)
 
     def _is_late_retry(self, request: PendingRequest) -> bool:
-        """Return whether a retry's answer would come too late; forwarding it would displace a new request."""
+        """Return whether this is a retry whose response would be late; it would displace a new request."""
         finished_at = self.context.now + self.latency.expected(request)
         return request.request.is_retry and finished_at > useful_until(request)
 
-    def _has_spare_quota(self, request: PendingRequest) -> bool:
-        """Return whether capacity and quota suffice for a request that earns nothing."""
-        spare = self.admission.has_spare_capacity(LATE_RETRY_LIMIT_FRACTION)
-        return spare and request.limiter.is_half_full()
+    def _can_afford_late_retry(self, request: PendingRequest) -> bool:
+        """Return whether capacity and quota suffice for a request whose response has no value."""
+        has_capacity = self.admission.has_spare_capacity(LATE_RETRY_LIMIT_FRACTION)
+        return has_capacity and request.limiter.is_half_full()
 
     def body_received(self, request: PendingRequest, deadline: float) -> None:
-        """Start the deadline and latency objective of a request whose body was streamed."""
+        """Set the deadline of a request whose streamed body is complete, and start its latency objective."""
         if not request.request.body_incomplete:
             return
         request.request = replace(request.request, body_incomplete=False, deadline=deadline)
         request.first_sent_at += self.context.now - request.received_at
         for index, attempt in enumerate(request.attempts):
             if attempt.in_flight:
-                self.queue.forwarder.watch_lateness(request, index)
+                self.queue.forwarder.set_late_timer(request, index)
 
     def client_disconnected(self, request: PendingRequest) -> None:
         """Cancel the request's attempts and remove it from the queue."""
@@ -86,14 +87,14 @@
         self.queue.forwarder.cancel_attempts(request)
         self.queue.remove(request)
         self.queue.release(request.limiter)
-        self.queue.forwarder.forget_if_finished(request)
+        self.queue.forwarder.remove_if_finished(request)
 
     def client_half_closed(self, request: PendingRequest) -> None:
-        """Start no more attempts; one in flight may still serve a client that only half-closed."""
+        """Start no more attempts; one in flight may still serve a client that has only half-closed."""
         if request.answered or request.streaming:
             return
         request.not_resendable = True
         self.queue.remove(request)
         if not request.in_flight:
-            self.queue.forwarder.answer(request, PERIOD, Reason.CLIENT_GONE)
+            self.queue.forwarder.answer(request, QUOTA_PERIOD, Reason.CLIENT_GONE)
         self.queue.release(request.limiter)
