--- a/quota_gateway/downstream/__init__.py
+++ b/quota_gateway/downstream/__init__.py
@@ -1,1 +1,1 @@
-"""The downstream side: client connections, their requests and the responses."""
+"""The downstream side: client connections, their requests and responses."""
--- a/quota_gateway/downstream/arrival_bound.py
+++ b/quota_gateway/downstream/arrival_bound.py
@@ -1,7 +1,7 @@
-"""Bounds on when input came that is read only now: the time of a request counts from its arrival.
+"""Lower bounds on arrival times of input: the time budget of a request starts when it arrives.
 
-Bytes of a client may lie in the kernel while reading is paused, while its connection waits to be accepted,
-and while this process does not run or its event loop is busy. A client may also have left meanwhile.
+A client's bytes may wait in the kernel while reading is paused, while its connection is in the listen queue,
+and while this process is suspended or its event loop is busy. The client may have disconnected in that time.
 """
 
 from __future__ import annotations
@@ -9,18 +9,18 @@
 import asyncio
 from collections.abc import Callable
 
-TURN_INTERVAL = 0.025  # seconds between two turns of the event loop that are noted, unless it is held up
+TURN_INTERVAL = 0.025  # seconds between two recorded iterations of the event loop, more if it is blocked
 
 
 class EventLoopMonitor:
-    """Notes since when the event loop has reported all input that there was.
+    """Records iterations of the event loop, to bound the arrival time of the input that it reports.
 
-    Input that a turn of the loop reports came after `previous_turn_at`: between that time and the latest
-    noted turn the loop looked at all watched sockets once, and reported what it found.
+    Input that the loop reports now arrived after `previous_turn_at`: between that time and the latest
+    recorded iteration the loop polled all watched sockets at least once, and reported what it found.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, clock: Callable[[], float]) -> None:
-        """Start to note turns of `loop`, by `clock` in seconds."""
+        """Start to record iterations of `loop`; `clock` returns the time in seconds."""
         self._loop = loop
         self._clock = clock
         self.previous_turn_at = clock()
@@ -28,7 +28,7 @@
         self._timer = loop.call_later(TURN_INTERVAL, self._note_turn)
 
     def close(self) -> None:
-        """Note no further turns."""
+        """Stop recording iterations."""
         self._timer.cancel()
 
     def _note_turn(self) -> None:
@@ -38,31 +38,34 @@
 
 
 class ArrivalBound:
-    """The earliest time at which input of one socket may have come that is read now."""
+    """The earliest time at which the input that is now read from a socket may have arrived."""
 
     __slots__ = ("_monitor", "_waiting_since", "_watched_since")
 
     def __init__(self, monitor: EventLoopMonitor, waiting_since: float, now: float) -> None:
-        """Take a socket that the loop watches from now on; its input may wait since `waiting_since`."""
+        """Initialize for a socket that the loop watches from `now` on.
+
+        Its input may have been waiting since `waiting_since`. All times are seconds.
+        """
         self._monitor = monitor
         self._waiting_since = waiting_since
         self._watched_since = now
 
     def earliest(self) -> float:
-        """Return the earliest time, in seconds."""
+        """Return the earliest possible arrival time, in seconds."""
         previous_turn_at = self._monitor.previous_turn_at
         return previous_turn_at if previous_turn_at >= self._watched_since else self._waiting_since
 
     def leave_unread(self, now: float) -> None:
-        """Note that input may be left unread, or that the socket is not watched from now on."""
+        """Record that input may remain unread, or that the loop no longer watches the socket."""
         self._waiting_since = self.earliest()
         self._watched_since = now
 
     def mark_empty(self, now: float) -> None:
-        """Note that all input has been read."""
+        """Record that all input has been read."""
         self._waiting_since = now
         self._watched_since = now
 
     def watch(self, now: float) -> None:
-        """Note that the socket is watched again."""
+        """Record that the loop watches the socket again."""
         self._watched_since = now
--- a/quota_gateway/downstream/client_connection.py
+++ b/quota_gateway/downstream/client_connection.py
@@ -1,4 +1,4 @@
-"""One client connection: requests in, responses out in the same order."""
+"""One client connection: it receives requests and sends the responses in the same order."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 from quota_gateway.invariants import Invariant
 from quota_gateway.sockets.kernel_state import has_peer_closed
 
-MAX_PIPELINED_REQUESTS = 16  # unanswered requests on one connection; further ones stay unread
-PARSE_SIZE = 8192  # bytes parsed at a time, which bounds the requests accepted past the limit above
+MAX_PIPELINED_REQUESTS = 16  # unanswered requests on one connection at which reading pauses
+PARSE_SIZE = 8192  # bytes parsed at a time; bounds the requests accepted beyond MAX_PIPELINED_REQUESTS
 
 
 class RequestListener(Listener, DispatchingListener, Protocol):
-    """What a connection needs of the listener that accepted it."""
+    """The parts of a listener that its connections use."""
 
     router: RequestRouter
     connections: set[ClientConnection]
 
     def is_shutting_down(self) -> bool:
-        """Return True while connections are to close after their responses."""
+        """Return True while connections close after their pending responses."""
 
 
 class ClientConnection(FlowControlledConnection):
@@ -35,25 +35,25 @@
     listener: RequestListener
 
     def __init__(self, listener: RequestListener, waiting_since: float) -> None:
-        """Start without a request; what the client sent may wait in the kernel since `waiting_since`."""
+        """Initialize without a request; input may have been waiting since `waiting_since`, in seconds."""
         super().__init__(listener, waiting_since)
         self.requests = RequestHandler(self, listener.router, self.last_read_at)
         self.responses = ResponseQueue()
-        self.idle_since = self.last_read_at  # seconds: when the latest responses were written
+        self.idle_since = self.last_read_at  # seconds: time at which the latest response was written
         self.half_close = HalfClose(listener, self.responses)
 
     @property
     def in_request(self) -> bool:
-        """True while a request is partly read."""
+        """True while a request has been read in part only."""
         return self.requests.in_request
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport (asyncio)."""
+        """Store the transport and register the connection with its listener (asyncio)."""
         super().connection_made(transport)
         self.listener.connections.add(self)
 
     def data_received(self, data: bytes) -> None:
-        """Parse received bytes; after the last request they are discarded."""
+        """Parse received bytes; they are discarded once no further request is accepted."""
         if self.ended:
             return
         self.last_read_at = self.listener.clock()
@@ -63,7 +63,7 @@
         self.process_unread()
 
     def process_unread(self) -> None:
-        """Parse what has been received, as far as the limits allow, and read on or pause."""
+        """Parse received bytes as far as the limits allow, then pause or resume reading."""
         requests = self.requests
         while self.unread and not (self.ended or self.is_full() or requests.error_pause):
             data = self.unread
@@ -74,14 +74,14 @@
         self.update_reading()
 
     def is_full(self) -> bool:
-        """Return True while no further request, or part of a body, can be taken."""
+        """Return True while no further request or body data can be accepted."""
         body_stream = self.requests.body_stream
         if body_stream is not None and body_stream.is_full():
             return True
         return self.write_paused or len(self.responses) >= MAX_PIPELINED_REQUESTS
 
     def update_reading(self) -> None:
-        """Pause reading while enough is in flight, so that no client can fill the memory."""
+        """Pause reading while a limit is reached, which bounds the memory that a client can use."""
         pause = self.is_full() or bool(self.unread) or self.requests.error_pause is not None
         if self.transport is None or pause == self.read_paused or self.ended:
             return
@@ -92,19 +92,19 @@
             self.resume_reading()
 
     def pause_writing(self) -> None:
-        """Stop the source of the responses too: the client doesn't read them (asyncio)."""
+        """Pause reading and the source of the first response while the client doesn't read (asyncio)."""
         super().pause_writing()
         self.responses.pause_source()
         self.update_reading()
 
     def resume_writing(self) -> None:
-        """Go on with responses and requests: the client reads again (asyncio)."""
+        """Resume responses and requests once the client reads again (asyncio)."""
         super().resume_writing()
         self.responses.resume_source()
         self.process_unread()
 
     def flush(self) -> None:
-        """Write the responses that are ready, up to the first request that has none yet."""
+        """Write the responses that are ready, up to the first request without a response."""
         if self.transport is None:
             return
         result = self.responses.flush(self.transport)
@@ -125,21 +125,22 @@
     def ends_with(self, writer: ResponseWriter) -> bool:
         """Return True for the last response before a shutdown or drain closes the connection.
 
-        An earlier response must not announce the close: the requests behind it would get no response.
+        No further request is accepted then. An earlier response must not announce the close: the requests
+        after it would get no response.
         """
         partial_request = self.in_request and writer is not self.requests.streaming_writer
         if not self.listener.is_shutting_down() or self.unread or partial_request:
             return False
-        is_last = bool(self.responses) and self.responses[-1] is writer  # there are none of a lost connection
+        is_last = bool(self.responses) and self.responses[-1] is writer  # empty once the connection is lost
         if not is_last or self.has_unread_input():
             return False
         self.ended = True
         return True
 
     def eof_received(self) -> bool:
-        """Handle the end of the client's sending; True keeps the connection open for responses (asyncio).
+        """Handle the client's end of stream (asyncio); True keeps the connection open for responses.
 
-        Such a client may still read: only a broken connection shows that it doesn't.
+        The client may still read: only a broken connection shows that it doesn't.
         """
         if self.requests.streaming_writer is not None:
             self.requests.abort_request(InvalidRequestError(400, "the body is not whole"))
@@ -150,14 +151,14 @@
         return True
 
     def handle_disconnect(self, broken: bool) -> None:
-        """Handle a client that disconnects while reading is paused."""
+        """Reset a broken connection; otherwise handle the half-close."""
         if broken:
             self.cut_off()
         else:
             self.half_close.begin(self.listener.loop_monitor.previous_turn_at)
 
     def client_disconnected(self) -> bool:
-        """Return True if the client has closed; on a busy core the kernel knows it before the loop."""
+        """Return True if the client has closed its side; on a busy core the kernel knows before the loop."""
         return self.transport is None or self.half_close.begun or has_peer_closed(self.descriptor)
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -172,35 +173,35 @@
             self.listener.dispatcher.client_disconnected(request_id)
 
     def is_reading_request(self) -> bool:
-        """Return True if a request is incomplete for no other reason than that its client is slow."""
+        """Return True if a request is incomplete only because its client is slow."""
         if not self.in_request or self.unread or self.read_paused:
             return False
         return self.responses.is_first(self.requests.streaming_writer)
 
     def is_in_partial_request(self) -> bool:
-        """Return True if a request is partly read, and nothing else is in flight here."""
+        """Return True if a request is partly read and no other one is in flight."""
         return self.in_request and not (self.responses or self.closing or self.unread)
 
     def last_used_at(self) -> float:
-        """Return when the connection last carried bytes of a request or a response, in seconds."""
+        """Return when the connection last carried bytes of a request or response, in seconds."""
         return max(self.idle_since, self.requests.received_at)
 
     def end(self) -> None:
-        """Close after the last response."""
+        """Close gracefully after the last response."""
         self.check_close()
         super().end()
 
     def drop(self) -> None:
-        """Close at once a connection that awaits no response, or that had its time to read one."""
+        """Close immediately: no response is pending, or the client had its time to read one."""
         self.check_close()
         super().drop()
 
     def check_close(self) -> None:
-        """Check the invariant that no request is left without its response."""
+        """Check the invariant that a connection closes with no request unanswered."""
         unanswered = list(self.responses.unanswered())
         if unanswered:
             self.listener.dispatcher.invariants.violated(Invariant.CLOSED_ANSWERED, unanswered)
 
     def is_idle(self) -> bool:
-        """Return True if no request is in flight here or partly read."""
+        """Return True if the connection is open and no request is in flight or partly read."""
         return not (self.responses or self.closing or self.unread or self.in_request)
