--- a/quota_gateway/downstream/client_listener.py
+++ b/quota_gateway/downstream/client_listener.py
@@ -1,4 +1,4 @@
-"""The listening socket of the clients' side, and the connections that it accepted."""
+"""The listening socket for clients, and the connections accepted from it."""
 
 from __future__ import annotations
 
@@ -21,18 +21,18 @@
 from quota_gateway.sockets.dialing import RETRY_DELAY, SYSTEM_SHORTAGE_ERRNOS
 
 SWEEP_INTERVAL = 0.1  # seconds between checks of the connections' timeouts
-DRAIN_DELAY = 0.5  # seconds of a drain in which the load balancer may still send connections, and a margin
-MIN_CONNECTIONS = 8  # connections that clients may have, however short descriptors are
+DRAIN_DELAY = 0.5  # seconds of a drain in which the load balancer may still open connections, plus a margin
+MIN_CONNECTIONS = 8  # client connections that are allowed however few descriptors are left
 MAX_ACCEPTS = 64  # connections accepted at a time, so that open ones are served in between
-MAX_FAILED_ACCEPTS = 3  # at a time: a shortage of the system has mostly passed by the next call
-FLUSH_POLL_INTERVAL = 0.01  # seconds
-UNKNOWN_TIME = 0.0  # seconds: long before any request
+MAX_FAILED_ACCEPTS = 3  # failed accepts before a pause: a system shortage has mostly passed by the next call
+FLUSH_POLL_INTERVAL = 0.01  # seconds between checks for unsent response data
+UNKNOWN_TIME = 0.0  # seconds; a time long before any request, for input of unknown age
 
 
 class ClientListener:
     """Accepts connections, limits their number, and closes them in a drain or shutdown.
 
-    The loop's own server is not used: where no descriptor is left it would close the connection, and a
+    The event loop's own server is not used: with no descriptor left it would close the connection, and a
     request that was already sent on it would be lost.
     """
 
@@ -44,11 +44,11 @@
         max_connections: int,
         is_serving: Callable[[], bool],
     ) -> None:
-        """Take the parts that requests need; `is_serving` tells whether the gateway accepts requests."""
+        """Initialize without a socket; `is_serving` returns True while the gateway accepts requests."""
         self.dispatcher = dispatcher
         self.clock = clock
         self.max_connections = max_connections
-        self.withheld = 0  # connections fewer than that, while descriptors are short
+        self.withheld = 0  # reduction of the connection limit while descriptors are short
         self.read_buffer = bytearray(READ_BUFFER_BYTES)
         self.is_serving = is_serving
         self.router = RequestRouter(dispatcher, settings, self.is_ready)
@@ -57,13 +57,13 @@
         self.loop: asyncio.AbstractEventLoop = asyncio.get_running_loop()
         self.disconnect_monitor = DisconnectMonitor(self.loop)
         self.loop_monitor = EventLoopMonitor(self.loop, clock)
-        self.queue_bound = ArrivalBound(self.loop_monitor, clock(), clock())  # of the listen queue
+        self.queue_bound = ArrivalBound(self.loop_monitor, clock(), clock())  # for the listen queue
         self.listener: socket.socket | None = None
-        self.accept_timer: asyncio.TimerHandle | None = None  # while accepting is paused
+        self.accept_timer: asyncio.TimerHandle | None = None  # set while accepting is paused
         self.stopping = False
         self.draining = False
-        self.superseded = False  # a newer process accepts; its readiness holds for both
-        self.drained_since = 0.0  # seconds
+        self.superseded = False  # a newer process accepts connections and keeps the gateway ready
+        self.drained_since = 0.0  # seconds: start of the latest drain
         self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL, self.sweep)
 
     def is_ready(self) -> bool:
@@ -71,19 +71,19 @@
         return self.is_serving() and (self.superseded or not self.stopping)
 
     def is_shutting_down(self) -> bool:
-        """Return True while connections are to close after their responses."""
+        """Return True while connections close after their pending responses."""
         return self.stopping or self.draining or self.superseded
 
     def drain(self, enabled: bool) -> None:
-        """Close connections after their responses, or stop doing so; new ones are accepted and served."""
+        """Start or stop closing connections after their responses; new ones are accepted and served."""
         if enabled and not self.draining:
             self.drained_since = self.clock()
         self.draining = enabled
 
     def listen(self, listener: socket.socket, is_queue_old: bool = False) -> None:
-        """Accept the connections of a listening socket, which this object closes.
+        """Accept connections from a listening socket, which this object then owns and closes.
 
-        With `is_queue_old` connections may have waited in its queue since any time.
+        With `is_queue_old` connections may have waited in its queue for an unknown time.
         """
         self.listener = listener
         now = self.clock()
@@ -91,7 +91,7 @@
         self.loop.add_reader(listener, self.accept)
 
     def set_superseded(self, enabled: bool) -> None:
-        """Leave new connections to a newer process, or accept them again if that one has ended."""
+        """Leave new connections to a newer process, or accept them again if it has exited."""
         self.superseded = enabled
         if self.listener is None:
             return
@@ -106,7 +106,7 @@
             self.loop.add_reader(self.listener, self.accept)
 
     def accept(self) -> bool:
-        """Accept what waits, up to a limit; True if more may wait and there is capacity for it."""
+        """Accept queued connections up to a limit; return True if more may be accepted at once."""
         self.accept_timer = None
         waiting_since = self.queue_bound.earliest()
         failed_accepts = 0
@@ -126,7 +126,7 @@
                 if error.errno == errno.EMFILE:
                     self.handle_descriptor_exhaustion()
                 elif failed_accepts < MAX_FAILED_ACCEPTS:
-                    continue  # also if the client has disconnected
+                    continue  # also if the client has already disconnected
                 self.pause_accepting()
                 return False
             sock.setblocking(False)
@@ -144,24 +144,24 @@
             sock.close()
 
     def has_capacity(self) -> bool:
-        """Return True if one more connection may be accepted, after an eviction if need be."""
+        """Return True if one more connection may be accepted, if necessary after an eviction."""
         open_connections = len(self.connections) + len(self.accepting)
         return open_connections < self.max_connections - self.withheld or self.evict_unused()
 
     def handle_descriptor_exhaustion(self) -> None:
-        """Allow clients fewer connections than are open: the other sockets need descriptors too."""
+        """Lower the limit below the number of open connections: other sockets need descriptors too."""
         limit = min(self.max_connections - self.withheld, len(self.connections)) - MAX_EVICTIONS
         self.withheld = self.max_connections - max(limit, min(MIN_CONNECTIONS, self.max_connections))
         self.evict_unused()
 
     def evict_unused(self) -> bool:
-        """Close some unused connections; False if there is none."""
+        """Close some unused connections; return False if there is none."""
         evicted = evict_unused(self.connections, self.clock())
-        self.connections.difference_update(evicted)  # their descriptors are free before the loop's next round
+        self.connections.difference_update(evicted)  # their descriptors are free before the loop polls again
         return bool(evicted)
 
     def sweep(self) -> None:
-        """Enforce the timeouts of all connections, and a drain."""
+        """Enforce the timeouts of all connections, and close unused ones in a drain."""
         self.sweep_timer.cancel()
         now = self.clock()
         self.withheld = max(self.withheld - 1, 0)
@@ -175,14 +175,14 @@
         self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL, self.sweep)
 
     def pause_accepting(self) -> None:
-        """Leave connections in the kernel's queue, where nothing is lost, until there is capacity again."""
+        """Leave connections in the kernel's queue, where no request is lost, and retry after a delay."""
         if self.listener is not None and self.accept_timer is None:
             self.queue_bound.leave_unread(self.clock())
             self.loop.remove_reader(self.listener)
             self.accept_timer = self.loop.call_later(RETRY_DELAY, self.resume_accepting)
 
     def resume_accepting(self) -> None:
-        """Accept again after a pause."""
+        """Resume accepting after a pause."""
         self.accept_timer = None
         if self.listener is not None:
             self.queue_bound.watch(self.clock())
@@ -190,7 +190,7 @@
             self.accept()
 
     def stop_listening(self) -> bool:
-        """Accept what waits, then close the socket; False while there is no capacity for what waits."""
+        """Accept all queued connections, then close the socket; return False while there is no capacity."""
         while self.accept():
             pass
         if self.accept_timer is not None:
@@ -206,23 +206,23 @@
             self.listener = None
 
     def has_open_connections(self) -> bool:
-        """Return True while there is a connection on which a request may still arrive."""
+        """Return True while a request may still arrive on any connection."""
         return bool(self.accepting) or any(not c.closing for c in self.connections)
 
     async def wait_until_flushed(self, timeout: float) -> None:
-        """Wait until the kernel has taken all responses, for `timeout` seconds at most."""
+        """Wait until the kernel has accepted all response data, for `timeout` seconds at most."""
         end = self.clock() + timeout
         while any(c.unsent_bytes() for c in self.connections) and self.clock() < end:  # noqa: ASYNC110
             await asyncio.sleep(FLUSH_POLL_INTERVAL)  # a transport doesn't report that its buffer is empty
 
     def close_idle(self) -> None:
-        """Close the connections without a request; what already waits there is read and answered first."""
+        """Close idle connections; those with unread input stay open, so that it is read and answered."""
         for connection in list(self.connections):
             if may_close_client(connection, 0.0, self.clock()):
                 connection.end()
 
     def close(self) -> None:
-        """Close the socket and all connections."""
+        """Close the listening socket and all connections."""
         self.sweep_timer.cancel()
         self.close_listener()
         for connection in list(self.connections):
--- a/quota_gateway/downstream/connection_eviction.py
+++ b/quota_gateway/downstream/connection_eviction.py
@@ -1,4 +1,4 @@
-"""Closing of client connections that are not used: for other clients, and while the gateway drains."""
+"""Closing of unused client connections, to free capacity for other clients or to drain the gateway."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 from quota_gateway.errors import InvalidRequestError
 from quota_gateway.policy.permissions import may_close_client
 
-UNUSED_AFTER = 0.1  # seconds without a request, from which a connection is unused: a new one sends at once
-MAX_EVICTIONS = 16  # connections closed at a time: to find them costs more than to close them
+UNUSED_AFTER = 0.1  # seconds without a request until a connection is unused; a new client sends at once
+MAX_EVICTIONS = 16  # connections closed at a time; finding them costs more than closing them
 
-# connections that never sent a request first, then those that have been idle for longest
+# Connections that never sent a request come first, then those that have been idle for the longest time.
 eviction_order = attrgetter("requests.any_request_started", "idle_since")
 
 
 def evict(connection: ClientConnection, now: float) -> bool:
-    """Close a connection in favour of another client; False if that would lose a request."""
+    """Close a connection to free capacity; return False if a request would be lost."""
     if connection.closing and not connection.unsent_bytes():
         connection.drop()
         return True
@@ -34,7 +34,7 @@
 
 
 def evict_unused(connections: Iterable[ClientConnection], now: float) -> list[ClientConnection]:
-    """Evict some connections and return them."""
+    """Evict up to MAX_EVICTIONS connections and return them."""
     evicted: list[ClientConnection] = []
     for connection in sorted(connections, key=eviction_order):
         if evict(connection, now):
@@ -45,6 +45,6 @@
 
 
 def end_if_unused(connection: ClientConnection, now: float) -> None:
-    """End a connection during a drain, if it is unused or has all its responses."""
+    """Close a connection gracefully in a drain, if it is unused and has all its responses."""
     if may_close_client(connection, UNUSED_AFTER, now):
         connection.end()
