--- a/quota_gateway/downstream/connection_timeouts.py
+++ b/quota_gateway/downstream/connection_timeouts.py
@@ -1,4 +1,4 @@
-"""Timeouts of a client connection: each closes soon, or gets an error, whatever its client sent."""
+"""Enforcement of timeouts: a client connection closes or gets an error in time, whatever its client sent."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 
 def enforce_timeouts(connection: ClientConnection, now: float, idle_timeout: float) -> None:
-    """Close the connection, or answer the request that is partly read, where a timeout is over."""
+    """Close the connection, or answer the partly read request, if a timeout has expired."""
     requests = connection.requests
     is_sending = connection.closing or connection.write_paused
     if is_sending and (unsent_bytes := connection.unsent_bytes()):
-        connection.closing_since = now  # of a closing one: its client has yet to read the last response
+        connection.closing_since = now  # the linger timeout starts once all data has been sent
         if connection.unread_response_timer.has_expired(now, unsent_bytes):
             connection.drop()
     elif connection.closing:
