--- a/quota_gateway/downstream/flow_control.py
+++ b/quota_gateway/downstream/flow_control.py
@@ -1,4 +1,4 @@
-"""Flow control and closing of an accepted connection, whatever protocol it carries."""
+"""Flow control and orderly closing of an accepted connection, for any protocol on top of it."""
 
 from __future__ import annotations
 
@@ -14,46 +14,46 @@
 from quota_gateway.downstream.disconnect_monitor import DisconnectMonitor
 from quota_gateway.sockets.kernel_state import has_unread_input, seconds_since_last_data
 
-# Seconds up to which input may have waited unread and still counts as having come when it is read. The
-# protocol allows 0.1 for an attempt after its client's close, and 0.15 for the time that an endpoint is told.
+# Input that has waited unread for at most this many seconds counts as having arrived when it is read. The
+# protocol allows an attempt up to 0.1 after its client's close, and lets the time budget that an endpoint
+# receives exceed the client's remaining time by 0.15.
 ARRIVAL_TOLERANCE = 0.06
 HEAD_END = b"\r\n\r\n"
 
 
 class Listener(Protocol):
-    """What a connection shares with the others of its listener."""
+    """What all connections of a listener share."""
 
     clock: Callable[[], float]  # the time in seconds
-    read_buffer: bytearray  # what is read is copied out before the next read
+    read_buffer: bytearray  # data is copied out of it before the next read
     disconnect_monitor: DisconnectMonitor
     loop_monitor: EventLoopMonitor
 
 
 class FlowControlledConnection(asyncio.BufferedProtocol, ABC):
-    """A connection with flow control in both directions, which is closed in an orderly way."""
+    """A connection with flow control in both directions and an orderly close."""
 
     def __init__(self, listener: Listener, waiting_since: float) -> None:
-        """Start without a transport; what the client sent may wait in the kernel since `waiting_since`."""
+        """Initialize without a transport; input may have been waiting since `waiting_since`, in seconds."""
         self.listener = listener
         self.transport: asyncio.Transport | None = None  # set while the connection is open
         self.socket: socket.socket | None = None
         self.descriptor = -1
-        self.unread = b""  # bytes that have been received and not processed
-        self.last_read_at = (
-            listener.clock()
-        )  # seconds: when something was last received, or reading was resumed
+        self.unread = b""  # bytes that have been received but not processed
+        # seconds: time at which data was last received, or reading was resumed
+        self.last_read_at = listener.clock()
         self.arrival_bound = ArrivalBound(listener.loop_monitor, waiting_since, self.last_read_at)
-        self.last_read_bound = waiting_since  # seconds: the earliest time at which the latest bytes came
+        self.last_read_bound = waiting_since  # seconds: earliest arrival time of the latest bytes
         self.unread_response_timer = UnreadResponseTimer()
-        self.closing_since = 0.0  # seconds
-        self.read_paused = False  # reading is paused
-        self.write_paused = False  # writing is paused: the client doesn't read
-        self.ended = False  # nothing that is received is processed any more
-        self.closing = False  # the last response has been written
+        self.closing_since = 0.0  # seconds: start of the linger timeout
+        self.read_paused = False
+        self.write_paused = False  # the transport's buffer is full: the client doesn't read
+        self.ended = False  # no further request is accepted
+        self.closing = False  # the last response has been passed to the transport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport (asyncio)."""
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's has the methods, not the base class
+        """Store the transport and its socket (asyncio)."""
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's has the methods but not the base class
         connected = self.transport.get_extra_info("socket")
         self.socket = connected
         self.descriptor = connected.fileno()
@@ -64,15 +64,15 @@
         return self.listener.read_buffer
 
     def buffer_updated(self, nbytes: int) -> None:
-        """Copy out what was read, as the next connection reads into the same buffer (asyncio)."""
+        """Copy the data out of the buffer, which all connections share (asyncio)."""
         self.data_received(bytes(memoryview(self.listener.read_buffer)[:nbytes]))
 
     def arrival_time(self, data: bytes) -> float:
-        """Return since when the time of a request counts that ends in `data`, which was read just now.
+        """Return the arrival time of a request that ends in `data`, which has just been read.
 
-        It is now, unless the process was held up or reading was paused. Then it is when the kernel received
-        the bytes. Where that can't be known, the earliest time counts: of several requests, or of a kernel
-        that does not tell.
+        It is the current time, unless the process was blocked or reading was paused. Then it is when the
+        kernel received the bytes. If that is unknown, since `data` holds several requests or the kernel
+        does not report it, the earliest possible arrival time is returned.
         """
         now = self.last_read_at
         earliest = self.arrival_bound.earliest()
@@ -85,13 +85,13 @@
         return earliest if age is None else max(earliest, now - age)
 
     def seconds_since_last_data(self) -> float | None:
-        """Return how long ago the client's latest bytes came, None if unknown."""
+        """Return how many seconds ago the client's latest bytes arrived, None if unknown."""
         return seconds_since_last_data(self.socket) if self.socket is not None else None
 
     def earliest_close(self) -> float:
-        """Return the earliest time at which a close may have come that is reported now."""
+        """Return the earliest time at which a close that is reported now may have arrived."""
         earliest = self.listener.loop_monitor.previous_turn_at
-        # before the latest read it would have come with those bytes, and is reported behind them
+        # a close from before the latest read arrived with those bytes, and is reported after them
         return earliest if earliest >= self.last_read_at else min(earliest, self.last_read_bound)
 
     @abstractmethod
@@ -100,10 +100,10 @@
 
     @abstractmethod
     def handle_disconnect(self, broken: bool) -> None:
-        """Handle a client that disconnects while reading is paused; see DisconnectMonitor."""
+        """Handle a disconnect while reading is paused; for `broken` see DisconnectMonitor."""
 
     def pause_reading(self) -> None:
-        """Leave what the client sends in the kernel, and watch for its disconnect instead."""
+        """Leave further input in the kernel, and watch for a disconnect instead."""
         if not self.read_paused and self.transport is not None:
             self.read_paused = True
             self.arrival_bound.leave_unread(self.listener.clock())
@@ -111,7 +111,7 @@
             self.listener.disconnect_monitor.watch(self.descriptor, self.handle_disconnect)
 
     def resume_reading(self) -> None:
-        """Read again, if reading is paused."""
+        """Resume reading if it is paused."""
         if self.read_paused and self.transport is not None:
             self.read_paused = False
             self.arrival_bound.watch(self.listener.clock())
@@ -119,28 +119,28 @@
             self.transport.resume_reading()
 
     def pause_writing(self) -> None:
-        """Note that the client doesn't read (asyncio)."""
+        """Start the timeout of a client that doesn't read its responses (asyncio)."""
         self.write_paused = True
         self.unread_response_timer.start(self.listener.clock(), self.unsent_bytes())
 
     def resume_writing(self) -> None:
-        """Note that the client reads again (asyncio)."""
+        """Stop the timeout of a client that reads again (asyncio)."""
         self.write_paused = False
         self.unread_response_timer.stop()
 
     def unsent_bytes(self) -> int:
-        """Return the number of bytes that the kernel has not taken yet."""
+        """Return the number of written bytes that the kernel has not accepted yet."""
         return self.transport.get_write_buffer_size() if self.transport is not None else 0
 
     def has_unread_input(self) -> bool:
-        """Return True if the client has sent something, or its end, that has not been received."""
+        """Return True if the kernel holds unread bytes, or an unread end of stream, from the client."""
         return has_unread_input(self.descriptor)
 
     def end(self) -> None:
-        """Close after the last response.
+        """Close gracefully after the last response.
 
-        The client may have more on its way; read and discarded, it doesn't reset the connection before the
-        response is read.
+        Input that still arrives is read and discarded. Left unread, it would reset the connection before
+        the client has read the response.
         """
         self.ended = True
         if self.closing or self.transport is None or self.transport.is_closing():
@@ -151,11 +151,11 @@
         self.unread = b""
         try:
             self.transport.write_eof()
-        except OSError:  # reset meanwhile, which not every loop reports first
+        except OSError:  # reset by the client, which not every event loop reports before this
             self.transport.abort()
 
     def drop(self) -> None:
-        """Close at once a connection that awaits no response, or that had its time to read one."""
+        """Close immediately: no response is pending, or the client had its time to read one."""
         self.ended = True
         self.closing = True
         if self.transport is None:
@@ -166,7 +166,7 @@
             self.transport.close()
 
     def cut_off(self) -> None:
-        """Reset the connection, so that the client can tell that a streamed response is incomplete."""
+        """Reset the connection, which tells the client that a streamed response is incomplete."""
         self.ended = True
         self.closing = True
         if self.transport is not None:
--- a/quota_gateway/downstream/half_close.py
+++ b/quota_gateway/downstream/half_close.py
@@ -1,4 +1,4 @@
-"""Clients that end their sending while requests are in flight.
+"""Handling of clients that close their sending side while requests are in flight.
 
 The protocol treats such a client as disconnected, though it may only have half-closed its connection and
 still read its responses.
@@ -13,14 +13,15 @@
 from quota_gateway.dispatch.dispatcher import RequestDispatcher
 from quota_gateway.downstream.response_queue import ResponseQueue
 
-# Seconds in which an attempt may still begin: a client that reads is served if no connect takes longer.
+# Seconds after a half-close is found in which attempts may still start: a client that still reads gets its
+# response if the connect to the endpoint takes no longer.
 GRACE_PERIOD = 0.03
-# Seconds after the client's close in which an attempt may begin. The protocol allows 0.1.
+# Seconds after the client's close in which an attempt may start. The protocol allows 0.1.
 MAX_START_DELAY = 0.08
 
 
 class DispatchingListener(Protocol):
-    """What is needed of the listener that accepted the connection."""
+    """The parts of a listener that the handling of a half-close uses."""
 
     clock: Callable[[], float]  # the time in seconds
     loop: asyncio.AbstractEventLoop
@@ -33,17 +34,17 @@
     __slots__ = ("begun", "listener", "responses", "timer")
 
     def __init__(self, listener: DispatchingListener, responses: ResponseQueue) -> None:
-        """Take the listener, and the connection's responses."""
+        """Initialize for an open connection with these pending responses."""
         self.listener = listener
         self.responses = responses
         self.begun = False
         self.timer: asyncio.TimerHandle | None = None
 
     def begin(self, earliest_close: float) -> None:
-        """Limit the start of attempts to the grace period, for all unanswered requests.
+        """Let attempts for the unanswered requests start only within a grace period.
 
-        The client may have closed at `earliest_close` already, in seconds: the grace period ends in time for
-        that.
+        The client may have closed as early as `earliest_close`, in seconds. The grace period is short enough
+        that no attempt starts more than MAX_START_DELAY after that time.
         """
         if self.begun:
             return
@@ -55,13 +56,13 @@
         self.timer = self.listener.loop.call_later(grace_period, self.end_grace_period)
 
     def end_grace_period(self) -> None:
-        """Have no further attempts started for the requests that are still unanswered."""
+        """Let no further attempt start for the requests that are still unanswered."""
         self.timer = None
         for request_id in self.responses.unanswered():
             self.listener.dispatcher.client_half_closed(request_id)
 
     def cancel(self) -> None:
-        """End the grace period of a connection that is lost."""
+        """Cancel the grace period of a lost connection."""
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
