--- a/quota_gateway/downstream/request_handler.py
+++ b/quota_gateway/downstream/request_handler.py
@@ -1,4 +1,4 @@
-"""The requests of one client connection, from the parser to the dispatcher."""
+"""Handling of the requests on one client connection, between the parser and the dispatcher."""
 
 from __future__ import annotations
 
@@ -15,37 +15,38 @@
 from quota_gateway.downstream.response_writer import ResponseConnection, ResponseWriter
 from quota_gateway.errors import InvalidRequestError
 
-MAX_INVALID_REQUESTS = 4  # invalid requests on one connection, after which it is closed
-INVALID_REQUEST_PAUSE = 0.1  # seconds without reading after one: each costs as much work as a valid request
+MAX_INVALID_REQUESTS = 4  # invalid requests after which a connection is closed
+# Seconds without reading after an invalid request, which costs as much work as a valid one.
+INVALID_REQUEST_PAUSE = 0.1
 
 CONTINUE_RESPONSE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 
 class RequestConnection(ResponseConnection, Protocol):
-    """What the handler needs of its connection."""
+    """The parts of a connection that its request handler uses."""
 
     responses: ResponseQueue
-    ended: bool  # no further request is read
+    ended: bool  # no further request is accepted
     half_close: HalfClose
 
     def process_unread(self) -> None:
-        """Parse what has been received, as far as the limits allow."""
+        """Parse received bytes as far as the limits allow."""
 
 
 class RequestHandler(RequestReader):
-    """Submits the requests of one connection, or rejects them, in their order."""
+    """Submits or rejects the requests of one connection in their order."""
 
     def __init__(self, connection: RequestConnection, router: RequestRouter, now: float) -> None:
-        """Take the connection that owns this handler, and the time of its start in seconds."""
+        """Initialize for the connection that owns this handler; `now` is its start time in seconds."""
         super().__init__(now)
-        self.connection: RequestConnection | None = connection  # None once it is closed
+        self.connection: RequestConnection | None = connection  # None once the connection is closed
         self.router = router
-        self.streaming_writer: ResponseWriter | None = None  # of the request whose body is forwarded
+        self.streaming_writer: ResponseWriter | None = None  # response to a request whose body is streamed
         self.invalid_requests = 0
-        self.error_pause: asyncio.TimerHandle | None = None  # nothing is read while it runs
+        self.error_pause: asyncio.TimerHandle | None = None  # reading is paused while it is set
 
     def close(self) -> None:
-        """Release what refers back to the connection, so that it is freed without the garbage collector."""
+        """Release the references to the connection, so that it is freed without the garbage collector."""
         super().close()
         self.connection = None
         self.streaming_writer = None
@@ -53,17 +54,17 @@
             self.error_pause.cancel()
 
     def parse(self, data: bytes) -> None:
-        """Parse `data` and handle the requests that become complete."""
+        """Parse `data` and handle the requests that it completes."""
         try:
             self.feed(data)
         except InvalidRequestError as error:
             self.abort_request(error)
         except httptools.HttpParserUpgrade:
-            if self.connection is not None:  # the request itself gets its response
+            if self.connection is not None:  # the request itself is still answered
                 self.connection.ended = True
 
     def headers_complete(self) -> None:
-        """Reject a body that is too large, stream a large one, and buffer a small one."""
+        """Reject a body that exceeds the limit, stream a large one, and buffer a small one."""
         connection = self.connection
         if self.parser is None or connection is None or connection.ended:
             return
@@ -110,12 +111,12 @@
         writer.request_id = self.router.dispatcher.submit(request, writer)
 
     def handle_body_capacity(self) -> None:
-        """Read on: the upstream has taken some of a streamed body."""
+        """Resume parsing after the upstream has consumed part of a streamed body."""
         if self.connection is not None and not self.parsing:
             self.connection.process_unread()
 
     def request_complete(self) -> None:
-        """Submit or reject a request; of a streamed one, only the end of its body."""
+        """Submit or reject a complete request; if its body was streamed, report only the end of the body."""
         connection = self.connection
         if connection is None:
             return
@@ -139,7 +140,7 @@
         """Report the end of a streamed body to the dispatcher."""
         self.body_stream = None
         self.streaming_writer = None
-        if writer.unsent is None:  # with an early response the connection closes
+        if writer.unsent is None:  # no early response, after which the connection closes
             writer.keep_alive = not connection.ended and self.should_keep_alive()
             connection.ended = connection.ended or not writer.keep_alive
         self.router.dispatcher.request_body_received(writer.request_id, self.arrived_at)
@@ -147,7 +148,7 @@
     def reject(
         self, connection: RequestConnection, writer: ResponseWriter, error: InvalidRequestError
     ) -> None:
-        """Answer an invalid request and pause reading: the client may repeat it at once."""
+        """Answer an invalid request and pause reading, since the client may repeat it at once."""
         self.invalid_requests += 1
         if self.invalid_requests >= MAX_INVALID_REQUESTS:
             writer.keep_alive = False
@@ -159,13 +160,13 @@
         writer.send(error.status, body, error.headers)
 
     def end_error_pause(self) -> None:
-        """Read on after an invalid request."""
+        """Resume parsing after the pause that follows an invalid request."""
         self.error_pause = None
         if self.connection is not None:
             self.connection.process_unread()
 
     def abort_request(self, error: InvalidRequestError) -> None:
-        """Answer a request that can't be read to its end; nothing after it can be read either."""
+        """Answer a request that can't be read completely; no later request can be read either."""
         connection = self.connection
         if connection is None or connection.ended:
             return
--- a/quota_gateway/downstream/request_reader.py
+++ b/quota_gateway/downstream/request_reader.py
@@ -1,4 +1,4 @@
-"""Incremental parsing of the HTTP/1.1 requests on one client connection."""
+"""Incremental parser for the HTTP/1.1 requests on one client connection."""
 
 from __future__ import annotations
 
@@ -30,36 +30,36 @@
 
 
 class RequestReader(ABC):
-    """The protocol object of an httptools parser; it holds the request that is being read.
+    """Receives the callbacks of an httptools parser and holds the request that is being read.
 
-    A subclass decides what happens with a request: `headers_complete`, `start_body_stream` and
-    `request_complete` are called from inside the parser.
+    Subclasses implement how a request is handled: `headers_complete`, `start_body_stream` and
+    `request_complete` are called from within parser callbacks.
     """
 
     def __init__(self, now: float) -> None:
-        """Start between two requests; `now` is the time of the connection's start in seconds."""
+        """Initialize without a request; `now` is the start time of the connection in seconds."""
         self.parser: httptools.HttpRequestParser | None = httptools.HttpRequestParser(self)
-        self.parsing = False  # the parser is on the call stack and must not be entered again
-        self.received_at = 0.0  # seconds: when the latest bytes were read; 0 before the first
-        self.arrived_at = 0.0  # seconds: when the kernel received them, at the earliest if that is not known
+        self.parsing = False  # the parser is on the call stack and must not be reentered
+        self.received_at = 0.0  # seconds: time at which the latest bytes were read; 0 before the first
+        self.arrived_at = 0.0  # seconds: time at which the kernel received them; if unknown, the earliest
         self.request_started_at = now
         self.body_started_at = now
         self.any_request_started = False
         self.in_request = False
         self.in_head = False
-        self.head_size = 0  # bytes fed while in a head
+        self.head_size = 0  # bytes fed to the parser while in a head
         self.http_version = "1.1"
         self.expects_continue = False  # the client waits for "100 Continue" before it sends its body
-        self.body_stream: RequestBodyStream | None = None  # set while a body is forwarded as it is received
+        self.body_stream: RequestBodyStream | None = None  # set while a body is streamed
         self.reset_request()
 
     def reset_request(self) -> None:
-        """Forget the previous request's fields."""
+        """Clear the fields of the previous request."""
         self.target = b""
         self.headers: dict[bytes, bytes] = {}
         self.body: list[bytes] = []
-        self.body_size = 0  # bytes read so far, also of a body that is forwarded
-        self.error: InvalidRequestError | None = None  # the response once the request is complete
+        self.body_size = 0  # bytes read so far, including those of a streamed body
+        self.error: InvalidRequestError | None = None  # sent as the response once the request is complete
 
     @abstractmethod
     def headers_complete(self) -> None:
@@ -74,10 +74,10 @@
         """Handle a request whose last byte has been parsed."""
 
     def feed(self, data: bytes) -> None:
-        """Parse `data`; requests that become complete are handled before this returns.
+        """Parse `data`; the requests that it completes are handled before this method returns.
 
-        Raises InvalidRequestError if neither the request nor what follows it can be read, and
-        httptools.HttpParserUpgrade if what follows it is not HTTP/1.1.
+        Raises InvalidRequestError if neither the request nor the data after it can be read, and
+        httptools.HttpParserUpgrade if the data after it is not HTTP/1.1.
         """
         if self.parser is None:
             return
@@ -96,13 +96,13 @@
             raise InvalidRequestError(431, HEAD_TOO_LARGE)
 
     def is_in_large_body(self) -> bool:
-        """Return True inside a body that is too large to be read only to reach the request behind it."""
+        """Return True inside a body that is too large to be read only to reach the next request."""
         if self.in_head or not self.in_request:
             return False
         return self.body_size > MAX_BUFFERED_BYTES or self.content_length() > MAX_BUFFERED_BYTES
 
     def close(self) -> None:
-        """Drop the parser, which refers back to this object: the cycle would outlive the connection."""
+        """Release the parser, since its reference cycle with this object would outlive the connection."""
         self.parser = None
         self.body_stream = None
 
@@ -115,7 +115,7 @@
         return self.target.partition(b"?")[0]
 
     def content_length(self) -> int:
-        """Return the Content-Length, 0 if there is none."""
+        """Return the Content-Length in bytes, 0 if it is missing or not a number."""
         value = self.headers.get(b"content-length", b"")
         return int(value) if value.isdigit() else 0
 
@@ -126,7 +126,7 @@
     def on_message_begin(self) -> None:
         """Handle the first byte of a request (httptools)."""
         self.reset_request()
-        if self.any_request_started:  # the first request's time runs from the connection's start
+        if self.any_request_started:  # the time of the first request starts with the connection
             self.request_started_at = self.received_at
         self.any_request_started = True
         self.in_request = True
@@ -153,9 +153,9 @@
         self.headers_complete()
 
     def on_body(self, body: bytes) -> None:
-        """Handle a part of the body: buffer it, or pass it on (httptools)."""
+        """Buffer or forward a part of the body (httptools)."""
         self.body_size += len(body)
-        self.expects_continue = False  # the client did not wait
+        self.expects_continue = False  # the client did not wait for 100 Continue
         if self.body_size > MAX_BODY_BYTES:
             self.error = InvalidRequestError(413, BODY_TOO_LARGE)
         elif self.body_stream is not None:
