--- a/quota_gateway/downstream/request_parser.py
+++ b/quota_gateway/downstream/request_parser.py
@@ -1,7 +1,7 @@
-"""Validation of client requests: the protocol's headers and the bounds of the settings.
+"""Validation of client requests against the protocol and the bounds in the settings.
 
-Everything that a client states is checked here before the policy engine sees it: units without a bound,
-stated in a customer's name, would use up that customer's quota.
+Every value that a client sends is checked here before the policy engine sees it: an unbounded number of
+units, sent under a customer's id, would use up that customer's quota.
 """
 
 from __future__ import annotations
@@ -22,17 +22,17 @@
 BUDGET_PATTERN = re.compile(rb"\d{1,6}(\.\d{1,9})?")
 IDEMPOTENCY_KEY_PATTERN = re.compile(rb"[!-~]{1,256}")
 QUOTA_FIELD_PATTERN = re.compile(rb"\s*([a-z_]+)\s*=\s*(\d{1,9}(?:\.\d{1,9})?)\s*")
-CUSTOMER_COUNT = 1 << 33  # customer numbers of the protocol: 0 up to this, exclusive
-BUDGET_TOLERANCE = 1.01  # times the class's deadline: a client's rounding may put its budget above it
-QUOTA_CACHE_SIZE = 4096  # distinct Quota-Info values: few repeat in most requests
+CUSTOMER_COUNT = 1 << 33  # the protocol's customer numbers run from 0 to this value, exclusive
+BUDGET_TOLERANCE = 1.01  # multiple of the class's deadline that a budget may reach, as clients may round up
+QUOTA_CACHE_SIZE = 4096  # cached Quota-Info values; most requests repeat a few of them
 
 
 class QuotaInfo(NamedTuple):
     """The fields of a Quota-Info header."""
 
     units: float
-    spread: int  # gateways that share the customer's quota
-    first_gateway: int
+    spread: int  # number of gateways that share the customer's quota
+    first_gateway: int  # index of the first of these gateways
 
 
 @lru_cache(maxsize=QUOTA_CACHE_SIZE)
@@ -82,10 +82,10 @@
 
 
 class RequestParser:
-    """Turns the fields of an HTTP request into a ClientRequest; every method raises InvalidRequestError."""
+    """Builds a ClientRequest from the fields of an HTTP request; its methods raise InvalidRequestError."""
 
     def __init__(self, settings: Settings) -> None:
-        """Take the request classes, plans and bounds from the settings."""
+        """Initialize with the request classes, plans and bounds of the settings."""
         self.request_classes = {c.name: c for c in settings.request_classes}
         self.plan_names = {p.name for p in settings.plans}
         self.gateway_count = settings.gateway_count
@@ -96,13 +96,13 @@
         return self.build_request(reader, body, None, False)
 
     def parse_streamed(self, reader: RequestReader, length: int | None) -> ClientRequest:
-        """Return the request with a stream for its body, of `length` bytes or, with None, in chunks."""
+        """Return the request with a stream for its body; `length` is in bytes, None for a chunked body."""
         return self.build_request(reader, b"", length, True)
 
     def build_request(
         self, reader: RequestReader, body: bytes, length: int | None, streamed: bool
     ) -> ClientRequest:
-        """Check all fields, in the order in which errors take precedence."""
+        """Return the request after checking its fields in the order in which errors take precedence."""
         headers = reader.headers
         method = reader.method()
         customer = parse_customer(reader.target)
@@ -140,7 +140,7 @@
         )
 
     def parse_class(self, headers: dict[bytes, bytes], method: bytes) -> RequestClass:
-        """Return the class that X-Call-Class names, which determines the method."""
+        """Return the class that X-Call-Class names; it determines the method."""
         name = required_header(headers, b"x-call-class").decode("latin-1")
         request_class = self.request_classes.get(name)
         if request_class is None:
@@ -158,7 +158,7 @@
         return plan
 
     def parse_quota(self, headers: dict[bytes, bytes]) -> QuotaInfo:
-        """Return the Quota-Info, whose values are within the bounds of the settings."""
+        """Return the Quota-Info, checked against the bounds of the settings."""
         quota = parse_quota_info(required_header(headers, b"quota-info"))
         valid_units = 0 < quota.units <= self.max_units
         valid_spread = 1 <= quota.spread <= self.gateway_count
@@ -167,7 +167,7 @@
         return quota
 
     def parse_budget(self, headers: dict[bytes, bytes], request_class: RequestClass) -> float:
-        """Return the seconds that the client waits for its response."""
+        """Return for how many seconds the client waits for its response."""
         budget = float(matching_header(headers, b"x-budget", BUDGET_PATTERN))
         if not 0 < budget <= BUDGET_TOLERANCE * request_class.deadline:
             raise InvalidRequestError(400, "X-Budget is nought, or longer than the class's deadline")
@@ -176,7 +176,7 @@
     def idempotency_key_lines(
         self, headers: dict[bytes, bytes], request_class: RequestClass
     ) -> tuple[bytes, ...]:
-        """Return the Idempotency-Key line, which only the classes with a key carry."""
+        """Return the Idempotency-Key line, which only classes with a key may have."""
         if request_class.idempotency is Idempotency.IDEMPOTENCY_KEY:
             key = matching_header(headers, b"idempotency-key", IDEMPOTENCY_KEY_PATTERN)
             return (b"Idempotency-Key: %b" % key,)
@@ -185,7 +185,7 @@
         return ()
 
     def body_lines(self, headers: dict[bytes, bytes], length: int | None) -> list[bytes]:
-        """Return the header lines that describe a body; with no length, its stream brings the framing."""
+        """Return the header lines that describe a body; without a length, its stream adds the framing."""
         lines = []
         if length is not None:
             lines.append(b"Content-Length: %d" % length)
--- a/quota_gateway/downstream/request_router.py
+++ b/quota_gateway/downstream/request_router.py
@@ -1,4 +1,4 @@
-"""The paths that the gateway serves to clients: the API, and the readiness check."""
+"""Routing of client requests to the API or the readiness check, by path and method."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     def __init__(
         self, dispatcher: RequestDispatcher, settings: Settings, is_ready: Callable[[], bool]
     ) -> None:
-        """Take the dispatcher, and a function that tells whether the gateway is ready."""
+        """Initialize with the dispatcher; `is_ready` returns True while the gateway is ready."""
         self.dispatcher = dispatcher
         self.parser = RequestParser(settings)
         self.is_ready = is_ready
@@ -32,7 +32,7 @@
         path = reader.path()
         if path == READINESS_PATH:
             self.answer_readiness_check(reader, writer)
-        elif client_closed:  # the protocol treats such a client as disconnected
+        elif client_closed:  # the protocol treats a half-closed client as disconnected
             writer.send(429, b"")
         else:
             self.check_api_request(reader, path)
@@ -41,7 +41,7 @@
             writer.request_id = self.dispatcher.submit(request, writer)
 
     def parse_streamed(self, reader: RequestReader, length: int | None) -> ClientRequest:
-        """Return a request whose body has yet to be read; raises InvalidRequestError."""
+        """Return a request whose body is still to be read; raises InvalidRequestError."""
         self.check_api_request(reader, reader.path())
         request = self.parser.parse_streamed(reader, length)
         self.check_call_id(request)
@@ -54,13 +54,13 @@
         writer.send(200 if self.is_ready() else 503, b"")
 
     def check_api_request(self, reader: RequestReader, path: bytes) -> None:
-        """Raise InvalidRequestError for another path or method than the API's."""
+        """Raise InvalidRequestError unless the path and the method are the API's."""
         if path != API_PATH:
             raise InvalidRequestError(404, "no such path")
         if reader.method() not in (b"GET", b"POST"):
             raise InvalidRequestError(405, "only GET and POST", b"Allow: GET, POST\r\n")
 
     def check_call_id(self, request: ClientRequest) -> None:
-        """Raise InvalidRequestError if the id is in use: the end of either request would end the other."""
+        """Raise InvalidRequestError if the call id is in use: the end of either request would end both."""
         if self.dispatcher.is_call_open(request.call_id):
             raise InvalidRequestError(409, "a request with this X-Call-Id is open")
