--- a/quota_gateway/downstream/response_queue.py
+++ b/quota_gateway/downstream/response_queue.py
@@ -1,4 +1,4 @@
-"""The responses of one client connection, in the order of their requests."""
+"""The pending responses of one client connection, in the order of their requests."""
 
 from __future__ import annotations
 
@@ -13,22 +13,22 @@
 class FlushResult(Enum):
     """Why a flush of the responses stopped."""
 
-    WAITING = auto()  # the next response has not begun, or there is none
-    STREAMING = auto()  # the first response has begun and is incomplete
-    CLOSE = auto()  # a response was written after which the connection closes
+    WAITING = auto()  # the next response has not started, or there is none
+    STREAMING = auto()  # the first response has started and is incomplete
+    CLOSE = auto()  # the response just written is the last one on the connection
 
 
 class ResponseQueue(deque[ResponseWriter]):
-    """Responses that are not written to their end; only the first one may write to the transport."""
+    """Responses that are not completely written; only the first one may write to the transport."""
 
     __slots__ = ()
 
     def is_first(self, writer: ResponseWriter | None) -> bool:
-        """Return True if no other response goes out before this one; None stands for the next request's."""
+        """Return True if no response precedes `writer`; None stands for the response to the next request."""
         return not self or self[0] is writer
 
     def flush(self, transport: asyncio.Transport) -> FlushResult:
-        """Write what is ready, up to the first response that is incomplete."""
+        """Write all data that is ready, up to the first incomplete response."""
         while self and self[0].unsent is not None:
             writer = self[0]
             data = writer.start_sending()
@@ -44,25 +44,25 @@
         return FlushResult.WAITING
 
     def pause_source(self) -> None:
-        """Stop reading the first response from its upstream while the client doesn't read it."""
+        """Pause the upstream of the first response while the client doesn't read."""
         if self and self[0].source is not None:
             self[0].source.pause()
 
     def resume_source(self) -> None:
-        """Read the first response from its upstream again."""
+        """Resume the upstream of the first response."""
         if self and self[0].source is not None:
             self[0].source.resume()
 
     def unanswered(self) -> Iterator[int]:
-        """Yield the ids of submitted requests whose response has not begun at their turn."""
+        """Yield the ids of submitted requests whose response has not started when they are reached."""
         for writer in list(self):
             if writer.request_id and writer.unsent is None:
                 yield writer.request_id
 
     def take_incomplete(self) -> Iterator[int]:
-        """Remove all; yield the ids of submitted requests whose response is incomplete at their turn.
+        """Clear the queue; yield the ids of submitted requests whose response is incomplete.
 
-        Nothing is removed before the first step of the iteration.
+        The first step of the iteration clears the queue. Each response is checked when it is reached.
         """
         writers = list(self)
         self.clear()
--- a/quota_gateway/downstream/response_writer.py
+++ b/quota_gateway/downstream/response_writer.py
@@ -1,4 +1,4 @@
-"""The response to one request: complete at once, or a stream that is forwarded as it is received."""
+"""The response to one request: sent in full, or streamed as it is received from the upstream."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
 
 
 class ResponseConnection(Protocol):
-    """What a response needs of its connection."""
+    """The parts of a connection that its responses use."""
 
     transport: asyncio.Transport | None
     write_paused: bool  # the transport's buffer is full: the client doesn't read
 
     def ends_with(self, writer: ResponseWriter) -> bool:
-        """Return True if the connection closes after this response because the gateway shuts down."""
+        """Return True if a shutdown or drain closes the connection after this response."""
 
     def flush(self) -> None:
         """Write the responses that are ready."""
@@ -43,7 +43,7 @@
 
 
 class ResponseWriter:
-    """One response; it is written once all responses before it are."""
+    """One response; it is written once all earlier responses are complete."""
 
     __slots__ = (
         "chunked",
@@ -58,26 +58,26 @@
     )
 
     def __init__(self, connection: ResponseConnection, keep_alive: bool, http_version: str) -> None:
-        """Take the connection, whether it stays open after this response, and the request's version."""
+        """Initialize for a request of `http_version`; `keep_alive` keeps the connection open after it."""
         self.connection = connection
         self.http_version = http_version
         self.keep_alive = keep_alive
         self.request_id = 0  # the dispatcher's id; 0 for a request that was not submitted
-        self.unsent: bytes | None = None  # bytes to write; None until the response begins
-        self.source: StreamSource | None = None  # the upstream of a streamed response
-        self.streaming = False  # a streamed response is incomplete
+        self.unsent: bytes | None = None  # bytes to write; None until the response starts
+        self.source: StreamSource | None = None  # the upstream end of a streamed response
+        self.streaming = False  # True while a streamed response is incomplete
         self.chunked = False
-        self.is_sending = False  # it is the first response: what is added is written at once
+        self.is_sending = False  # this is the first response: further data is written immediately
 
     def start_sending(self) -> bytes | None:
-        """Return the bytes to write; later ones are written at once."""
+        """Return the buffered bytes to write; later ones are written immediately."""
         data = self.unsent
         self.is_sending = True
         self.unsent = b""
         return data
 
     def send(self, status: int, body: bytes, headers: bytes = b"") -> None:
-        """Send a complete response, unless one has begun; `headers` are complete lines."""
+        """Send a full response, unless one has started; `headers` are complete header lines."""
         if self.unsent is not None:
             return
         self.keep_alive = self.keep_alive and not self.connection.ends_with(self)
@@ -96,7 +96,7 @@
         return self.connection.client_disconnected()
 
     def begin_stream(self, head: ResponseHead, source: StreamSource) -> None:
-        """Send the head of a streamed response; `source` is paused while the client can't take more."""
+        """Send the head of a streamed response; `source` is paused while the client doesn't read."""
         self.chunked = head.length is None and self.http_version != "1.0"
         self.keep_alive = self.keep_alive and not self.connection.ends_with(self)
         framing = b"Transfer-Encoding: chunked\r\n" if self.chunked else b""
@@ -118,7 +118,7 @@
         self.write(chunk(piece) if self.chunked else piece)
 
     def write(self, data: bytes) -> None:
-        """Write to the transport, or buffer until the responses before this one are written."""
+        """Write to the transport, or buffer until all earlier responses are written."""
         transport = self.connection.transport
         if not self.is_sending:
             self.unsent = (self.unsent or b"") + data
@@ -126,7 +126,7 @@
             transport.write(data)
 
     def end_stream(self) -> None:
-        """End a streamed response that is complete."""
+        """End a streamed response whose body is complete."""
         if self.chunked:
             self.write(LAST_CHUNK)
         self.streaming = False
@@ -134,11 +134,11 @@
         self.connection.flush()
 
     def abort_stream(self) -> None:
-        """End a streamed response that is incomplete, so that the client can tell."""
+        """End an incomplete streamed response in a way that the client can detect."""
         self.streaming = False
         self.source = None
         if self.is_sending:
             self.connection.cut_off()
-        else:  # nothing of it has been written
+        else:  # nothing has been written, so the response can be replaced
             self.unsent = None
             self.send(502, b"")
