--- a/quota_gateway/sockets/acceptor.py
+++ b/quota_gateway/sockets/acceptor.py
@@ -1,4 +1,4 @@
-"""Accepts connections of a listening socket in the event loop and gives each of them a protocol."""
+"""Accepts connections from a listening socket in the event loop and creates a protocol for each."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 class Acceptor:
     """Owns a listening socket and the tasks that set up its accepted connections.
 
-    The event loop's own server closes waiting connections when no file descriptor is left; here they stay in
-    the kernel's queue.
+    The event loop's own server closes queued connections when no file descriptor is left. With this class
+    they stay in the kernel's queue.
     """
 
     def __init__(
         self, create_protocol: Callable[[], asyncio.Protocol], retry_delay: float | None = None
     ) -> None:
-        """Take the factory that is called for each accepted connection.
+        """Initialize without a socket; `create_protocol` is called for each accepted connection.
 
-        After a failed accept the socket is left alone for `retry_delay` seconds. Without one the event loop
-        calls again as long as a connection waits.
+        After a failed accept the socket is not watched for `retry_delay` seconds. If that is None, the event
+        loop retries the accept as long as a connection is queued.
         """
         self.create_protocol = create_protocol
         self.retry_delay = retry_delay
@@ -30,7 +30,7 @@
         self._setup_tasks: set[asyncio.Task[None]] = set()
 
     def start(self, listener: socket.socket) -> None:
-        """Accept connections of a socket that listens and does not block."""
+        """Accept connections from a non-blocking listening socket, which this object then owns."""
         self.listener = listener
         self.loop.add_reader(listener, self._accept)
 
@@ -51,7 +51,7 @@
             connection, _ = self.listener.accept()
         except BlockingIOError:
             return
-        except OSError:  # no descriptor is left, or the peer is gone already
+        except OSError:  # no descriptor is left, or the peer has already disconnected
             self._pause()
             return
         connection.setblocking(False)
--- a/quota_gateway/sockets/addresses.py
+++ b/quota_gateway/sockets/addresses.py
@@ -7,7 +7,7 @@
 MAX_PORT = 65535  # ports are unsigned 16-bit numbers
 
 Address: TypeAlias = tuple[str, int]
-"""Host and port, in the order in which sockets take them."""
+"""Host and port, in the order that socket functions expect."""
 
 
 def parse_address(text: str) -> Address:
--- a/quota_gateway/sockets/dialing.py
+++ b/quota_gateway/sockets/dialing.py
@@ -1,4 +1,4 @@
-"""Outgoing TCP connections, retried while the process or the system is short of descriptors or memory."""
+"""Outgoing TCP connections, retried while the process or the system lacks descriptors or memory."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 from quota_gateway.sockets.addresses import Address
 
-# The system has no descriptor or memory for one more socket. This passes by itself, and to close connections
-# of this process would help little: the others take what it frees.
+# The system has no descriptor or memory for another socket. This is transient, and closing connections of
+# this process would help little: other processes take what it frees.
 SYSTEM_SHORTAGE_ERRNOS = frozenset({errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
-RETRY_DELAY = 0.02  # seconds; the connections that were closed to free descriptors have released them by then
+RETRY_DELAY = 0.02  # seconds between retries; closed connections have released their descriptors by then
 
 ProtocolT = TypeVar("ProtocolT", bound=asyncio.BaseProtocol)
 
@@ -24,9 +24,9 @@
 ) -> ProtocolT:
     """Connect to `address` (host, port) and return the connection's protocol.
 
-    While this process or the system has no descriptor for the socket the connect is retried after
-    RETRY_DELAY. If it is this process, `on_descriptor_exhaustion` is called first to free some. There is no
-    limit on retries: the caller sets a timeout.
+    While this process or the system has no descriptor or memory for the socket, the connect is retried after
+    RETRY_DELAY. If this process has no descriptor left, `on_descriptor_exhaustion` is called before the delay
+    to free some. The number of retries is unlimited: the caller sets a timeout.
 
     Raises OSError if the address refuses the connection or can't be reached.
     """
@@ -44,4 +44,4 @@
 
 
 def ignore_descriptor_exhaustion() -> None:
-    """Do nothing: the handler for a caller that has no connections to close."""
+    """Do nothing; the handler for callers that have no connections to close."""
--- a/quota_gateway/sockets/kernel_state.py
+++ b/quota_gateway/sockets/kernel_state.py
@@ -1,4 +1,4 @@
-"""What the kernel knows of a connection before the event loop reports it."""
+"""Connection state that the kernel knows before the event loop reports it."""
 
 from __future__ import annotations
 
@@ -6,7 +6,8 @@
 import socket
 import struct
 
-# `struct tcp_info` of linux/tcp.h up to tcpi_last_data_recv; Linux only ever adds to its end.
+# Bytes of `struct tcp_info` (linux/tcp.h) up to the end of tcpi_last_data_recv, which is in milliseconds;
+# Linux only ever appends fields to the struct.
 TCP_INFO_SIZE = 56
 LAST_DATA_RECEIVED = struct.Struct("=I")
 LAST_DATA_RECEIVED_OFFSET = 52
@@ -14,25 +15,25 @@
 
 
 def has_peer_closed(descriptor: int) -> bool:
-    """Return True if the peer has ended its sending, also where the loop has not reported it yet."""
+    """Return True if the peer has closed its sending side, even if the loop has not reported it yet."""
     return _polls(descriptor, select.POLLRDHUP)
 
 
 def has_unread_input(descriptor: int) -> bool:
-    """Return True if the kernel holds bytes of the peer, or its end, that have not been read."""
+    """Return True if the kernel holds unread bytes, or an unread end of stream, from the peer."""
     return _polls(descriptor, select.POLLIN)
 
 
 def seconds_since_last_data(connection: socket.socket) -> float | None:
-    """Return how long ago the latest bytes came from the peer, read or not; None where that is not known.
+    """Return how many seconds ago the peer's latest bytes arrived, read or not; None if unknown.
 
-    The end of the stream counts as no data.
+    The end of the stream does not count as data.
     """
     try:
         info = connection.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_SIZE)
     except OSError:
         return None
-    if len(info) < TCP_INFO_SIZE or not info[0]:  # state 0: the socket is not one of this kernel's TCP
+    if len(info) < TCP_INFO_SIZE or not info[0]:  # state 0: not a TCP socket of this kernel
         return None
     (milliseconds,) = LAST_DATA_RECEIVED.unpack_from(info, LAST_DATA_RECEIVED_OFFSET)
     return float(milliseconds) / MILLISECONDS_PER_SECOND
