--- a/quota_gateway/sockets/listening.py
+++ b/quota_gateway/sockets/listening.py
@@ -8,14 +8,14 @@
 from quota_gateway.sockets.addresses import Address
 from quota_gateway.transient_errors import is_transient
 
-RETRY_DELAY = 0.1  # seconds after which a socket that could not be had is tried again
-BACKLOG = 1024  # connections that the kernel may queue: a burst of clients, until the loop accepts them
+RETRY_DELAY = 0.1  # seconds between tries to open a listening socket
+BACKLOG = 1024  # connections that the kernel queues in a burst until the event loop accepts them
 
 
 def bind(address: Address) -> socket.socket:
-    """Return a non-blocking socket that listens at `address` (host, port), an IPv6 one if host has a colon.
+    """Return a non-blocking socket that listens at `address`, over IPv6 if its host contains a colon.
 
-    Raises OSError if the address is in use or isn't one of this machine's.
+    Raises OSError if the address is in use or does not belong to this machine.
     """
     listener = socket.socket(socket.AF_INET6 if ":" in address[0] else socket.AF_INET)
     try:
@@ -30,9 +30,9 @@
 
 
 async def bind_when_possible(address: Address, timeout: float) -> socket.socket:
-    """Return a listening socket like `bind`; a system short of sockets is asked again for `timeout` seconds.
+    """Return a listening socket as `bind` does; transient errors are retried for `timeout` seconds.
 
-    Raises OSError for an error that does not pass, or has not passed by then.
+    Raises OSError for an error that is not transient, or that persists until then.
     """
     loop = asyncio.get_running_loop()
     retry_until = loop.time() + timeout
@@ -46,15 +46,15 @@
 
 
 def inherit(descriptor: int) -> socket.socket:
-    """Return the listening socket at `descriptor`, which the platform opened, as a non-blocking one.
+    """Return the listening socket at `descriptor`, opened by the platform, as a non-blocking socket.
 
-    Other processes accept from the same socket: closing it here leaves its queue of connections to them.
+    Other processes accept from the same socket: closing it here leaves its queued connections to them.
 
-    Raises OSError if the descriptor isn't a listening socket; the descriptor stays open then.
+    Raises OSError if the socket is not listening; the descriptor stays open in that case.
     """
     listener = socket.socket(fileno=descriptor)
     if not listener.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
         listener.detach()
-        raise OSError(f"descriptor {descriptor} does not listen")
+        raise OSError(f"descriptor {descriptor} is not a listening socket")
     listener.setblocking(False)
     return listener
