--- a/quota_gateway/downstream/arrival_bound.py
+++ b/quota_gateway/downstream/arrival_bound.py
@@ -15,7 +15,7 @@
 class EventLoopMonitor:
     """Records iterations of the event loop, to bound the arrival time of the input that it reports.
 
-    Input that the loop reports now arrived after `previous_turn_at`: between that time and the latest
+    Input that the loop reports now arrived after `previous_iteration_at`: between that time and the latest
     recorded iteration the loop polled all watched sockets at least once, and reported what it found.
     """
 
@@ -23,18 +23,18 @@
         """Start to record iterations of `loop`; `clock` returns the time in seconds."""
         self._loop = loop
         self._clock = clock
-        self.previous_turn_at = clock()
-        self._latest_turn_at = self.previous_turn_at
-        self._timer = loop.call_later(TURN_INTERVAL, self._note_turn)
+        self.previous_iteration_at = clock()
+        self._latest_iteration_at = self.previous_iteration_at
+        self._timer = loop.call_later(TURN_INTERVAL, self._record_iteration)
 
     def close(self) -> None:
         """Stop recording iterations."""
         self._timer.cancel()
 
-    def _note_turn(self) -> None:
-        self.previous_turn_at = self._latest_turn_at
-        self._latest_turn_at = self._clock()
-        self._timer = self._loop.call_later(TURN_INTERVAL, self._note_turn)
+    def _record_iteration(self) -> None:
+        self.previous_iteration_at = self._latest_iteration_at
+        self._latest_iteration_at = self._clock()
+        self._timer = self._loop.call_later(TURN_INTERVAL, self._record_iteration)
 
 
 class ArrivalBound:
@@ -53,15 +53,15 @@
 
     def earliest(self) -> float:
         """Return the earliest possible arrival time, in seconds."""
-        previous_turn_at = self._monitor.previous_turn_at
-        return previous_turn_at if previous_turn_at >= self._watched_since else self._waiting_since
+        previous_iteration_at = self._monitor.previous_iteration_at
+        return previous_iteration_at if previous_iteration_at >= self._watched_since else self._waiting_since
 
     def leave_unread(self, now: float) -> None:
         """Record that input may remain unread, or that the loop no longer watches the socket."""
         self._waiting_since = self.earliest()
         self._watched_since = now
 
-    def mark_empty(self, now: float) -> None:
+    def mark_all_read(self, now: float) -> None:
         """Record that all input has been read."""
         self._waiting_since = now
         self._watched_since = now
--- a/quota_gateway/downstream/client_connection.py
+++ b/quota_gateway/downstream/client_connection.py
@@ -155,7 +155,7 @@
         if broken:
             self.cut_off()
         else:
-            self.half_close.begin(self.listener.loop_monitor.previous_turn_at)
+            self.half_close.begin(self.listener.loop_monitor.previous_iteration_at)
 
     def client_disconnected(self) -> bool:
         """Return True if the client has closed its side; on a busy core the kernel knows before the loop."""
--- a/quota_gateway/downstream/client_listener.py
+++ b/quota_gateway/downstream/client_listener.py
@@ -57,7 +57,7 @@
         self.loop: asyncio.AbstractEventLoop = asyncio.get_running_loop()
         self.disconnect_monitor = DisconnectMonitor(self.loop)
         self.loop_monitor = EventLoopMonitor(self.loop, clock)
-        self.queue_bound = ArrivalBound(self.loop_monitor, clock(), clock())  # for the listen queue
+        self.queue_arrival_bound = ArrivalBound(self.loop_monitor, clock(), clock())  # for the listen queue
         self.listener: socket.socket | None = None
         self.accept_timer: asyncio.TimerHandle | None = None  # set while accepting is paused
         self.stopping = False
@@ -87,7 +87,7 @@
         """
         self.listener = listener
         now = self.clock()
-        self.queue_bound = ArrivalBound(self.loop_monitor, UNKNOWN_TIME if is_queue_old else now, now)
+        self.queue_arrival_bound = ArrivalBound(self.loop_monitor, UNKNOWN_TIME if is_queue_old else now, now)
         self.loop.add_reader(listener, self.accept)
 
     def set_superseded(self, enabled: bool) -> None:
@@ -96,19 +96,19 @@
         if self.listener is None:
             return
         if enabled:
-            self.queue_bound.leave_unread(self.clock())
+            self.queue_arrival_bound.leave_unread(self.clock())
             self.loop.remove_reader(self.listener)
             if self.accept_timer is not None:
                 self.accept_timer.cancel()
                 self.accept_timer = None
         else:
-            self.queue_bound.watch(self.clock())
+            self.queue_arrival_bound.watch(self.clock())
             self.loop.add_reader(self.listener, self.accept)
 
     def accept(self) -> bool:
         """Accept queued connections up to a limit; return True if more may be accepted at once."""
         self.accept_timer = None
-        waiting_since = self.queue_bound.earliest()
+        waiting_since = self.queue_arrival_bound.earliest()
         failed_accepts = 0
         for _ in range(MAX_ACCEPTS):
             if self.listener is None or self.superseded:
@@ -119,7 +119,7 @@
             try:
                 sock, _ = self.listener.accept()
             except BlockingIOError:
-                self.queue_bound.mark_empty(self.clock())
+                self.queue_arrival_bound.mark_all_read(self.clock())
                 return False
             except OSError as error:
                 failed_accepts += error.errno in SYSTEM_SHORTAGE_ERRNOS
@@ -133,7 +133,7 @@
             task = self.loop.create_task(self.open_connection(sock, waiting_since))
             self.accepting.add(task)
             task.add_done_callback(self.accepting.discard)
-        self.queue_bound.leave_unread(self.clock())
+        self.queue_arrival_bound.leave_unread(self.clock())
         return True
 
     async def open_connection(self, sock: socket.socket, waiting_since: float) -> None:
@@ -177,7 +177,7 @@
     def pause_accepting(self) -> None:
         """Leave connections in the kernel's queue, where no request is lost, and retry after a delay."""
         if self.listener is not None and self.accept_timer is None:
-            self.queue_bound.leave_unread(self.clock())
+            self.queue_arrival_bound.leave_unread(self.clock())
             self.loop.remove_reader(self.listener)
             self.accept_timer = self.loop.call_later(RETRY_DELAY, self.resume_accepting)
 
@@ -185,7 +185,7 @@
         """Resume accepting after a pause."""
         self.accept_timer = None
         if self.listener is not None:
-            self.queue_bound.watch(self.clock())
+            self.queue_arrival_bound.watch(self.clock())
             self.loop.add_reader(self.listener, self.accept)
             self.accept()
 
--- a/quota_gateway/downstream/flow_control.py
+++ b/quota_gateway/downstream/flow_control.py
@@ -43,7 +43,7 @@
         # seconds: time at which data was last received, or reading was resumed
         self.last_read_at = listener.clock()
         self.arrival_bound = ArrivalBound(listener.loop_monitor, waiting_since, self.last_read_at)
-        self.last_read_bound = waiting_since  # seconds: earliest arrival time of the latest bytes
+        self.last_arrival_bound = waiting_since  # seconds: earliest arrival time of the latest bytes
         self.unread_response_timer = UnreadResponseTimer()
         self.closing_since = 0.0  # seconds: start of the linger timeout
         self.read_paused = False
@@ -76,7 +76,7 @@
         """
         now = self.last_read_at
         earliest = self.arrival_bound.earliest()
-        self.last_read_bound = earliest
+        self.last_arrival_bound = earliest
         if len(data) >= READ_BUFFER_BYTES:
             self.arrival_bound.leave_unread(now)
         if now - earliest <= ARRIVAL_TOLERANCE:
@@ -90,9 +90,9 @@
 
     def earliest_close(self) -> float:
         """Return the earliest time at which a close that is reported now may have arrived."""
-        earliest = self.listener.loop_monitor.previous_turn_at
+        earliest = self.listener.loop_monitor.previous_iteration_at
         # a close from before the latest read arrived with those bytes, and is reported after them
-        return earliest if earliest >= self.last_read_at else min(earliest, self.last_read_bound)
+        return earliest if earliest >= self.last_read_at else min(earliest, self.last_arrival_bound)
 
     @abstractmethod
     def data_received(self, data: bytes) -> None:
