--- a/quota_gateway/downstream/client_connection.py
+++ b/quota_gateway/downstream/client_connection.py
@@ -16,7 +16,7 @@
 from quota_gateway.sockets.kernel_state import has_peer_closed
 
 MAX_PIPELINED_REQUESTS = 16  # unanswered requests on one connection at which reading pauses
-PARSE_SIZE = 8192  # bytes parsed at a time; bounds the requests accepted beyond MAX_PIPELINED_REQUESTS
+MAX_PARSE_BYTES = 8192  # bytes parsed at a time; bounds the requests accepted beyond MAX_PIPELINED_REQUESTS
 
 
 class RequestListener(Listener, DispatchingListener, Protocol):
@@ -67,8 +67,8 @@
         requests = self.requests
         while self.unread and not (self.ended or self.is_full() or requests.error_pause):
             data = self.unread
-            if len(data) > PARSE_SIZE:
-                data = data[:PARSE_SIZE]
+            if len(data) > MAX_PARSE_BYTES:
+                data = data[:MAX_PARSE_BYTES]
             self.unread = self.unread[len(data) :]
             requests.parse(data)
         self.update_reading()
@@ -122,7 +122,7 @@
         else:
             self.update_reading()
 
-    def ends_with(self, writer: ResponseWriter) -> bool:
+    def closes_after(self, writer: ResponseWriter) -> bool:
         """Return True for the last response before a shutdown or drain closes the connection.
 
         No further request is accepted then. An earlier response must not announce the close: the requests
@@ -153,7 +153,7 @@
     def handle_disconnect(self, broken: bool) -> None:
         """Reset a broken connection; otherwise handle the half-close."""
         if broken:
-            self.cut_off()
+            self.reset()
         else:
             self.half_close.begin(self.listener.loop_monitor.previous_iteration_at)
 
@@ -169,16 +169,16 @@
         self.transport = None
         self.ended = True
         self.half_close.cancel()
-        for request_id in self.responses.take_incomplete():
+        for request_id in self.responses.pop_incomplete():
             self.listener.dispatcher.client_disconnected(request_id)
 
-    def is_reading_request(self) -> bool:
+    def is_waiting_for_request_data(self) -> bool:
         """Return True if a request is incomplete only because its client is slow."""
         if not self.in_request or self.unread or self.read_paused:
             return False
         return self.responses.is_first(self.requests.streaming_writer)
 
-    def is_in_partial_request(self) -> bool:
+    def has_only_partial_request(self) -> bool:
         """Return True if a request is partly read and no other one is in flight."""
         return self.in_request and not (self.responses or self.closing or self.unread)
 
@@ -188,15 +188,15 @@
 
     def end(self) -> None:
         """Close gracefully after the last response."""
-        self.check_close()
+        self.check_all_answered()
         super().end()
 
     def drop(self) -> None:
         """Close immediately: no response is pending, or the client had its time to read one."""
-        self.check_close()
+        self.check_all_answered()
         super().drop()
 
-    def check_close(self) -> None:
+    def check_all_answered(self) -> None:
         """Check the invariant that a connection closes with no request unanswered."""
         unanswered = list(self.responses.unanswered())
         if unanswered:
--- a/quota_gateway/downstream/client_listener.py
+++ b/quota_gateway/downstream/client_listener.py
@@ -11,8 +11,8 @@
 from quota_gateway.dispatch.dispatcher import RequestDispatcher
 from quota_gateway.downstream.arrival_bound import ArrivalBound, EventLoopMonitor
 from quota_gateway.downstream.client_connection import ClientConnection
-from quota_gateway.downstream.connection_eviction import MAX_EVICTIONS, end_if_unused, evict_unused
-from quota_gateway.downstream.connection_limits import CROWDED_FRACTION, CROWDED_IDLE_TIMEOUT, IDLE_TIMEOUT
+from quota_gateway.downstream.connection_eviction import MAX_EVICTIONS, close_if_unused, evict_unused
+from quota_gateway.downstream.connection_limits import BUSY_FRACTION, BUSY_IDLE_TIMEOUT, IDLE_TIMEOUT
 from quota_gateway.downstream.connection_timeouts import enforce_timeouts
 from quota_gateway.downstream.disconnect_monitor import DisconnectMonitor
 from quota_gateway.downstream.request_router import RequestRouter
@@ -48,12 +48,12 @@
         self.dispatcher = dispatcher
         self.clock = clock
         self.max_connections = max_connections
-        self.withheld = 0  # reduction of the connection limit while descriptors are short
+        self.limit_reduction = 0  # reduction of the connection limit while descriptors are short
         self.read_buffer = bytearray(READ_BUFFER_BYTES)
         self.is_serving = is_serving
         self.router = RequestRouter(dispatcher, settings, self.is_ready)
         self.connections: set[ClientConnection] = set()
-        self.accepting: set[asyncio.Task[None]] = set()
+        self.accept_tasks: set[asyncio.Task[None]] = set()
         self.loop: asyncio.AbstractEventLoop = asyncio.get_running_loop()
         self.disconnect_monitor = DisconnectMonitor(self.loop)
         self.loop_monitor = EventLoopMonitor(self.loop, clock)
@@ -131,8 +131,8 @@
                 return False
             sock.setblocking(False)
             task = self.loop.create_task(self.open_connection(sock, waiting_since))
-            self.accepting.add(task)
-            task.add_done_callback(self.accepting.discard)
+            self.accept_tasks.add(task)
+            task.add_done_callback(self.accept_tasks.discard)
         self.queue_arrival_bound.leave_unread(self.clock())
         return True
 
@@ -145,13 +145,13 @@
 
     def has_capacity(self) -> bool:
         """Return True if one more connection may be accepted, if necessary after an eviction."""
-        open_connections = len(self.connections) + len(self.accepting)
-        return open_connections < self.max_connections - self.withheld or self.evict_unused()
+        open_connections = len(self.connections) + len(self.accept_tasks)
+        return open_connections < self.max_connections - self.limit_reduction or self.evict_unused()
 
     def handle_descriptor_exhaustion(self) -> None:
         """Lower the limit below the number of open connections: other sockets need descriptors too."""
-        limit = min(self.max_connections - self.withheld, len(self.connections)) - MAX_EVICTIONS
-        self.withheld = self.max_connections - max(limit, min(MIN_CONNECTIONS, self.max_connections))
+        limit = min(self.max_connections - self.limit_reduction, len(self.connections)) - MAX_EVICTIONS
+        self.limit_reduction = self.max_connections - max(limit, min(MIN_CONNECTIONS, self.max_connections))
         self.evict_unused()
 
     def evict_unused(self) -> bool:
@@ -164,14 +164,14 @@
         """Enforce the timeouts of all connections, and close unused ones in a drain."""
         self.sweep_timer.cancel()
         now = self.clock()
-        self.withheld = max(self.withheld - 1, 0)
-        is_crowded = len(self.connections) >= CROWDED_FRACTION * (self.max_connections - self.withheld)
-        idle_timeout = CROWDED_IDLE_TIMEOUT if is_crowded else IDLE_TIMEOUT
-        ends_unused = self.draining and now - self.drained_since >= DRAIN_DELAY
+        self.limit_reduction = max(self.limit_reduction - 1, 0)
+        is_busy = len(self.connections) >= BUSY_FRACTION * (self.max_connections - self.limit_reduction)
+        idle_timeout = BUSY_IDLE_TIMEOUT if is_busy else IDLE_TIMEOUT
+        closes_unused = self.draining and now - self.drained_since >= DRAIN_DELAY
         for connection in list(self.connections):
             enforce_timeouts(connection, now, idle_timeout)
-            if ends_unused:
-                end_if_unused(connection, now)
+            if closes_unused:
+                close_if_unused(connection, now)
         self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL, self.sweep)
 
     def pause_accepting(self) -> None:
@@ -207,7 +207,7 @@
 
     def has_open_connections(self) -> bool:
         """Return True while a request may still arrive on any connection."""
-        return bool(self.accepting) or any(not c.closing for c in self.connections)
+        return bool(self.accept_tasks) or any(not c.closing for c in self.connections)
 
     async def wait_until_flushed(self, timeout: float) -> None:
         """Wait until the kernel has accepted all response data, for `timeout` seconds at most."""
--- a/quota_gateway/downstream/connection_eviction.py
+++ b/quota_gateway/downstream/connection_eviction.py
@@ -24,7 +24,7 @@
     if may_close_client(connection, UNUSED_AFTER, now):
         connection.drop()
         return True
-    if not connection.is_in_partial_request() or now - connection.last_used_at() < UNUSED_AFTER:
+    if not connection.has_only_partial_request() or now - connection.last_used_at() < UNUSED_AFTER:
         return False
     connection.requests.abort_request(
         InvalidRequestError(408, "the request did not come whole, and others wait")
@@ -44,7 +44,7 @@
     return evicted
 
 
-def end_if_unused(connection: ClientConnection, now: float) -> None:
+def close_if_unused(connection: ClientConnection, now: float) -> None:
     """Close a connection gracefully in a drain, if it is unused and has all its responses."""
     if may_close_client(connection, UNUSED_AFTER, now):
         connection.end()
--- a/quota_gateway/downstream/connection_limits.py
+++ b/quota_gateway/downstream/connection_limits.py
@@ -9,12 +9,12 @@
 # close must follow within 3.
 READ_TIMEOUT = 2.5
 BODY_STALL_TIMEOUT = 2.0  # seconds without data allowed while less than MAX_BUFFERED_BYTES have been read
-LATE_STALL_TIMEOUT = 0.25  # seconds without data after which a late body is held to MIN_BODY_RATE
+SLOW_BODY_STALL_TIMEOUT = 0.25  # seconds without data after which a late body is held to MIN_BODY_RATE
 LARGE_BODY_STALL_TIMEOUT = 6.0  # seconds without data allowed once MAX_BUFFERED_BYTES have been read
 MIN_BODY_RATE = 16 * 1024  # bytes per second of a body below MAX_BUFFERED_BYTES; a slower one never ends
 IDLE_TIMEOUT = 10.0  # seconds without a request after which a connection is closed
-CROWDED_IDLE_TIMEOUT = 2.1  # seconds without a request after which one is closed while many are open
-CROWDED_FRACTION = 0.5  # fraction of the connection limit at which the shorter idle timeout applies
+BUSY_IDLE_TIMEOUT = 2.1  # seconds without a request after which one is closed while many are open
+BUSY_FRACTION = 0.5  # fraction of the connection limit at which the shorter idle timeout applies
 UNREAD_RESPONSE_TIMEOUT = 10.0  # seconds within which a client must read some of the data sent to it
 LINGER_TIMEOUT = 1.0  # seconds for a client to read the last response before its connection is reset
 SENDING_LINGER_TIMEOUT = 4.0  # seconds for a client that is still sending a body: it may not read until then
@@ -23,11 +23,11 @@
 class UnreadResponseTimer:
     """Measures how long a client has read none of the data sent to it."""
 
-    __slots__ = ("progress_at", "unsent_bytes")
+    __slots__ = ("last_progress_at", "unsent_bytes")
 
     def __init__(self) -> None:
         """Initialize a stopped timer."""
-        self.progress_at = 0.0  # seconds: time at which the client last read something
+        self.last_progress_at = 0.0  # seconds: time at which the client last read something
         self.unsent_bytes = 0
 
     def stop(self) -> None:
@@ -36,7 +36,7 @@
 
     def start(self, now: float, unsent_bytes: int) -> None:
         """Start the timer at `now`, while `unsent_bytes` wait in the transport."""
-        self.progress_at = now
+        self.last_progress_at = now
         self.unsent_bytes = unsent_bytes
 
     def has_expired(self, now: float, unsent_bytes: int) -> bool:
@@ -45,7 +45,7 @@
             self.start(now, unsent_bytes)
             return False
         self.unsent_bytes = unsent_bytes  # may have grown by a further response
-        return now - self.progress_at > UNREAD_RESPONSE_TIMEOUT
+        return now - self.last_progress_at > UNREAD_RESPONSE_TIMEOUT
 
 
 def is_body_stalled(request: RequestReader, last_read_at: float, now: float) -> bool:
@@ -55,8 +55,8 @@
         return stalled_for > LARGE_BODY_STALL_TIMEOUT
     elapsed = now - request.body_started_at
     is_late = now - request.request_started_at > READ_TIMEOUT
-    stops = elapsed > READ_TIMEOUT or stalled_for > LATE_STALL_TIMEOUT
-    is_slow = is_late and stops and request.body_size < MIN_BODY_RATE * elapsed
+    rate_applies = elapsed > READ_TIMEOUT or stalled_for > SLOW_BODY_STALL_TIMEOUT
+    is_slow = is_late and rate_applies and request.body_size < MIN_BODY_RATE * elapsed
     return is_slow or stalled_for > BODY_STALL_TIMEOUT
 
 
--- a/quota_gateway/downstream/connection_timeouts.py
+++ b/quota_gateway/downstream/connection_timeouts.py
@@ -19,7 +19,7 @@
     elif connection.closing:
         if now - connection.closing_since > linger_timeout(requests):
             connection.drop()
-    elif connection.is_reading_request():
+    elif connection.is_waiting_for_request_data():
         if is_request_overdue(requests, connection.last_read_at, now):
             requests.abort_request(InvalidRequestError(408, "the request did not come whole in time"))
     elif connection.is_idle():
--- a/quota_gateway/downstream/flow_control.py
+++ b/quota_gateway/downstream/flow_control.py
@@ -165,7 +165,7 @@
         else:
             self.transport.close()
 
-    def cut_off(self) -> None:
+    def reset(self) -> None:
         """Reset the connection, which tells the client that a streamed response is incomplete."""
         self.ended = True
         self.closing = True
--- a/quota_gateway/downstream/request_handler.py
+++ b/quota_gateway/downstream/request_handler.py
@@ -155,11 +155,11 @@
             connection.ended = True
         elif self.error_pause is None:
             loop = asyncio.get_running_loop()
-            self.error_pause = loop.call_later(INVALID_REQUEST_PAUSE, self.end_error_pause)
+            self.error_pause = loop.call_later(INVALID_REQUEST_PAUSE, self.resume_after_error)
         body = b"" if self.method() == b"HEAD" else f"{error}\n".encode()
         writer.send(error.status, body, error.headers)
 
-    def end_error_pause(self) -> None:
+    def resume_after_error(self) -> None:
         """Resume parsing after the pause that follows an invalid request."""
         self.error_pause = None
         if self.connection is not None:
--- a/quota_gateway/downstream/request_router.py
+++ b/quota_gateway/downstream/request_router.py
@@ -27,12 +27,12 @@
         self.parser = RequestParser(settings)
         self.is_ready = is_ready
 
-    def route(self, reader: RequestReader, writer: ResponseWriter, client_closed: bool) -> None:
+    def route(self, reader: RequestReader, writer: ResponseWriter, client_half_closed: bool) -> None:
         """Submit or answer a complete request; raises InvalidRequestError."""
         path = reader.path()
         if path == READINESS_PATH:
             self.answer_readiness_check(reader, writer)
-        elif client_closed:  # the protocol treats a half-closed client as disconnected
+        elif client_half_closed:  # the protocol treats a half-closed client as disconnected
             writer.send(429, b"")
         else:
             self.check_api_request(reader, path)
--- a/quota_gateway/downstream/response_queue.py
+++ b/quota_gateway/downstream/response_queue.py
@@ -59,7 +59,7 @@
             if writer.request_id and writer.unsent is None:
                 yield writer.request_id
 
-    def take_incomplete(self) -> Iterator[int]:
+    def pop_incomplete(self) -> Iterator[int]:
         """Clear the queue; yield the ids of submitted requests whose response is incomplete.
 
         The first step of the iteration clears the queue. Each response is checked when it is reached.
--- a/quota_gateway/downstream/response_writer.py
+++ b/quota_gateway/downstream/response_writer.py
@@ -29,13 +29,13 @@
     transport: asyncio.Transport | None
     write_paused: bool  # the transport's buffer is full: the client doesn't read
 
-    def ends_with(self, writer: ResponseWriter) -> bool:
+    def closes_after(self, writer: ResponseWriter) -> bool:
         """Return True if a shutdown or drain closes the connection after this response."""
 
     def flush(self) -> None:
         """Write the responses that are ready."""
 
-    def cut_off(self) -> None:
+    def reset(self) -> None:
         """Reset the connection."""
 
     def client_disconnected(self) -> bool:
@@ -80,7 +80,7 @@
         """Send a full response, unless one has started; `headers` are complete header lines."""
         if self.unsent is not None:
             return
-        self.keep_alive = self.keep_alive and not self.connection.ends_with(self)
+        self.keep_alive = self.keep_alive and not self.connection.closes_after(self)
         self.unsent = b"HTTP/1.1 %d %b\r\n%b%bContent-Length: %d\r\n\r\n%b" % (
             status,
             REASON_PHRASES[status],
@@ -98,7 +98,7 @@
     def begin_stream(self, head: ResponseHead, source: StreamSource) -> None:
         """Send the head of a streamed response; `source` is paused while the client doesn't read."""
         self.chunked = head.length is None and self.http_version != "1.0"
-        self.keep_alive = self.keep_alive and not self.connection.ends_with(self)
+        self.keep_alive = self.keep_alive and not self.connection.closes_after(self)
         framing = b"Transfer-Encoding: chunked\r\n" if self.chunked else b""
         if head.length is not None:
             framing = b"Content-Length: %d\r\n" % head.length
@@ -138,7 +138,7 @@
         self.streaming = False
         self.source = None
         if self.is_sending:
-            self.connection.cut_off()
+            self.connection.reset()
         else:  # nothing has been written, so the response can be replaced
             self.unsent = None
             self.send(502, b"")
