--- a/quota_gateway/downstream/flow_control.py
+++ b/quota_gateway/downstream/flow_control.py
@@ -54,9 +54,9 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Store the transport and its socket (asyncio)."""
         self.transport = cast(asyncio.Transport, transport)  # uvloop's has the methods but not the base class
-        connected = self.transport.get_extra_info("socket")
-        self.socket = connected
-        self.descriptor = connected.fileno()
+        sock = self.transport.get_extra_info("socket")
+        self.socket = sock
+        self.descriptor = sock.fileno()
         self.arrival_bound.watch(self.listener.clock())
 
     def get_buffer(self, sizehint: int) -> bytearray:
--- a/quota_gateway/downstream/request_handler.py
+++ b/quota_gateway/downstream/request_handler.py
@@ -105,8 +105,8 @@
         self.body_stream = request.body_stream
         if self.body_stream is not None:
             self.body_stream.on_capacity = self.handle_body_capacity
-            for piece in self.body:
-                self.body_stream.feed(piece)
+            for data in self.body:
+                self.body_stream.feed(data)
         self.body = []
         writer.request_id = self.router.dispatcher.submit(request, writer)
 
--- a/quota_gateway/downstream/request_parser.py
+++ b/quota_gateway/downstream/request_parser.py
@@ -113,15 +113,15 @@
         quota = self.parse_quota(headers)
         budget = self.parse_budget(headers, request_class)
         call_id = matching_header(headers, b"x-call-id", CALL_ID_PATTERN)
-        head = [
+        head_lines = [
             b"%b %b HTTP/1.1" % (method, reader.target),
             b"Host: %b" % headers.get(b"host", b"backend.local"),
             b"X-Call-Id: %b" % call_id,
             *self.idempotency_key_lines(headers, request_class),
         ]
         if method != b"GET":
-            head += self.body_lines(headers, None if streamed else len(body))
-        head.append(b"")
+            head_lines += self.body_lines(headers, None if streamed else len(body))
+        head_lines.append(b"")
         return ClientRequest(
             call_id=call_id,
             received_at=reader.arrived_at,
@@ -133,7 +133,7 @@
             quota_spread=quota.spread,
             first_gateway=quota.first_gateway,
             is_retry=headers.get(b"x-again") == b"1",
-            head=b"\r\n".join(head),
+            head=b"\r\n".join(head_lines),
             body=body,
             body_stream=RequestBodyStream(length, budget) if streamed else None,
             read_at=reader.received_at,
--- a/quota_gateway/downstream/response_writer.py
+++ b/quota_gateway/downstream/response_writer.py
@@ -113,9 +113,9 @@
         if not self.is_sending or self.connection.write_paused:
             source.pause()
 
-    def write_body(self, piece: bytes) -> None:
+    def write_body(self, data: bytes) -> None:
         """Send a part of a streamed body."""
-        self.write(chunk(piece) if self.chunked else piece)
+        self.write(chunk(data) if self.chunked else data)
 
     def write(self, data: bytes) -> None:
         """Write to the transport, or buffer until all earlier responses are written."""
--- a/quota_gateway/sockets/kernel_state.py
+++ b/quota_gateway/sockets/kernel_state.py
@@ -9,19 +9,19 @@
 # Bytes of `struct tcp_info` (linux/tcp.h) up to the end of tcpi_last_data_recv, which is in milliseconds;
 # Linux only ever appends fields to the struct.
 TCP_INFO_SIZE = 56
-LAST_DATA_RECEIVED = struct.Struct("=I")
+LAST_DATA_RECEIVED_FORMAT = struct.Struct("=I")
 LAST_DATA_RECEIVED_OFFSET = 52
 MILLISECONDS_PER_SECOND = 1000.0
 
 
 def has_peer_closed(descriptor: int) -> bool:
     """Return True if the peer has closed its sending side, even if the loop has not reported it yet."""
-    return _polls(descriptor, select.POLLRDHUP)
+    return _has_event(descriptor, select.POLLRDHUP)
 
 
 def has_unread_input(descriptor: int) -> bool:
     """Return True if the kernel holds unread bytes, or an unread end of stream, from the peer."""
-    return _polls(descriptor, select.POLLIN)
+    return _has_event(descriptor, select.POLLIN)
 
 
 def seconds_since_last_data(connection: socket.socket) -> float | None:
@@ -35,11 +35,11 @@
         return None
     if len(info) < TCP_INFO_SIZE or not info[0]:  # state 0: not a TCP socket of this kernel
         return None
-    (milliseconds,) = LAST_DATA_RECEIVED.unpack_from(info, LAST_DATA_RECEIVED_OFFSET)
+    (milliseconds,) = LAST_DATA_RECEIVED_FORMAT.unpack_from(info, LAST_DATA_RECEIVED_OFFSET)
     return float(milliseconds) / MILLISECONDS_PER_SECOND
 
 
-def _polls(descriptor: int, event: int) -> bool:
+def _has_event(descriptor: int, event: int) -> bool:
     poll = select.poll()
     poll.register(descriptor, event)
     return bool(poll.poll(0))
