--- a/quota_gateway/dispatch/action_executor.py
+++ b/quota_gateway/dispatch/action_executor.py
@@ -1,4 +1,4 @@
-"""Carries out the actions of the policy engine."""
+"""Executes the actions that the policy engine returns."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 class ActionContext(Protocol):
-    """What actions use besides the pool and the requests; the optional parts may be set at any time."""
+    """What the executor needs from the dispatcher; the optional attributes may be set at any time."""
 
     counter: CounterClient | None
     drain_clients: Callable[[bool], None] | None
@@ -46,11 +46,11 @@
         """Report an event to the policy engine."""
 
     def timer_fired(self, timer: Timer, due: float) -> None:
-        """Report a timer that was due at `due`."""
+        """Report that a timer which was due at `due` seconds has fired."""
 
 
 class ActionExecutor:
-    """Carries out one action at a time, in the order in which the policy engine gave them."""
+    """Executes the policy engine's actions one at a time, in the order in which it returned them."""
 
     def __init__(
         self,
@@ -62,7 +62,7 @@
         metrics: Metrics,
         request_log: RequestLog,
     ) -> None:
-        """Create an executor whose timers run on `loop`."""
+        """Initialize the executor; the engine's timers are scheduled on `loop`."""
         self._metrics = metrics
         self._request_log = request_log
         self._context = context
@@ -72,7 +72,7 @@
         self._loop = loop
 
     def execute(self, action: Action) -> None:
-        """Carry out an action of any type."""
+        """Execute an action of any type."""
         match action:
             case StartAttempt():
                 self._start_attempt(action)
@@ -95,12 +95,12 @@
                 if self._context.report_units is not None:
                     self._context.report_units(action)
             case PollEndpoints():
-                pass  # discovery is polled all the time
+                pass  # the endpoint poller runs continuously
 
     def _start_attempt(self, action: StartAttempt) -> None:
         active_request = self._registry.find(action.request_id)
         if active_request is None:
-            log.warning("no attempt started for request %d, which is complete", action.request_id)
+            log.warning("no attempt started for request %d: it is already complete", action.request_id)
             return
         now = self._clock()
         attempt = active_request.add_attempt(action, now)
@@ -127,7 +127,7 @@
         self._answer(action.request_id, HTTPStatus.TOO_MANY_REQUESTS, action.reason, headers)
 
     def _answer(self, request_id: int, status: HTTPStatus, reason: Reason, headers: bytes = b"") -> None:
-        """Send a final response without a body; ignored if the request has had one."""
+        """Send a final response without a body, unless the request has already been answered."""
         active_request = self._registry.find_unanswered(request_id)
         if active_request is not None:
             self._metrics.answers_without_endpoint[reason] += 1
--- a/quota_gateway/dispatch/attempt_handler.py
+++ b/quota_gateway/dispatch/attempt_handler.py
@@ -1,4 +1,4 @@
-"""Turns what upstream attempts report into responses to clients and events for the policy engine."""
+"""Handles the results of upstream attempts: answers clients and reports events to the policy engine."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 from quota_gateway.model.outcomes import Outcome
 from quota_gateway.upstream.attempt import AttemptResult, UpstreamAttempt
 
-# Seconds: the policy engine takes 0 for an unknown time to the first byte.
+# Smallest time to the first byte that is reported, in seconds. The policy engine takes 0 to mean unknown.
 MIN_TIME_TO_FIRST_BYTE = 1e-6
 
 
 class AttemptHandler:
-    """Observes the attempts of all active requests."""
+    """Handles the events of the attempts of all active requests."""
 
     def __init__(
         self,
@@ -30,7 +30,7 @@
         metrics: Metrics,
         request_log: RequestLog,
     ) -> None:
-        """Create a handler that posts events by `post`; more units than the maximum are disregarded."""
+        """Initialize the handler; `post` receives its events, and a bill over the maximum is ignored."""
         self._metrics = metrics
         self._request_log = request_log
         self._registry = registry
@@ -41,14 +41,14 @@
     def attempt_ended(
         self, active_request: ActiveRequest, attempt: UpstreamAttempt, result: AttemptResult
     ) -> None:
-        """Answer the request if the attempt decides its response, and report the end."""
+        """Answer the request if the result determines its response; report the end to the policy engine."""
         active_request.in_flight -= 1
         self._metrics.attempts_ended[result.outcome] += 1
         if self._request_log.enabled:
             self._request_log.ended(active_request, attempt, result)
         self._answer(active_request, attempt, result)
         elapsed = self._clock() - attempt.waiting_since
-        # no request has more units, so an endpoint that reports more is wrong
+        # no request has more units than the maximum, so an endpoint that bills more is in error
         units = result.units if result.units <= self._max_request_units else 0.0
         self._post(
             AttemptEnded(
@@ -65,7 +65,7 @@
         self._registry.remove_if_complete(active_request)
 
     def _answer(self, active_request: ActiveRequest, attempt: UpstreamAttempt, result: AttemptResult) -> None:
-        """Forward a response or end the streamed one; after any other failure the engine decides."""
+        """Forward a response or end the streamed one; any other failure is left to the policy engine."""
         if active_request.answered:
             return
         succeeded = result.outcome is Outcome.SUCCESS
@@ -77,7 +77,7 @@
     def start_response_stream(
         self, active_request: ActiveRequest, attempt: UpstreamAttempt, head: ResponseHead
     ) -> StreamSink | None:
-        """Forward a long response as it arrives; None if the request has a response already."""
+        """Start forwarding a long response and return its sink, or None if there is a response already."""
         response = active_request.response
         if active_request.answered or active_request.streaming_attempt is not None or response is None:
             return None
