--- a/quota_gateway/dispatch/active_request.py
+++ b/quota_gateway/dispatch/active_request.py
@@ -1,4 +1,4 @@
-"""A request that is being served, with the upstream attempts that were made for it."""
+"""A client request in progress and the upstream attempts made for it."""
 
 from __future__ import annotations
 
@@ -15,33 +15,37 @@
 from quota_gateway.policy.permissions import Refusal, attempt_refusal
 from quota_gateway.upstream.attempt import AttemptResult, UpstreamAttempt
 
-# Seconds before the client's timeout at which the policy engine's deadline ends. The budget runs from the
-# client's send, the response needs its way back, and the core may be busy with another gateway's process.
+# Seconds by which the policy engine's deadline precedes the client's timeout. The timeout starts when the
+# client sends the request, the response takes time to reach it, and the CPU core may be busy with another
+# gateway process.
 RESPONSE_MARGIN = 0.1
 # Seconds before the client's timeout at which the watchdog fails a request that has no response.
 WATCHDOG_MARGIN = 0.05
-MAX_MARGIN_FRACTION = 0.25  # of the budget; bounds the response margin of a short one
-BODY_UPLOAD_TIMEOUT = 900.0  # seconds for a streamed body; the downstream side ends one that stalls
+# Upper limit of the response margin, as a fraction of the client's time budget. The watchdog's margin is
+# limited to half of that.
+MAX_MARGIN_FRACTION = 0.25
+# Seconds that the upload of a streamed body may take. The downstream side ends an upload that stalls.
+BODY_UPLOAD_TIMEOUT = 900.0
 
 
 class AttemptObserver(Protocol):
-    """Receives what the attempts of an active request report."""
+    """Receives the events of the attempts of active requests."""
 
     def attempt_ended(
         self, active_request: ActiveRequest, attempt: UpstreamAttempt, result: AttemptResult
     ) -> None:
-        """Handle the end of an attempt, which is reported once."""
+        """Handle the end of an attempt; called once per attempt."""
 
     def start_response_stream(
         self, active_request: ActiveRequest, attempt: UpstreamAttempt, head: ResponseHead
     ) -> StreamSink | None:
-        """Return where a long response goes as it arrives, or None if it can't be forwarded."""
+        """Return the sink for a response too long to buffer, or None if it can't be forwarded."""
 
 
 class ActiveRequest:
     """A request from its arrival until it is answered and the last of its attempts has ended.
 
-    It owns its attempts and its watchdog timer. Upstream attempts know it as their owner.
+    It owns its attempts and its watchdog timer, and is the `AttemptOwner` of its attempts.
     """
 
     __slots__ = (
@@ -63,23 +67,25 @@
     def __init__(
         self, request_id: int, request: ClientRequest, response: ResponseChannel, observer: AttemptObserver
     ) -> None:
-        """Create an unanswered request; `observer` receives what its attempts report."""
+        """Initialize an unanswered request whose attempts report to `observer`."""
         self.request_id = request_id
         self.request = request
         self.response: ResponseChannel | None = response  # None once the request is answered
         self.observer = observer
         timeout = self.time_budget if request.body_stream is None else BODY_UPLOAD_TIMEOUT
         self.deadline = request.received_at + timeout
-        self.arrived_at = request.received_at  # seconds: when the request's last byte came
-        # seconds: until when the client waits; infinite while its body is still on its way
+        # When the last byte arrived, in seconds; until a streamed body is complete, when the head did.
+        self.arrived_at = request.received_at
+        # When the client stops waiting, in seconds. Infinite while a streamed body is incomplete.
         self.client_deadline = (
             math.inf if request.body_stream is not None else self.arrived_at + request.budget
         )
         self.attempts: list[UpstreamAttempt] = []
-        self.in_flight = 0  # attempts that have not ended
+        self.in_flight = 0  # number of attempts that have not ended
         self.answered = False
-        self.streaming_attempt: UpstreamAttempt | None = None  # whose response is being forwarded
-        self.attempt_start_limit: float | None = None  # set when the client half-closes
+        self.streaming_attempt: UpstreamAttempt | None = None  # the attempt whose response is streamed
+        # When attempts may no longer start, in seconds. Set when the client half-closes its connection.
+        self.attempt_start_limit: float | None = None
         self.watchdog: asyncio.TimerHandle | None = None
 
     @property
@@ -90,7 +96,7 @@
 
     @property
     def watchdog_due(self) -> float:
-        """The time at which the watchdog fails the request."""
+        """When the watchdog fails the request, in seconds."""
         request = self.request
         margin = min(WATCHDOG_MARGIN, MAX_MARGIN_FRACTION * request.budget / 2)
         return request.received_at + request.budget - margin
@@ -113,21 +119,21 @@
         )
 
     def body_received(self, received_at: float) -> None:
-        """Count the client's time from the last byte of a streamed body, in seconds."""
+        """Restart the client's time budget at the arrival of a streamed body's last byte, in seconds."""
         self.request.received_at = received_at
         self.arrived_at = received_at
         self.client_deadline = received_at + self.request.budget
 
     def client_disconnected(self) -> bool:
-        """Return True if the client has closed its side."""
+        """Return whether the client has closed its side of the connection."""
         return self.response is not None and self.response.client_disconnected()
 
     def refusal(self, send_deadline: float | None, now: float) -> Refusal | None:
-        """Return why an attempt may not be sent now, None if it may."""
+        """Return why an attempt may not be sent at `now`, or None if it may."""
         return attempt_refusal(self, send_deadline, now)
 
     def add_attempt(self, action: StartAttempt, now: float) -> UpstreamAttempt:
-        """Create the attempt that the policy engine asks for; it is in flight but not yet started."""
+        """Create the attempt that `action` requests; it counts as in flight, but is not started yet."""
         deadline = self.deadline
         if action.timeout > 0:
             deadline = min(deadline, now + action.timeout)
@@ -149,21 +155,21 @@
         return attempt
 
     def attempt_ended(self, attempt: UpstreamAttempt, result: AttemptResult) -> None:
-        """Report the end of an attempt; called once by the attempt itself."""
+        """Report the end of an attempt to the observer; called once by the attempt itself."""
         self.observer.attempt_ended(self, attempt, result)
 
     def start_stream(self, attempt: UpstreamAttempt, head: ResponseHead) -> StreamSink | None:
-        """Return where a long response goes as it arrives, or None if it can't be forwarded."""
+        """Return the sink for a response too long to buffer, or None if it can't be forwarded."""
         return self.observer.start_response_stream(self, attempt, head)
 
     def extend_attempt_deadlines(self, now: float, loop: asyncio.AbstractEventLoop) -> None:
-        """Give the attempts in flight the request's deadline, which has moved."""
+        """Apply the request's new deadline to its attempts in flight."""
         for attempt in self.attempts:
             if not attempt.ended:
                 attempt.extend_deadline(self.deadline, now, loop)
 
     def cancel_unsent_attempts(self) -> None:
-        """End the attempts that have not been sent; a streamed body that was begun is sent to its end."""
+        """End the attempts that have not been sent; one that is sending a streamed body may finish."""
         for attempt in list(self.attempts):
             is_streaming_body = attempt.written and attempt.body_stream is not None
             is_sent = attempt.written_at is not None or is_streaming_body
@@ -171,10 +177,10 @@
                 attempt.end(AttemptResult(Outcome.NOT_SENT))
 
     def cancel_obsolete_attempts(self) -> None:
-        """End the attempts that an answered request must not go on with.
+        """End the attempts that must not continue once the request is answered.
 
-        These are the ones that are not completely written, and the one whose response was streamed. Any
-        other runs to its end, since its outcome and units are still of use to the policy engine.
+        These are the attempts that are not completely written, and the one whose response was streamed. All
+        others continue, since the policy engine still uses their outcome and units.
         """
         for attempt in self.attempts:
             is_unwritten = attempt.written_at is None
@@ -182,12 +188,12 @@
                 attempt.end(AttemptResult(Outcome.NOT_SENT if is_unwritten else Outcome.CANCELLED))
 
     def stop_watchdog(self) -> None:
-        """Cancel the watchdog timer, if it runs."""
+        """Cancel the watchdog timer if it is set."""
         if self.watchdog is not None:
             self.watchdog.cancel()
 
     def respond(self, status: int | None, body: bytes, headers: bytes) -> None:
-        """Send the final response, or end the streamed one; with None the client gets nothing more."""
+        """Send the final response, or end the streamed one; a status of None sends nothing."""
         response = self.response
         self.response = None
         if status is None or response is None:
--- a/quota_gateway/dispatch/client_request.py
+++ b/quota_gateway/dispatch/client_request.py
@@ -10,38 +10,38 @@
 
 @dataclass(slots=True)
 class ClientRequest:
-    """A client's request in the protocol's terms. All times are seconds."""
+    """A parsed client request. All times are in seconds."""
 
     call_id: bytes
-    received_at: float  # when its last byte came; for a streamed body, until then, when its head did
-    budget: float  # how long the client waits for its response
+    received_at: float  # when the last byte arrived; until a streamed body is complete, when the head did
+    budget: float  # how long the client waits for the response
     request_class: str
     plan: str
     customer: str
     units: float
-    quota_spread: int
-    first_gateway: int
-    is_retry: bool
-    head: bytes  # request line and headers for an endpoint, without the budget and the blank line
+    quota_spread: int  # number of gateways over which the customer's requests are spread
+    first_gateway: int  # index of the first of these gateways
+    is_retry: bool  # whether the client sends this request again
+    head: bytes  # request line and header lines for the endpoint, without X-Budget and the blank line
     body: bytes
-    body_stream: RequestBodyStream | None = None  # takes the place of `body` for a long one
-    read_at: float = 0.0  # when its last byte was read here, which may be some time after it came
+    body_stream: RequestBodyStream | None = None  # replaces a `body` that is too long to buffer
+    read_at: float = 0.0  # when the last byte was read, which may be some time after it arrived
 
 
 class ResponseChannel(StreamSink, Protocol):
-    """Takes the one response to a request: in full by `send`, or as a stream from `begin_stream` on."""
+    """Sends the only response to a request: complete with `send`, or streamed after `begin_stream`."""
 
     def send(self, status: int, body: bytes, headers: bytes = b"") -> None:
-        """Send a full response; `headers` are complete header lines."""
+        """Send a complete response; `headers` holds header lines, each with its line ending."""
 
     def begin_stream(self, head: ResponseHead, source: StreamSource) -> None:
-        """Send the head of a 200 response; `write_body` follows. Pausing `source` applies backpressure."""
+        """Send the head of a 200 response, followed by `write_body`; backpressure pauses `source`."""
 
     def end_stream(self) -> None:
         """End a streamed response whose body is complete."""
 
     def abort_stream(self) -> None:
-        """Break a streamed response off so that the client can tell that it is incomplete."""
+        """Abort a streamed response so that the client can tell that it is incomplete."""
 
     def client_disconnected(self) -> bool:
-        """Return True if the client has closed its side, also if the event loop has not reported it yet."""
+        """Return whether the client has closed its side, even if the event loop has not reported it yet."""
