--- a/quota_gateway/dispatch/dispatcher.py
+++ b/quota_gateway/dispatch/dispatcher.py
@@ -1,7 +1,7 @@
-"""Connects the policy engine to the sockets: events go in, and its actions are carried out in their order.
+"""Connects the policy engine to the network: passes events to it and executes its actions in order.
 
-Every decision is the engine's. The one exception is the watchdog, which fails a request that would otherwise
-get no response before its client's timeout, and logs it.
+The engine makes every decision, with one exception: the watchdog logs and fails a request that would
+otherwise get no response before its client's timeout.
 """
 
 from __future__ import annotations
@@ -45,23 +45,23 @@
 
 
 class QueuedEvent(NamedTuple):
-    """An event that waits for the actions of another one."""
+    """An event that waits until the actions of another event are executed."""
 
     event: Event
-    due: float  # the earliest time at which the engine may see it
+    due: float  # the earliest time in seconds that the engine may be given for it
 
 
 class RequestDispatcher:
-    """Owns the one policy engine of this process and gives each request exactly one final response."""
+    """Runs the policy engine of this process and gives each request exactly one final response."""
 
     def __init__(self, engine: PolicyEngine, clock: Callable[[], float], pool: ConnectionPool) -> None:
-        """Create the dispatcher of `engine`; must be called in the event loop that serves requests."""
+        """Initialize the dispatcher; must be called in the event loop that serves the requests."""
         self.engine = engine
         self.clock = clock
         self.pool = pool
         self.counter: CounterClient | None = None
         self.drain_clients: Callable[[bool], None] | None = None  # starts or stops draining connections
-        self.report_units: Callable[[UnitsCharged], None] | None = None  # to the peer process
+        self.report_units: Callable[[UnitsCharged], None] | None = None  # sends charges to the peer process
         self.metrics = Metrics(request_class.name for request_class in engine.settings.request_classes)
         self.submitted_count = 0
         self._loop = asyncio.get_running_loop()
@@ -98,7 +98,7 @@
         return self._registry.unanswered_count
 
     def submit(self, request: ClientRequest, response: ResponseChannel) -> int:
-        """Start to serve a client's request and return its request id."""
+        """Start serving a client's request and return its request id."""
         self.submitted_count += 1
         active_request = ActiveRequest(self.submitted_count, request, response, self._attempt_handler)
         self._registry.add(active_request)
@@ -113,21 +113,21 @@
         return active_request.request_id
 
     def request_body_received(self, request_id: int, received_at: float) -> None:
-        """Mark a streamed body as complete; the request's time budget starts at `received_at`."""
+        """Mark a streamed body as complete; the request's time budget starts at `received_at` seconds."""
         active_request = self._registry.find_unanswered(request_id)
         if active_request is None or active_request.request.body_stream is None:
             return
         active_request.body_received(received_at)
         active_request.request.body_stream.finish()
         if active_request.streaming_attempt is not None:
-            return  # its response is streamed already, and has no deadline
+            return  # the response is already being streamed, which has no deadline
         active_request.deadline = received_at + active_request.time_budget
         self._start_watchdog(active_request)
         active_request.extend_attempt_deadlines(self.clock(), self._loop)
         self.post(RequestBodyReceived(request_id, active_request.deadline))
 
     def abandon(self, request_id: int, status: int | None) -> None:
-        """Answer a request that can't be served to its end; a status of None sends no response."""
+        """End an unanswered request early; a status of None sends no response."""
         active_request = self._registry.find_unanswered(request_id)
         if active_request is not None:
             if self._request_log.enabled:
@@ -137,7 +137,7 @@
             self._registry.remove_if_complete(active_request)
 
     def is_call_open(self, call_id: bytes) -> bool:
-        """Return True if a request with this call id is active."""
+        """Return whether a request with this call id is active."""
         return call_id in self._registry.open_call_ids
 
     def client_disconnected(self, request_id: int) -> None:
@@ -145,7 +145,7 @@
         self.abandon(request_id, None)
 
     def limit_attempt_start(self, request_id: int, start_limit: float) -> None:
-        """Allow attempts to start only before `start_limit`, since the client has half-closed."""
+        """Let attempts start only before `start_limit` seconds, since the client has half-closed."""
         active_request = self._registry.find(request_id)
         if active_request is not None and active_request.attempt_start_limit is None:
             active_request.attempt_start_limit = start_limit
@@ -153,7 +153,7 @@
                 self._request_log.half_closed(active_request, start_limit, self.clock())
 
     def client_half_closed(self, request_id: int) -> None:
-        """Start no attempt for a request from now on; what was sent may still be answered."""
+        """Start no further attempts for a request; those already sent may still provide its response."""
         active_request = self._registry.find_unanswered(request_id)
         if active_request is None or active_request.streaming_attempt is not None:
             return
@@ -165,7 +165,7 @@
         self.post(update_pool(self.pool, update))
 
     def set_maintenance(self, endpoint_id: str, enabled: bool) -> bool:
-        """Take an endpoint out of service or back in; return False for an unknown id."""
+        """Start or end maintenance of an endpoint; return False if its id is unknown."""
         if not self.engine.knows_endpoint(endpoint_id):
             return False
         self.post(SetMaintenance(endpoint_id, enabled))
@@ -180,12 +180,12 @@
         self.post(reply)
 
     def timer_fired(self, timer: Timer, due: float) -> None:
-        """Report a timer of the engine that was due at `due`."""
-        # the loop rounds to milliseconds and may call early; the engine relies on timers never being early
+        """Report that a timer of the engine which was due at `due` seconds has fired."""
+        # the event loop rounds to milliseconds and may call early; the engine relies on this never happening
         self.post(TimerFired(timer), due)
 
     def post(self, event: Event, due: float = 0.0) -> None:
-        """Handle an event, or queue it while the actions of another event are carried out."""
+        """Handle an event, or queue it while another event is being handled."""
         if self._is_handling_events:
             self._event_queue.append(QueuedEvent(event, due))
             return
@@ -199,19 +199,19 @@
             self._is_handling_events = False
 
     def handle(self, event: Event, due: float) -> None:
-        """Pass an event to the engine, dated `due` or now if that is later, and execute the actions."""
+        """Pass an event to the engine at the later of `due` and now, and execute the resulting actions."""
         try:
             for action in self.engine.handle(event, max(self.clock(), due)):
                 self._executor.execute(action)
-        except Exception:  # a failure on one event must not end the other requests
+        except Exception:  # a failure on one event must not affect other requests
             log.exception("failed to handle the event %r", event)
 
     def state_snapshot(self) -> StateSnapshot:
-        """Return the engine's state for the process that takes over."""
+        """Return the engine's state for the process that takes over in a hot restart."""
         return self.engine.snapshot(self.clock())
 
     def gauges(self) -> dict[str, int]:
-        """Return the metrics that are read from current state, by name."""
+        """Return the metrics that reflect current state, by name."""
         return {
             "dispatches": self.pool.attempts_written,
             "concurrent": self.unanswered_count,
@@ -222,12 +222,12 @@
         }
 
     def fail_all_unanswered(self) -> None:
-        """Fail every unanswered request; for the end of a graceful shutdown."""
+        """Fail all unanswered requests; used at the end of a graceful shutdown."""
         for active_request in list(self.active_requests.values()):
             self._fail_unanswered(active_request)
 
     async def wait_until_answered(self, timeout: float) -> bool:
-        """Wait until every request is answered; return False if `timeout` seconds do not suffice."""
+        """Wait until every request is answered; return False after `timeout` seconds."""
         return await self._registry.wait_until_answered(timeout)
 
     def _start_watchdog(self, active_request: ActiveRequest) -> None:
@@ -236,5 +236,5 @@
 
     def _fail_unanswered(self, active_request: ActiveRequest) -> None:
         if not active_request.answered:
-            log.warning("request %d has no response in time and fails", active_request.request_id)
+            log.warning("request %d failed: no response within its timeout", active_request.request_id)
             self.abandon(active_request.request_id, HTTPStatus.GATEWAY_TIMEOUT)
--- a/quota_gateway/dispatch/endpoint_updates.py
+++ b/quota_gateway/dispatch/endpoint_updates.py
@@ -11,7 +11,7 @@
 
 
 def update_pool(pool: ConnectionPool, update: EndpointUpdate) -> EndpointListUpdate:
-    """Bring the pool's endpoints up to date and return the event that reports the update."""
+    """Apply an endpoint update to the pool and return the event that reports it to the policy engine."""
     endpoints: list[Endpoint] = []
     for entry in update.entries:
         endpoint = entry.endpoint
@@ -27,7 +27,7 @@
 
 
 def _remove_previous_endpoints(pool: ConnectionPool, entry: EndpointEntry) -> list[Endpoint]:
-    """Retire other endpoints at the entry's address; discovery may report their removal only later."""
+    """Retire other endpoints at the entry's address, whose removal discovery may report only later."""
     endpoint = entry.endpoint
     removed = []
     for endpoint_id in pool.endpoints_at(entry.address):
