--- a/quota_gateway/dispatch/request_log.py
+++ b/quota_gateway/dispatch/request_log.py
@@ -1,7 +1,7 @@
-"""The log of what happens to each request, one line an event, in fields that can be searched.
+"""The request log: one line per event of a request, with searchable `name=value` fields.
 
-It is written at the level DEBUG (`RELAY_LOG_LEVEL=debug`), with the times of the monotonic clock that all
-processes of a machine share.
+It is written at level DEBUG (`RELAY_LOG_LEVEL=debug`). Its times are seconds on the monotonic clock, which
+all processes of a machine share.
 """
 
 from __future__ import annotations
@@ -17,37 +17,37 @@
 
 
 class RequestLog:
-    """Writes the events of requests, if that is enabled."""
+    """Writes the events of requests; callers check `enabled` first."""
 
     def __init__(self) -> None:
-        """Look once whether the log is enabled: the answer is needed some times for each request."""
+        """Cache whether the log is enabled, which is checked several times per request."""
         self.enabled = log.isEnabledFor(logging.DEBUG)
 
     def received(self, active_request: ActiveRequest, now: float) -> None:
-        """Note a request that was read at `now`, in seconds."""
+        """Log a request that was read at `now` seconds."""
         request = active_request.request
         age = now - request.received_at
         self._write(active_request, f"received class={request.request_class} age={age:.4f}")
 
     def refused(self, active_request: ActiveRequest, attempt: UpstreamAttempt, refusal: Refusal) -> None:
-        """Note an attempt that was not sent."""
+        """Log why an attempt was not sent."""
         self._write(active_request, f"refused {describe(attempt)} why={refusal}")
 
     def started(self, active_request: ActiveRequest, attempt: UpstreamAttempt, now: float) -> None:
-        """Note an attempt that may be sent, with the seconds that it has."""
+        """Log an attempt that may be sent, with the seconds left until its deadline."""
         left = attempt.deadline - now
         self._write(active_request, f"started {describe(attempt)} left={left:.4f}")
 
     def ended(self, active_request: ActiveRequest, attempt: UpstreamAttempt, result: AttemptResult) -> None:
-        """Note the end of an attempt."""
+        """Log the outcome of an attempt."""
         self._write(active_request, f"ended {describe(attempt)} outcome={result.outcome.name.lower()}")
 
     def answered(self, active_request: ActiveRequest, status: int | None, why: str) -> None:
-        """Note the final response, or that the client gets none."""
+        """Log the final response; a status of None means that the client gets none."""
         self._write(active_request, f"answered status={status or 'none'} why={why or '-'}")
 
     def half_closed(self, active_request: ActiveRequest, start_limit: float, now: float) -> None:
-        """Note that the client has ended its sending, with the seconds left for an attempt to begin."""
+        """Log that the client has half-closed its connection, with the seconds left to start an attempt."""
         self._write(active_request, f"half_closed grace={start_limit - now:.4f}")
 
     def _write(self, active_request: ActiveRequest, event: str) -> None:
@@ -57,5 +57,5 @@
 
 
 def describe(attempt: UpstreamAttempt) -> str:
-    """Return the fields of an attempt."""
+    """Return the log fields that identify an attempt."""
     return f"attempt={attempt.index} endpoint={attempt.endpoint_id}"
--- a/quota_gateway/dispatch/request_registry.py
+++ b/quota_gateway/dispatch/request_registry.py
@@ -1,4 +1,4 @@
-"""The requests in progress, and the one place where a request gets its final response."""
+"""The requests in progress, and the only place where a request gets its final response."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 
 class RequestRegistry:
-    """All requests that wait for their response or still have attempts in flight."""
+    """Holds the requests that are unanswered or still have attempts in flight."""
 
     def __init__(self, clock: Callable[[], float], metrics: Metrics, invariants: InvariantMonitor) -> None:
-        """Create an empty registry that counts finished requests in `metrics`."""
+        """Initialize an empty registry that counts finished requests in `metrics`."""
         self.active_requests: dict[int, ActiveRequest] = {}
-        self.open_call_ids: set[bytes] = set()  # the call ids that clients gave these requests
+        self.open_call_ids: set[bytes] = set()  # the call ids of these requests, as set by the clients
         self.unanswered_count = 0
         self._clock = clock
         self._metrics = metrics
@@ -24,17 +24,17 @@
         self._all_answered = asyncio.Event()
 
     def add(self, active_request: ActiveRequest) -> None:
-        """Add a request, which is unanswered from now on."""
+        """Add an unanswered request."""
         self.active_requests[active_request.request_id] = active_request
         self.open_call_ids.add(active_request.request.call_id)
         self.unanswered_count += 1
 
     def find(self, request_id: int) -> ActiveRequest | None:
-        """Return a request in progress, or None if there is none with this id."""
+        """Return the request with this id, or None if it is not in progress."""
         return self.active_requests.get(request_id)
 
     def find_unanswered(self, request_id: int) -> ActiveRequest | None:
-        """Return a request that waits for its response, or None if there is none with this id."""
+        """Return the request with this id, or None if it is not in progress or already answered."""
         active_request = self.active_requests.get(request_id)
         if active_request is None or active_request.answered:
             return None
@@ -43,7 +43,7 @@
     def finish(
         self, active_request: ActiveRequest, status: int | None, body: bytes = b"", headers: bytes = b""
     ) -> None:
-        """Answer an unanswered request; a status of None sends nothing, as its client has disconnected."""
+        """Answer a request; a status of None sends nothing, since the client has disconnected."""
         if active_request.answered:
             self._invariants.violated(Invariant.ANSWERED_ONCE, active_request.request.call_id)
             return
@@ -60,7 +60,11 @@
         active_request.cancel_obsolete_attempts()
 
     def _check_time(self, active_request: ActiveRequest) -> None:
-        """Check that an answer is in time; a request that was late when it was read is answered then."""
+        """Check that a response is in time.
+
+        It must be sent within ANSWER_SLACK of the client's deadline, or of when the request was read if that
+        was later. A streamed response has no deadline.
+        """
         late_by = self._clock() - ANSWER_SLACK
         if late_by <= active_request.client_deadline or late_by <= active_request.request.read_at:
             return
@@ -75,7 +79,7 @@
             self.open_call_ids.discard(active_request.request.call_id)
 
     async def wait_until_answered(self, timeout: float) -> bool:
-        """Wait until every request is answered; return False if `timeout` seconds do not suffice."""
+        """Wait until every request is answered; return False after `timeout` seconds."""
         deadline = self._clock() + timeout
         while self.unanswered_count:
             self._all_answered.clear()
