--- a/quota_gateway/upstream/__init__.py
+++ b/quota_gateway/upstream/__init__.py
@@ -1,1 +1,1 @@
-"""Connections to the upstream endpoints, and the attempts that are sent on them."""
+"""Connections to the upstream endpoints and the attempts sent on them."""
--- a/quota_gateway/upstream/attempt.py
+++ b/quota_gateway/upstream/attempt.py
@@ -1,7 +1,7 @@
-"""One attempt to have a request served by an endpoint, and the result it ends with.
+"""An attempt to have a request served by an endpoint, and its result.
 
-An attempt is sent at most once, on one connection. Whether the request may be retried depends on how far
-the attempt came, which its result shows; the policy engine decides on it.
+An attempt is sent at most once, on one connection. Its result shows how far it progressed, from which the
+policy engine decides whether the request may be retried.
 """
 
 from __future__ import annotations
@@ -15,42 +15,44 @@
 from quota_gateway.model.outcomes import Outcome
 from quota_gateway.policy.permissions import Refusal
 
-MIN_TIME_BUDGET = 0.001  # seconds; X-Budget has three decimals, and 0 would say that no time is left
+# Smallest time budget that is sent to an endpoint, in seconds. X-Budget has three decimals, and 0 would mean
+# that no time is left.
+MIN_TIME_BUDGET = 0.001
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptResult:
-    """How an attempt ended, with the response's content if it was a complete and successful one."""
+    """How an attempt ended, with the content of the response if it was complete and successful."""
 
     outcome: Outcome
     body: bytes = b""
-    units: float = 0.0  # billed by the endpoint; 0 if it named none
-    headers: bytes = b""  # the header lines that are forwarded with the body
+    units: float = 0.0  # units billed by the endpoint; 0 if it reported none
+    headers: bytes = b""  # header lines to forward with the body
 
 
 def refused_result(refusal: Refusal) -> AttemptResult:
     """Return the result of an attempt that may not be sent."""
-    # by then the time for a repeat is over, which says nothing of the client
+    # only the time in which a retry may be sent is over; the client may still be waiting
     outcome = Outcome.CONNECT_FAILED if refusal is Refusal.WINDOW_OVER else Outcome.NOT_SENT
     return AttemptResult(outcome)
 
 
 class AttemptOwner(Protocol):
-    """The request that an attempt belongs to; times are seconds."""
+    """The request that an attempt belongs to. Times are in seconds."""
 
     answered: bool
-    attempt_start_limit: float | None  # set when the client half-closes
-    client_deadline: float  # until when the client waits; infinite while its body is still on its way
+    attempt_start_limit: float | None  # when attempts may no longer start; set when the client half-closes
+    client_deadline: float  # when the client stops waiting; infinite while a streamed body is incomplete
 
     def attempt_ended(self, attempt: UpstreamAttempt, result: AttemptResult) -> None:
-        """Take the result; called exactly once for each attempt."""
+        """Handle the result; called exactly once per attempt."""
 
     def refusal(self, send_deadline: float | None, now: float) -> Refusal | None:
-        """Return why an attempt may not be sent, asked again after a connect; None if it may."""
+        """Return why an attempt may not be sent at `now`, or None if it may; repeated after a connect."""
 
 
 class AttemptConnection(StreamSource, Protocol):
-    """What an attempt needs of the connection that carries it."""
+    """What an attempt needs from the connection on which it is sent."""
 
     def abandon(self, attempt: UpstreamAttempt) -> None:
         """Close the connection if it still carries `attempt`."""
@@ -61,45 +63,48 @@
 
 @dataclass(slots=True, eq=False, repr=False)
 class UpstreamAttempt:
-    """One attempt: what is sent, to which endpoint, until when, and how far it came.
+    """An attempt: the request to send, its endpoint, its deadline and its progress.
 
-    Times are seconds on the pool's clock.
+    Times are in seconds on the pool's clock.
     """
 
     endpoint_id: str
-    head: bytes  # request line and header lines but for X-Budget, and for the framing of a streamed body
+    head: bytes  # request line and header lines, without X-Budget and the framing of a streamed body
     body: bytes
     started_at: float
     deadline: float
-    index: int  # among the attempts of its request, from 0
+    index: int  # position among the attempts of its request, from 0
     owner: AttemptOwner | None  # None once the attempt has ended
-    body_stream: RequestBodyStream | None = None  # in place of `body`, for one too long to be buffered
-    send_deadline: float | None = None  # for a send that has to wait for a connect; None: `deadline` alone
-    # Called to forward a response that is too long to be buffered. Without it, or a sink from it, such a
-    # response is an error.
+    body_stream: RequestBodyStream | None = None  # replaces a `body` that is too long to buffer
+    send_deadline: float | None = None  # for sending after a connect; None if only `deadline` applies
+    # Opens a sink for a response that is too long to buffer. If it is None or returns None, such a response
+    # is an error.
     start_stream: Callable[[UpstreamAttempt, ResponseHead], StreamSink | None] | None = None
-    connection: AttemptConnection | None = None  # set when the attempt is sent
-    written_at: float | None = None  # when the kernel took the request's last byte
+    connection: AttemptConnection | None = None  # set when sending starts
+    written_at: float | None = None  # when the kernel accepted the request's last byte
     connect_task: asyncio.Task[None] | None = None
     timer: asyncio.TimerHandle | None = None  # fires at `deadline`
 
     @property
     def ended(self) -> bool:
-        """Whether the owner has the result."""
+        """Whether the attempt has ended."""
         return self.owner is None
 
     @property
     def written(self) -> bool:
-        """Whether a connection carries the attempt, which the endpoint may have begun to execute by then."""
+        """Whether sending has started, so that the endpoint may have begun to execute the request."""
         return self.connection is not None
 
     @property
     def waiting_since(self) -> float:
-        """When the wait for the response began: after the last byte, as a long body takes time to send."""
+        """When the wait for the response began, in seconds.
+
+        That is once the last byte is written, since a long body takes time to send; until then, the start.
+        """
         return self.started_at if self.written_at is None else self.written_at
 
     def time_budget(self, now: float) -> float:
-        """Return the seconds left to the endpoint."""
+        """Return the seconds that are left for the endpoint at `now`."""
         return max(self.deadline - now, MIN_TIME_BUDGET)
 
     def open_stream(self, head: ResponseHead) -> StreamSink | None:
@@ -107,14 +112,14 @@
         return self.start_stream(self, head) if self.start_stream is not None else None
 
     def end(self, result: AttemptResult) -> None:
-        """Pass the result to the owner, stop a connect under way and close a connection in use.
+        """End the attempt: cancel its connect, close its connection and pass the result to the owner.
 
-        Only the first call counts.
+        Only the first call has an effect.
         """
         owner = self.owner
         if owner is None:
             return
-        self.owner = None  # also breaks the reference cycle between the two
+        self.owner = None  # also breaks the reference cycle between attempt and owner
         if self.timer is not None:
             self.timer.cancel()
         if self.connect_task is not None:
@@ -131,16 +136,16 @@
         self.start_timer(now, loop)
 
     def start_timer(self, now: float, loop: asyncio.AbstractEventLoop) -> None:
-        """Have the attempt time out at its deadline."""
+        """Start the timer that ends the attempt at its deadline."""
         self.timer = loop.call_later(max(self.deadline - now, 0.0), self.time_out)
 
     def time_out(self) -> None:
-        """End the attempt at its deadline; one that still waits for its connect can't have been executed."""
+        """End the attempt at its deadline; before it has a connection it can't have been executed."""
         connection = self.connection
         if connection is None:
             self.end(AttemptResult(Outcome.CONNECT_FAILED))
             return
         self.end(AttemptResult(Outcome.TIMED_OUT))
-        # A machine that was cut off from the network leaves its idle connections open. What is sent on them
-        # may have been executed, while a new connect that fails proves that nothing was.
+        # A machine that lost its network leaves its idle connections open. A request sent on one of them may
+        # have been executed, while a failed connect proves that it was not.
         connection.close_idle_siblings()
--- a/quota_gateway/upstream/connection.py
+++ b/quota_gateway/upstream/connection.py
@@ -1,4 +1,4 @@
-"""A connection to an endpoint: sends one attempt at a time, with flow control in both directions."""
+"""A connection to an endpoint, which sends one attempt at a time with flow control in both directions."""
 
 from __future__ import annotations
 
@@ -14,13 +14,17 @@
 from quota_gateway.upstream.idle_timeout import AdaptiveIdleTimeout
 from quota_gateway.upstream.response_parser import ResponseParser
 
-READ_TIMEOUT = 0.5  # seconds between parts of a response; endpoints have it complete when they begin to send
-READ_TIMEOUT_FRACTION = 0.2  # of the attempt's time, at most: enough must be left for a retry
-STREAM_READ_TIMEOUT = 10.0  # seconds between parts of a streamed response, which can't be retried
+# Longest time in seconds between parts of a buffered response. Endpoints have the complete response when they
+# begin to send it.
+READ_TIMEOUT = 0.5
+# Upper limit of the read timeout, as a fraction of the attempt's time: enough must be left for a retry.
+READ_TIMEOUT_FRACTION = 0.2
+# Longest time in seconds between parts of a streamed response, which can't be retried.
+STREAM_READ_TIMEOUT = 10.0
 
 
 class ConnectionOwner(Protocol):
-    """What a connection needs of its pool."""
+    """What a connection needs from its pool."""
 
     clock: Callable[[], float]
     loop: asyncio.AbstractEventLoop
@@ -29,46 +33,46 @@
     attempts_written: int
 
     def connection_opened(self, connection: UpstreamConnection) -> None:
-        """Take note of an established connection."""
+        """Register an established connection."""
 
     def connection_closed(self, connection: UpstreamConnection) -> None:
-        """Take note of the end of a connection, established or not."""
+        """Remove a closed connection, which may never have been established."""
 
     def check_send(self, attempt: UpstreamAttempt, endpoint: EndpointConnections, now: float) -> None:
         """Check the invariants of an attempt that is about to be written."""
 
     def release(self, connection: UpstreamConnection) -> None:
-        """Take back a connection that is fit for another attempt."""
+        """Make a connection available for another attempt."""
 
 
 class UpstreamConnection(asyncio.BufferedProtocol):
-    """A keep-alive connection, to be used for one attempt at a time."""
+    """A keep-alive connection that carries one attempt at a time."""
 
     def __init__(self, pool: ConnectionOwner, endpoint: EndpointConnections) -> None:
-        """Prepare a connection that isn't established yet."""
+        """Initialize a connection that is not established yet."""
         self.pool = pool
         self.endpoint = endpoint
         self.attempt: UpstreamAttempt | None = None
-        self.idle_since = 0.0  # on the pool's clock
-        self.idle_time = 0.0  # seconds that it was idle before its current attempt; 0: this is its first
+        self.idle_since = 0.0  # seconds on the pool's clock
+        self.idle_time = 0.0  # seconds of idle time before the current attempt; 0 for the first one
         self.transport: asyncio.Transport | None = None
         self._descriptor = -1
         self._response = ResponseParser(self._open_stream)
-        self.stall: asyncio.TimerHandle | None = None  # the read timeout's timer
-        self.paused = False  # reading a streamed response is
-        self._is_writing_paused = False  # while the kernel has not taken all that was written
-        self._is_writing_body = False
+        self.stall: asyncio.TimerHandle | None = None  # timer of the read timeout
+        self.paused = False  # whether reading of a streamed response is paused
+        self._is_writing_paused = False  # whether the kernel has yet to accept written data
+        self._is_writing_body = False  # guards against reentrant sending
 
     def is_open(self) -> bool:
         """Return whether the connection is established and not closing."""
         return self.transport is not None and not self.transport.is_closing()
 
     def has_unread_input(self) -> bool:
-        """Return whether bytes, which the next response would be mistaken for, or a close wait to be read."""
+        """Return whether a close, or bytes that would be taken for the next response, are unread."""
         return has_unread_input(self._descriptor)
 
     def close(self) -> None:
-        """Close the connection at once; `connection_lost` follows in a later turn of the loop."""
+        """Close the connection at once; `connection_lost` follows in a later iteration of the event loop."""
         if self.transport is not None:
             self.transport.abort()
 
@@ -77,7 +81,7 @@
         self.endpoint.drop_idle()
 
     def send_attempt(self, attempt: UpstreamAttempt, now: float) -> None:
-        """Send the attempt's request, of a streamed body as much as there is."""
+        """Send the attempt's request, with as much of a streamed body as is available."""
         assert self.transport is not None
         self.pool.check_send(attempt, self.endpoint, now)
         self.attempt = attempt
@@ -91,13 +95,13 @@
         self._continue_sending(attempt)
 
     def _continue_sending(self, attempt: UpstreamAttempt) -> None:
-        """Send what the kernel takes of a streamed body; take note when the request is written completely."""
+        """Send what the kernel accepts of a streamed body; record when the request is completely written."""
         is_over = attempt.written_at is not None or self.attempt is not attempt
         if self._is_writing_body or is_over or self.transport is None:
             return
         body_stream = attempt.body_stream
         if body_stream is not None:
-            self._is_writing_body = True  # taking a chunk may call back for more
+            self._is_writing_body = True  # taking a chunk may call this method again
             self._write_chunks(self.transport, body_stream)
             self._is_writing_body = False
         if self._is_writing_paused:
@@ -119,27 +123,27 @@
         self._is_writing_paused = True
 
     def resume_writing(self) -> None:
-        """Go on sending: the kernel has taken all that was written."""
+        """Resume sending: the kernel has accepted all written data."""
         self._is_writing_paused = False
         if self.attempt is not None:
             self._continue_sending(self.attempt)
 
     def abandon(self, attempt: UpstreamAttempt) -> None:
-        """Close the connection if it still carries `attempt`: nobody waits for the response any more."""
+        """Close the connection if it still carries `attempt`, whose response is no longer needed."""
         if self.attempt is attempt:
             self.attempt = None
             self._response.sink = None
             self.close()
 
     def pause(self) -> None:
-        """Stop reading a streamed response, and the read timeout with it."""
+        """Pause reading a streamed response, and its read timeout."""
         if self._response.sink is not None and not self.paused and self.transport is not None:
             self.paused = True
             self.transport.pause_reading()
             self._cancel_read_timer()
 
     def resume(self) -> None:
-        """Go on reading a streamed response."""
+        """Resume reading a streamed response."""
         if self.paused and self.transport is not None:
             self.paused = False
             self.transport.resume_reading()
@@ -147,27 +151,27 @@
                 self._restart_read_timer(self.attempt)
 
     def get_buffer(self, sizehint: int) -> bytearray:
-        """Return the buffer for the next read, which all connections share."""
+        """Return the read buffer, which all connections share."""
         return self.pool.read_buffer
 
     def buffer_updated(self, nbytes: int) -> None:
-        """Take the bytes that were read."""
+        """Process the bytes that were read into the shared buffer."""
         self.data_received(bytes(memoryview(self.pool.read_buffer)[:nbytes]))
 
     def data_received(self, data: bytes) -> None:
         """Parse a part of the response, and end the attempt if the response is complete or invalid."""
         attempt = self.attempt
         if attempt is None:
-            self.close()  # no request was sent, or more came than belonged to its response
+            self.close()  # unsolicited data, before a request or after its response
             return
         response = self._response
         response.feed(data)
         if self.attempt is not attempt:
-            return  # the attempt was abandoned while a part was forwarded
+            return  # the attempt ended while a part of the body was forwarded
         if response.is_complete:
             self._finish(attempt)
         elif response.is_invalid():
-            # The endpoint may have executed the request, however odd its response is.
+            # The endpoint may have executed the request even if its response is invalid.
             attempt.end(AttemptResult(Outcome.BROKEN_RESPONSE))
         elif response.is_in_progress and not self.paused:
             self._restart_read_timer(attempt)
@@ -191,7 +195,7 @@
             attempt.end(AttemptResult(Outcome.BROKEN_RESPONSE))
 
     def _finish(self, attempt: UpstreamAttempt) -> None:
-        """End the attempt with its complete response; the connection is released first, for the next one."""
+        """End the attempt with its complete response; first release the connection for the next attempt."""
         self._cancel_read_timer()
         allows_reuse = self._response.allows_reuse() and attempt.written_at is not None
         result = self._response.take_result()
@@ -206,21 +210,21 @@
         attempt.end(result)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the established transport."""
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's doesn't derive from asyncio's
-        # Without a buffer above the kernel's, pause_writing is called for any request not written completely.
+        """Register the established connection."""
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's transport is no subclass of it
+        # With a limit of 0, pause_writing is called whenever the kernel does not accept all written data.
         self.transport.set_write_buffer_limits(high=0)
         self._descriptor = self.transport.get_extra_info("socket").fileno()
         self.pool.connection_opened(self)
 
     def eof_received(self) -> bool:
-        """Take the endpoint's half-close, which may end a response; let the transport close."""
+        """Handle the endpoint's half-close, which may complete a response, and let the transport close."""
         if self.attempt is not None and self._response.complete_at_eof():
             self._finish(self.attempt)
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """End the attempt in flight, if there is one, and free what the connection holds."""
+        """End the attempt in flight, if any, and release the connection's resources."""
         self.pool.connection_closed(self)
         attempt = self.attempt
         self.attempt = None
@@ -231,14 +235,14 @@
             return
         if not self._response.bytes_received:
             self.pool.idle_timeout.record_reset(self.idle_time, self.pool.clock() - attempt.started_at)
-        # An incompletely written request can't have been executed. A complete write proves nothing, not even
-        # on a pooled connection that the endpoint had closed by then.
+        # A request that was not completely written can't have been executed. One that was may have been, even
+        # on a pooled connection that the endpoint had already closed.
         outcome = Outcome.CONNECT_FAILED if attempt.written_at is None else Outcome.BROKEN_RESPONSE
         attempt.end(AttemptResult(outcome))
 
 
 def encode_request(attempt: UpstreamAttempt, now: float) -> bytes:
-    """Return the request's head with the time budget left at `now`, and its body unless that is streamed."""
+    """Return the request's head with the time budget left at `now`, and its body unless it is streamed."""
     body_stream = attempt.body_stream
     if body_stream is None:
         framing = b""
