--- a/quota_gateway/upstream/connection_pool.py
+++ b/quota_gateway/upstream/connection_pool.py
@@ -1,4 +1,4 @@
-"""The pool of connections to all endpoints, with a limit on their number."""
+"""The pool of connections to all endpoints, limited in size."""
 
 from __future__ import annotations
 
@@ -15,11 +15,12 @@
 from quota_gateway.upstream.endpoint_connections import EndpointConnections
 from quota_gateway.upstream.idle_timeout import AdaptiveIdleTimeout
 
-SWEEP_INTERVAL = 1.0  # seconds between checks for idle connections to close: short against their timeout
+# Seconds between checks for connections that exceed the idle timeout; short compared to that timeout.
+SWEEP_INTERVAL = 1.0
 
 
 class ConnectionPool:
-    """Opens connections, sends attempts on them, and keeps them for later attempts."""
+    """Opens connections, sends attempts on them, and keeps them for reuse."""
 
     def __init__(
         self,
@@ -28,26 +29,31 @@
         keepalive_timeout: float,
         max_connections: int,
     ) -> None:
-        """Take the endpoints' keep-alive timeout and a limit that counts connects under way; in seconds."""
+        """Initialize an empty pool.
+
+        `keepalive_timeout` is that of the endpoints; timeouts are in seconds. `max_connections` includes
+        connects in progress.
+        """
         self.clock = clock
         self.connect_timeout = connect_timeout
         self.max_connections = max_connections
-        self.capacity_fraction = 1.0  # of `max_connections`; two processes share them during a hot restart
+        # The usable fraction of `max_connections`, which two processes share during a hot restart.
+        self.capacity_fraction = 1.0
         self.idle_timeout = AdaptiveIdleTimeout(keepalive_timeout)
         self.loop = asyncio.get_running_loop()
         self.read_buffer = bytearray(READ_BUFFER_BYTES)
         self.on_descriptor_exhaustion = ignore_descriptor_exhaustion
         self.invariants = InvariantMonitor()
-        self.attempts_written = 0  # attempts whose last byte the kernel has taken
+        self.attempts_written = 0  # number of attempts whose last byte the kernel has accepted
         self.endpoints: dict[str, EndpointConnections] = {}  # by endpoint id
-        self.connections: set[UpstreamConnection] = set()
-        self.connecting: dict[UpstreamAttempt, EndpointConnections] = {}
+        self.connections: set[UpstreamConnection] = set()  # all that are established
+        self.connecting: dict[UpstreamAttempt, EndpointConnections] = {}  # by attempt that waits
         self._sweep_timer = self.loop.call_later(SWEEP_INTERVAL, self.sweep)
 
     # Endpoints.
 
     def set_address(self, endpoint_id: str, address: Address, started_at: float | None = None) -> None:
-        """Set where an endpoint listens and when it started; a change retires its former connections."""
+        """Set an endpoint's address and start time in Unix seconds; a change retires its connections."""
         endpoint = self.endpoints.get(endpoint_id)
         if endpoint is None or (endpoint.address, endpoint.started_at) != (address, started_at):
             self.retire(endpoint_id)
@@ -58,9 +64,9 @@
         return [endpoint.endpoint_id for endpoint in self.endpoints.values() if endpoint.address == address]
 
     def retire(self, endpoint_id: str) -> None:
-        """Send nothing more to an endpoint that drains or was removed, and end the attempts still connecting.
+        """Stop sending to an endpoint that drains or was removed, and end its attempts that are connecting.
 
-        Attempts that were sent go on, and their connections are closed after them.
+        Attempts that were sent continue, and their connections are closed afterwards.
         """
         endpoint = self.endpoints.pop(endpoint_id, None)
         if endpoint is None:
@@ -71,7 +77,7 @@
             attempt.end(AttemptResult(Outcome.CONNECT_FAILED))
 
     def close_idle(self, endpoint_id: str) -> None:
-        """Retire the connections to an endpoint that stays at its address."""
+        """Retire the connections to an endpoint that remains available at its address."""
         endpoint = self.endpoints.get(endpoint_id)
         if endpoint is not None:
             self.retire(endpoint_id)
@@ -80,7 +86,7 @@
             )
 
     def retain_only(self, endpoint_ids: Iterable[str]) -> None:
-        """Retire all endpoints but those of a full endpoint list."""
+        """Retire all endpoints except those in `endpoint_ids`."""
         for endpoint_id in self.endpoints.keys() - set(endpoint_ids):
             self.retire(endpoint_id)
 
@@ -89,7 +95,7 @@
     def start(self, attempt: UpstreamAttempt) -> None:
         """Send an attempt on an idle connection, or on a new one once it is established.
 
-        Without an address of the endpoint, or capacity for one more connection, the attempt ends at once.
+        The attempt ends at once if the endpoint is unknown or no more connections are allowed.
         """
         now = self.clock()
         attempt.start_timer(now, self.loop)
@@ -107,7 +113,7 @@
             attempt.end(AttemptResult(Outcome.CONNECT_FAILED))
 
     def _ensure_capacity(self) -> bool:
-        """Return whether one more connection may be opened; at the limit an idle one is closed for it."""
+        """Return whether another connection may be opened; at the limit, close an idle one to allow it."""
         if len(self.connections) + len(self.connecting) < self.capacity_fraction * self.max_connections:
             return True
         endpoint = min(
@@ -121,7 +127,7 @@
         return True
 
     async def _connect(self, attempt: UpstreamAttempt, endpoint: EndpointConnections) -> None:
-        """Open a connection and send the attempt, if it is still wanted by then."""
+        """Open a connection and send the attempt on it, if it may still be sent by then."""
         connection = UpstreamConnection(self, endpoint)
         is_ready = False
         try:
@@ -166,16 +172,16 @@
     # Connections.
 
     def connection_opened(self, connection: UpstreamConnection) -> None:
-        """Take note of an established connection."""
+        """Register an established connection."""
         self.connections.add(connection)
 
     def connection_closed(self, connection: UpstreamConnection) -> None:
-        """Take note of the end of a connection."""
+        """Remove a closed connection."""
         self.connections.discard(connection)
         connection.endpoint.discard(connection)
 
     def release(self, connection: UpstreamConnection) -> None:
-        """Keep a connection for a later attempt, or close it if its endpoint was retired."""
+        """Keep a connection for reuse, or close it if its endpoint was retired."""
         endpoint = connection.endpoint
         if self.endpoints.get(endpoint.endpoint_id) is not endpoint:
             connection.close()
@@ -184,14 +190,14 @@
         endpoint.idle.append(connection)
 
     def sweep(self) -> None:
-        """Close the connections that are over the idle timeout, now and at each SWEEP_INTERVAL."""
+        """Close the connections that exceed the idle timeout, now and every SWEEP_INTERVAL seconds."""
         idle_since_limit = self.clock() - self.idle_timeout.seconds
         for endpoint in self.endpoints.values():
             endpoint.close_idle_before(idle_since_limit)
         self._sweep_timer = self.loop.call_later(SWEEP_INTERVAL, self.sweep)
 
     def close(self) -> None:
-        """Close all connections at once."""
+        """Close all connections at once and stop the checks for idle ones."""
         self._sweep_timer.cancel()
         for connection in list(self.connections):
             connection.close()
--- a/quota_gateway/upstream/endpoint_connections.py
+++ b/quota_gateway/upstream/endpoint_connections.py
@@ -7,20 +7,22 @@
 from quota_gateway.sockets.addresses import Address
 from quota_gateway.upstream.attempt import UpstreamAttempt
 
-MIN_IDLE_BEFORE_REUSE = 0.01  # seconds; bytes that follow a response unasked have arrived by then
+# Seconds for which a connection must be idle before it is reused, so that unsolicited bytes after a response
+# have arrived by then.
+MIN_IDLE_BEFORE_REUSE = 0.01
 
 
 class PooledConnection(Protocol):
-    """What the pool needs of a connection while it is idle."""
+    """What the pool needs from an idle connection."""
 
-    idle_since: float
-    idle_time: float
+    idle_since: float  # seconds on the pool's clock
+    idle_time: float  # seconds of idle time before the current attempt
 
     def is_open(self) -> bool:
         """Return whether the connection can still be written to."""
 
     def has_unread_input(self) -> bool:
-        """Return whether bytes, or the end of the stream, wait to be read."""
+        """Return whether there are unread bytes or an unread end of the stream."""
 
     def send_attempt(self, attempt: UpstreamAttempt, now: float) -> None:
         """Send the attempt's request."""
@@ -30,26 +32,26 @@
 
 
 class EndpointConnections:
-    """An endpoint at one address since one start, and the idle connections to it.
+    """The idle connections to an endpoint at one address, since one start of the endpoint.
 
-    An endpoint's id may move to another address, and an address to another id. Connections that were opened
-    before belong to the former instance of this class, and are never used for the new one.
+    An endpoint's id may move to another address, and an address to another id. Connections opened before such
+    a change belong to the previous instance of this class, and are never used for the new one.
     """
 
     __slots__ = ("address", "endpoint_id", "idle", "started_at")
 
     def __init__(self, endpoint_id: str, address: Address, started_at: float | None) -> None:
-        """Start without connections; `started_at` is the endpoint's start, None if unknown."""
+        """Initialize without connections; `started_at` is in Unix seconds, or None if unknown."""
         self.endpoint_id = endpoint_id
         self.address = address
         self.started_at = started_at
-        self.idle: list[PooledConnection] = []  # the longest idle first
+        self.idle: list[PooledConnection] = []  # the one idle longest comes first
 
     def acquire_idle(self, now: float, idle_timeout: float) -> PooledConnection | None:
-        """Remove and return the most recently used connection that is fit for another request, or None.
+        """Remove and return the most recently used connection that can be reused, or None.
 
-        Connections that are found closed, over the idle timeout, or with input that no request asked for are
-        closed on the way.
+        Connections that are found closed, over the idle timeout (in seconds) or with unsolicited input are
+        closed. Those idle for less than MIN_IDLE_BEFORE_REUSE are skipped.
         """
         for position in range(len(self.idle) - 1, -1, -1):
             connection = self.idle[position]
@@ -64,16 +66,16 @@
         return None
 
     def discard(self, connection: PooledConnection) -> None:
-        """Remove the connection from the idle ones if it is one of them."""
+        """Remove the connection if it is among the idle ones."""
         if connection in self.idle:
             self.idle.remove(connection)
 
     def close_oldest_idle(self) -> None:
-        """Close the connection that has been idle for longest; there must be one."""
+        """Close the connection that has been idle longest; there must be one."""
         self.idle.pop(0).close()
 
     def close_idle_before(self, time: float) -> None:
-        """Close the connections that have been idle since before `time`."""
+        """Close the connections that have been idle since before `time`, in seconds."""
         while self.idle and self.idle[0].idle_since < time:
             self.close_oldest_idle()
 
