--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -69,17 +69,17 @@
 def play(seed: int, size: RunSize, slack: float, keep: pathlib.Path | None) -> int:
     """Play one run, print what it found, and return the number of violations."""
     folder = pathlib.Path(tempfile.mkdtemp(prefix=f"soak-{seed}-"))
-    began_at = time.monotonic()
+    started_at = time.monotonic()
     asyncio.run(run_until_signal(Control(seed, size, folder)))
     history = read_history(folder)
     violations = Oracle(history, size, slack).check()
     answers = collections.Counter(event.fields["status"] for event in history.named("answer"))
-    troubles = len(history.named("trouble"))
+    faults = len(history.named("fault_started"))
     processes = len({event.source for event in history.events})
     requests = len(history.named("sent"))
     print(
-        f"seed {seed}: {requests} requests, {dict(sorted(answers.items()))}, {troubles} troubles, "
-        f"{processes} processes, {time.monotonic() - began_at:.0f} s, {len(violations)} violations",
+        f"seed {seed}: {requests} requests, {dict(sorted(answers.items()))}, {faults} faults, "
+        f"{processes} processes, {time.monotonic() - started_at:.0f} s, {len(violations)} violations",
         flush=True,
     )
     print_violations(seed, violations)
--- a/tests/soak/control.py
+++ b/tests/soak/control.py
@@ -17,15 +17,15 @@
 from tests.soak.fault_proxy import ProxyMode
 from tests.soak.gateways import ROOT, Gateway, GatewayChild
 from tests.soak.plan import (
+    CLOCK_STEPS,
     CONNECT_ERRORS,
     FOLDER_ERRORS,
     HOST,
-    SHORTAGES,
-    STEPS,
-    PlannedTrouble,
+    RESOURCE_ERRORS,
+    Fault,
+    PlannedFault,
     RunSize,
-    Trouble,
-    plan_troubles,
+    plan_faults,
 )
 from tests.soak.services import Agent, EndpointList, ServiceMode, SoakCounter
 
@@ -34,25 +34,25 @@
 HALF_FILE_TIME = 0.3  # seconds in which a configuration file is half written
 END_TIME = 4.0  # seconds after the clients' end until all answers are in
 BACKEND_MODES = {
-    Trouble.BACKEND_HANGS: Mode.HANGS,
-    Trouble.BACKEND_FAILS: Mode.FAILS,
-    Trouble.BACKEND_REJECTS: Mode.REJECTS,
-    Trouble.BACKEND_RESETS: Mode.RESETS,
+    Fault.BACKEND_HANGS: Mode.HANGS,
+    Fault.BACKEND_FAILS: Mode.FAILS,
+    Fault.BACKEND_REJECTS: Mode.REJECTS,
+    Fault.BACKEND_RESETS: Mode.RESETS,
 }
 PROXY_MODES = {
-    Trouble.PROXY_DELAYS: ProxyMode.DELAYS,
-    Trouble.PROXY_RESETS: ProxyMode.RESETS,
-    Trouble.PROXY_FREEZES: ProxyMode.FREEZES,
-    Trouble.PROXY_DRIBBLES: ProxyMode.DRIBBLES,
+    Fault.PROXY_DELAYS: ProxyMode.DELAYS,
+    Fault.PROXY_RESETS: ProxyMode.RESETS,
+    Fault.PROXY_STALLS: ProxyMode.FREEZES,
+    Fault.PROXY_FRAGMENTS: ProxyMode.DRIBBLES,
 }
 AGENT_MODES = {
-    Trouble.DISCOVERY_SILENT: ServiceMode.SILENT,
-    Trouble.DISCOVERY_DOWN: ServiceMode.DOWN,
-    Trouble.DISCOVERY_REFUSES: ServiceMode.REFUSES,
+    Fault.DISCOVERY_HANGS: ServiceMode.SILENT,
+    Fault.DISCOVERY_DOWN: ServiceMode.DOWN,
+    Fault.DISCOVERY_OVERLOADED: ServiceMode.REFUSES,
 }
 COUNTER_MODES = {
-    Trouble.COUNTER_SILENT: ServiceMode.SILENT,
-    Trouble.COUNTER_BUSY: ServiceMode.REFUSES,
+    Fault.COUNTER_HANGS: ServiceMode.SILENT,
+    Fault.COUNTER_BUSY: ServiceMode.REFUSES,
 }
 
 
@@ -194,13 +194,13 @@
             names = [str(first + offset + 1) for offset in range(self.size.clients_each)]
             arguments = {"names": names, "gateways": gateways, "seconds": self.size.seconds}
             await self.start_worker("clients", f"clients-{number}", arguments)
-        began_at = time.monotonic()
+        started_at = time.monotonic()
         self.log.write("began")
         tasks = []
-        for trouble in plan_troubles(self.seed, self.size.seconds):
-            await asyncio.sleep(max(began_at + trouble.at - time.monotonic(), 0.0))
-            tasks.append(asyncio.ensure_future(self.carry_out(trouble)))
-        await asyncio.sleep(max(began_at + self.size.seconds - time.monotonic(), 0.0))
+        for fault in plan_faults(self.seed, self.size.seconds):
+            await asyncio.sleep(max(started_at + fault.starts_at - time.monotonic(), 0.0))
+            tasks.append(asyncio.ensure_future(self.carry_out(fault)))
+        await asyncio.sleep(max(started_at + self.size.seconds - time.monotonic(), 0.0))
         await asyncio.gather(*tasks)
         await asyncio.sleep(END_TIME)
 
@@ -214,43 +214,43 @@
         for server in [self.counter, *(agent for agents in self.agents for agent in agents)]:
             await server.stop()
 
-    async def carry_out(self, trouble: PlannedTrouble) -> None:
+    async def carry_out(self, fault: PlannedFault) -> None:
         """Begin a trouble, and end it after its time."""
-        self.log.write("trouble", kind=trouble.kind, seconds=trouble.seconds, target=trouble.target)
-        kind = trouble.kind
+        self.log.write("fault_started", kind=fault.kind, duration=fault.duration, target=fault.target)
+        kind = fault.kind
         if kind in BACKEND_MODES:
-            await self.change_backend(trouble, BACKEND_MODES[kind])
+            await self.change_backend(fault, BACKEND_MODES[kind])
         elif kind in PROXY_MODES:
-            await self.change_proxy(trouble, PROXY_MODES[kind])
+            await self.change_proxy(fault, PROXY_MODES[kind])
         elif kind in AGENT_MODES:
-            await self.change_agents(trouble, AGENT_MODES[kind])
+            await self.change_agents(fault, AGENT_MODES[kind])
         elif kind in COUNTER_MODES:
             self.counter.mode = COUNTER_MODES[kind]
-            await asyncio.sleep(trouble.seconds)
+            await asyncio.sleep(fault.duration)
             self.counter.mode = ServiceMode.SERVES
         else:
-            await self.handlers()[kind](trouble, self.gateways[trouble.target % len(self.gateways)])
+            await self.handlers()[kind](fault, self.gateways[fault.target % len(self.gateways)])
 
-    def handlers(self) -> dict[Trouble, Callable[[PlannedTrouble, Gateway], Awaitable[None]]]:
+    def handlers(self) -> dict[Fault, Callable[[PlannedFault, Gateway], Awaitable[None]]]:
         """Return what carries out each of the other kinds."""
         return {
-            Trouble.HOLD_UP: self.hold_up,
-            Trouble.KILL: lambda trouble, gateway: self.restart(gateway, gateway.kill),
-            Trouble.RESTART: lambda trouble, gateway: self.restart(gateway, gateway.restart),
-            Trouble.HOT_RESTART: lambda trouble, gateway: self.restart(gateway, gateway.hot_restart),
-            Trouble.NEWER_DIES: lambda trouble, gateway: self.restart(
-                gateway, lambda: gateway.lose_newer(trouble.choice)
+            Fault.PAUSE: self.hold_up,
+            Fault.KILL: lambda fault, gateway: self.restart(gateway, gateway.kill),
+            Fault.RESTART: lambda fault, gateway: self.restart(gateway, gateway.restart),
+            Fault.HOT_RESTART: lambda fault, gateway: self.restart(gateway, gateway.hot_restart),
+            Fault.NEW_PROCESS_KILLED: lambda fault, gateway: self.restart(
+                gateway, lambda: gateway.lose_newer(fault.random_value)
             ),
-            Trouble.RELOAD: self.reload,
-            Trouble.BROKEN_RELOAD: self.reload_broken,
-            Trouble.MAINTENANCE: self.maintain,
-            Trouble.BACKEND_STOPS: self.stop_backends,
-            Trouble.BACKEND_DRAINS: self.drain_backend,
-            Trouble.BACKEND_RESTARTS: self.restart_backend,
-            Trouble.CALLS_FAIL: self.fail_calls,
-            Trouble.SHORT_CALLS: self.shorten_calls,
-            Trouble.CLOCK_STEP: self.step_clock,
-            Trouble.FOLDER_FAILS: self.fail_folder,
+            Fault.RELOAD: self.reload,
+            Fault.FAILED_RELOAD: self.reload_broken,
+            Fault.MAINTENANCE: self.maintain,
+            Fault.BACKENDS_PAUSE: self.stop_backends,
+            Fault.BACKEND_DRAINS: self.drain_backend,
+            Fault.BACKEND_RESTARTS: self.restart_backend,
+            Fault.SYSTEM_CALLS_FAIL: self.fail_calls,
+            Fault.SHORT_IO: self.shorten_calls,
+            Fault.CLOCK_STEP: self.step_clock,
+            Fault.SHARED_FOLDER_FAILS: self.fail_folder,
         }
 
     async def restart(self, gateway: Gateway, action: Callable[[], Awaitable[None]]) -> None:
@@ -258,17 +258,17 @@
         async with gateway.lifecycle:
             await action()
 
-    async def hold_up(self, trouble: PlannedTrouble, gateway: Gateway) -> None:
+    async def hold_up(self, fault: PlannedFault, gateway: Gateway) -> None:
         """Stop the newest process for a moment."""
         child = gateway.newest
         if child is None:
             return
-        seconds = HOLD_UPS[int(trouble.choice * len(HOLD_UPS))]
+        seconds = HOLD_UPS[int(fault.random_value * len(HOLD_UPS))]
         child.signal(signal.SIGSTOP)
         await asyncio.sleep(seconds)
         child.signal(signal.SIGCONT)
 
-    async def reload(self, trouble: PlannedTrouble, gateway: Gateway) -> None:
+    async def reload(self, fault: PlannedFault, gateway: Gateway) -> None:
         """Move discovery to the gateway's other agent."""
         self.move_agent(gateway)
         gateway.write_config()
@@ -284,11 +284,11 @@
             if child in gateway.children and not gateway.lifecycle.locked():
                 child.signal(signal.SIGHUP)
 
-    async def reload_broken(self, trouble: PlannedTrouble, gateway: Gateway) -> None:
+    async def reload_broken(self, fault: PlannedFault, gateway: Gateway) -> None:
         """Move discovery with a file that can't be read, or is half written, at first."""
         async with gateway.lifecycle:
             self.move_agent(gateway)
-            if trouble.choice < 0.5:
+            if fault.random_value < 0.5:
                 gateway.config_path.write_text('{"name":')
             else:
                 gateway.faults.fail_configuration_file(FOLDER_ERRORS[0])
@@ -298,16 +298,16 @@
             gateway.faults.fail_configuration_file(0)
             gateway.write_config()
 
-    async def maintain(self, trouble: PlannedTrouble, gateway: Gateway) -> None:
+    async def maintain(self, fault: PlannedFault, gateway: Gateway) -> None:
         """Take a backend out of service for some time."""
-        backend = f"b{trouble.target % self.size.backends}"
+        backend = f"b{fault.target % self.size.backends}"
         async with gateway.lifecycle:
             child = gateway.newest
             if child is None or await child.call("POST", f"/backends/{backend}/maint") != 200:
                 return
             gateway.maintenance.add(backend)
             self.log.write("maintenance", gateway=gateway.index, backend=backend)
-        await asyncio.sleep(2 * trouble.seconds)
+        await asyncio.sleep(2 * fault.duration)
         async with gateway.lifecycle:
             if backend not in gateway.maintenance:
                 return
@@ -319,89 +319,89 @@
         if child is not None:
             await child.call("POST", f"/backends/{backend}/ready")
 
-    async def change_backend(self, trouble: PlannedTrouble, mode: Mode) -> None:
+    async def change_backend(self, fault: PlannedFault, mode: Mode) -> None:
         """Have a backend behave differently for some time."""
-        number = trouble.target % self.size.backends
+        number = fault.target % self.size.backends
         worker = self.backend_workers[number // self.size.backends_each]
         index = number % self.size.backends_each
         worker.command(backend=index, mode=mode)
-        await asyncio.sleep(trouble.seconds)
+        await asyncio.sleep(fault.duration)
         worker.command(backend=index, mode=Mode.SERVES)
 
-    async def change_proxy(self, trouble: PlannedTrouble, mode: ProxyMode) -> None:
+    async def change_proxy(self, fault: PlannedFault, mode: ProxyMode) -> None:
         """Have the connections to a backend fare differently for some time."""
-        number = trouble.target % self.size.backends
+        number = fault.target % self.size.backends
         self.proxy.command(route=number, mode=mode)
-        await asyncio.sleep(trouble.seconds)
+        await asyncio.sleep(fault.duration)
         self.proxy.command(route=number, mode=ProxyMode.PASSES)
 
-    async def change_agents(self, trouble: PlannedTrouble, mode: ServiceMode) -> None:
+    async def change_agents(self, fault: PlannedFault, mode: ServiceMode) -> None:
         """Have the agents of one gateway behave differently for some time."""
-        agents = self.agents[trouble.target % self.size.gateways]
+        agents = self.agents[fault.target % self.size.gateways]
         for agent in agents:
             agent.set_mode(mode)
-        await asyncio.sleep(trouble.seconds)
+        await asyncio.sleep(fault.duration)
         for agent in agents:
             agent.set_mode(ServiceMode.SERVES)
 
-    async def stop_backends(self, trouble: PlannedTrouble, gateway: Gateway) -> None:
+    async def stop_backends(self, fault: PlannedFault, gateway: Gateway) -> None:
         """Stop a process with some backends for a while."""
-        process = self.backend_workers[trouble.target % len(self.backend_workers)].process
+        process = self.backend_workers[fault.target % len(self.backend_workers)].process
         process.send_signal(signal.SIGSTOP)
-        await asyncio.sleep(min(trouble.seconds, 1.0))
+        await asyncio.sleep(min(fault.duration, 1.0))
         if process.returncode is None:
             process.send_signal(signal.SIGCONT)
 
-    async def drain_backend(self, trouble: PlannedTrouble, gateway: Gateway) -> None:
+    async def drain_backend(self, fault: PlannedFault, gateway: Gateway) -> None:
         """Drain a backend, and start it anew some time later."""
-        number = trouble.target % self.size.backends
+        number = fault.target % self.size.backends
         if number in self.drained or len(self.drained) >= self.size.backends // 3:
             return
         self.drained.add(number)
         self.log.write("drained", backend=f"b{number}")
         await self.endpoints.publish(self.entry(number, "DRAINING"))
-        await asyncio.sleep(3.0 + trouble.seconds)
+        await asyncio.sleep(3.0 + fault.duration)
         self.log.write("back", backend=f"b{number}")
         await self.endpoints.publish(self.entry(number, "SERVING", time.time()))
         self.drained.discard(number)
 
-    async def restart_backend(self, trouble: PlannedTrouble, gateway: Gateway) -> None:
+    async def restart_backend(self, fault: PlannedFault, gateway: Gateway) -> None:
         """Reset all connections of a backend, which comes back cold."""
-        number = trouble.target % self.size.backends
+        number = fault.target % self.size.backends
         if number in self.drained:
             return
         worker = self.backend_workers[number // self.size.backends_each]
         worker.command(backend=number % self.size.backends_each, restart=True)
         await self.endpoints.publish(self.entry(number, "SERVING", time.time()))
 
-    async def fail_calls(self, trouble: PlannedTrouble, gateway: Gateway) -> None:
+    async def fail_calls(self, fault: PlannedFault, gateway: Gateway) -> None:
         """Have system calls of a gateway fail for a moment each."""
-        error = SHORTAGES[int(trouble.choice * len(SHORTAGES))]
-        rate = FAILURE_RATE * trouble.choice
+        error = RESOURCE_ERRORS[int(fault.random_value * len(RESOURCE_ERRORS))]
+        rate = FAILURE_RATE * fault.random_value
         gateway.faults.fail_accepts(rate, error)
-        gateway.faults.fail_sockets(rate, SHORTAGES[0])
-        gateway.faults.fail_connects(rate, CONNECT_ERRORS[trouble.target % len(CONNECT_ERRORS)])
-        await asyncio.sleep(trouble.seconds)
+        gateway.faults.fail_sockets(rate, RESOURCE_ERRORS[0])
+        gateway.faults.fail_connects(rate, CONNECT_ERRORS[fault.target % len(CONNECT_ERRORS)])
+        await asyncio.sleep(fault.duration)
         gateway.faults.fail_accepts(0.0, 0)
         gateway.faults.fail_sockets(0.0, 0)
         gateway.faults.fail_connects(0.0, 0)
 
-    async def shorten_calls(self, trouble: PlannedTrouble, gateway: Gateway) -> None:
+    async def shorten_calls(self, fault: PlannedFault, gateway: Gateway) -> None:
         """Have reads and writes of a gateway be short, and its waits interrupted."""
         gateway.faults.page.short_io_rate = 0.2
         gateway.faults.page.interrupt_rate = 0.05
-        await asyncio.sleep(trouble.seconds)
+        await asyncio.sleep(fault.duration)
         gateway.faults.page.short_io_rate = 0.0
         gateway.faults.page.interrupt_rate = 0.0
 
-    async def step_clock(self, trouble: PlannedTrouble, gateway: Gateway) -> None:
+    async def step_clock(self, fault: PlannedFault, gateway: Gateway) -> None:
         """Step the wall clock of a gateway, and step it back."""
-        gateway.faults.step_wall_clock(STEPS[int(trouble.choice * len(STEPS))])
-        await asyncio.sleep(2 * trouble.seconds)
+        gateway.faults.step_wall_clock(CLOCK_STEPS[int(fault.random_value * len(CLOCK_STEPS))])
+        await asyncio.sleep(2 * fault.duration)
         gateway.faults.step_wall_clock(0.0)
 
-    async def fail_folder(self, trouble: PlannedTrouble, gateway: Gateway) -> None:
+    async def fail_folder(self, fault: PlannedFault, gateway: Gateway) -> None:
         """Have the shared folder of a gateway fail for a while."""
-        gateway.faults.fail_folder(FOLDER_ERRORS[trouble.target % len(FOLDER_ERRORS)])
-        await asyncio.sleep(trouble.seconds)
+        gateway.faults.fail_folder(FOLDER_ERRORS[fault.target % len(FOLDER_ERRORS)])
+        await asyncio.sleep(fault.duration)
         gateway.faults.fail_folder(0)
--- a/tests/test_soak_oracle.py
+++ b/tests/test_soak_oracle.py
@@ -8,7 +8,7 @@
 
 from tests.soak.event_log import LoggedEvent
 from tests.soak.oracle import History, Oracle
-from tests.soak.plan import MEAN_GAP, RunSize, plan_troubles
+from tests.soak.plan import MEAN_FAULT_INTERVAL, RunSize, plan_faults
 
 SIZE = RunSize(2, 1, 2, 1, 1, 20.0)
 CALL = "1"
@@ -135,9 +135,9 @@
     assert [violation.invariant for violation in violations] == ["no error is logged"]
 
 
-def test_a_seed_draws_the_same_troubles_which_overlap() -> None:
-    troubles = plan_troubles(7, 60.0)
-    assert troubles == plan_troubles(7, 60.0) != plan_troubles(8, 60.0)
-    assert sum(trouble.seconds for trouble in troubles) > 2 * 60.0 * MEAN_GAP
-    beginnings = [trouble.at for trouble in troubles]
-    assert beginnings == sorted(beginnings)
+def test_plan_faults_reproducible_and_overlapping() -> None:
+    faults = plan_faults(7, 60.0)
+    assert faults == plan_faults(7, 60.0) != plan_faults(8, 60.0)
+    assert sum(fault.duration for fault in faults) > 2 * 60.0 * MEAN_FAULT_INTERVAL
+    start_times = [fault.starts_at for fault in faults]
+    assert start_times == sorted(start_times)
