--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -73,12 +73,12 @@
     asyncio.run(run_until_signal(Control(seed, size, folder)))
     history = read_history(folder)
     violations = Oracle(history, size, slack).check()
-    answers = collections.Counter(event.fields["status"] for event in history.named("answer"))
+    statuses = collections.Counter(event.fields["status"] for event in history.named("response_received"))
     faults = len(history.named("fault_started"))
     processes = len({event.source for event in history.events})
-    requests = len(history.named("sent"))
+    requests = len(history.named("request_sent"))
     print(
-        f"seed {seed}: {requests} requests, {dict(sorted(answers.items()))}, {faults} faults, "
+        f"seed {seed}: {requests} requests, {dict(sorted(statuses.items()))}, {faults} faults, "
         f"{processes} processes, {time.monotonic() - started_at:.0f} s, {len(violations)} violations",
         flush=True,
     )
--- a/tests/soak/backends.py
+++ b/tests/soak/backends.py
@@ -50,10 +50,12 @@
             request = await read_message(reader)
             call = request.headers.get("x-call-id", "")
             if self.mode is Mode.REJECTS and self.chance.random() < 0.8:
-                self.log.write("turned_away", call=call, backend=self.name)
+                self.log.write("request_rejected", call=call, backend=self.name)
                 writer.write(http_response(503, b"", "X-Rejected: 1"))
                 continue
-            self.log.write("ran", call=call, backend=self.name, told=float(request.headers["x-budget"]))
+            self.log.write(
+                "request_executed", call=call, backend=self.name, budget=float(request.headers["x-budget"])
+            )
             while self.mode is Mode.HANGS:
                 await self.mode_changed.wait()
             await asyncio.sleep(self.chance.expovariate(1.0 / MEAN_SERVICE_TIME))
--- a/tests/soak/clients.py
+++ b/tests/soak/clients.py
@@ -99,12 +99,12 @@
         """Log a request whose last byte was written just now."""
         self.requests_on_connection += 1
         self.log.write(
-            "sent",
+            "request_sent",
             call=call,
             budget=budget,
             request_class=request_class,
             gateway=self.gateway,
-            first=self.requests_on_connection == 1,
+            first_on_connection=self.requests_on_connection == 1,
             client=self.name,
             connection=self.connection,
         )
@@ -125,7 +125,7 @@
         for position, (call, ends_at) in enumerate(sent):
             if not await self.read_answer(call, ends_at):
                 for later, _ in sent[position + 1 :]:
-                    self.log.write("closed", call=later, behind=call)
+                    self.log.write("connection_closed", call=later, pipelined_after=call)
                 raise ConnectionResetError
 
     async def read_answer(self, call: str, ends_at: float) -> bool:
@@ -134,15 +134,15 @@
             async with asyncio.timeout(max(ends_at - time.monotonic(), 0.0) + READ_MARGIN):
                 status_line, headers, body = await read_message(self.reader)
         except TimeoutError:
-            self.log.write("unanswered", call=call)
+            self.log.write("response_timeout", call=call)
             return False
         except (OSError, asyncio.IncompleteReadError) as error:
-            partial = isinstance(error, asyncio.IncompleteReadError) and bool(error.partial)
-            self.log.write("closed", call=call, partial=partial)
+            was_partial = isinstance(error, asyncio.IncompleteReadError) and bool(error.partial)
+            self.log.write("connection_closed", call=call, partial_response=was_partial)
             return False
         status = int(status_line.split()[1])
-        is_right = status != 200 or body.startswith(b"served " + call.encode())
-        self.log.write("answer", call=call, status=status, right=is_right)
+        is_matching = status != 200 or body.startswith(b"served " + call.encode())
+        self.log.write("response_received", call=call, status=status, matches_request=is_matching)
         return headers.get("connection") != "close"
 
     async def leave(self) -> None:
@@ -159,7 +159,7 @@
                 sock = self.writer.get_extra_info("socket")
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
             self.writer.transport.abort()
-        self.log.write("left", call=call, how=how)
+        self.log.write("client_closed", call=call, how=how)
         if how == "half_close":
             with contextlib.suppress(OSError, asyncio.IncompleteReadError, TimeoutError):
                 async with asyncio.timeout(budget + READ_MARGIN):
@@ -177,7 +177,9 @@
             async with asyncio.timeout(BAD_REQUEST_TIME):
                 answer = await self.reader.read(4096)
         except TimeoutError:
-            self.log.write("bad_request_kept", gateway=self.gateway, seconds=time.monotonic() - connected_at)
+            self.log.write(
+                "bad_request_not_closed", gateway=self.gateway, seconds=time.monotonic() - connected_at
+            )
             raise
         if answer.startswith(b"HTTP/1.1 2"):
             self.log.write("bad_request_served", gateway=self.gateway)
--- a/tests/soak/control.py
+++ b/tests/soak/control.py
@@ -195,7 +195,7 @@
             arguments = {"names": names, "gateways": gateways, "seconds": self.size.seconds}
             await self.start_worker("clients", f"clients-{number}", arguments)
         started_at = time.monotonic()
-        self.log.write("began")
+        self.log.write("run_started")
         tasks = []
         for fault in plan_faults(self.seed, self.size.seconds):
             await asyncio.sleep(max(started_at + fault.starts_at - time.monotonic(), 0.0))
@@ -208,7 +208,7 @@
         """End all gateways as on a planned restart, and kill the rest."""
         for gateway in self.gateways:
             await asyncio.gather(*(child.end() for child in gateway.running))
-        self.log.write("over")
+        self.log.write("run_ended")
         for worker in self.workers:
             await worker.stop()
         for server in [self.counter, *(agent for agents in self.agents for agent in agents)]:
@@ -306,7 +306,7 @@
             if child is None or await child.call("POST", f"/backends/{backend}/maint") != 200:
                 return
             gateway.maintenance.add(backend)
-            self.log.write("maintenance", gateway=gateway.index, backend=backend)
+            self.log.write("maintenance_started", gateway=gateway.index, backend=backend)
         await asyncio.sleep(2 * fault.duration)
         async with gateway.lifecycle:
             if backend not in gateway.maintenance:
@@ -358,10 +358,10 @@
         if number in self.drained or len(self.drained) >= self.size.backends // 3:
             return
         self.drained.add(number)
-        self.log.write("drained", backend=f"b{number}")
+        self.log.write("drain_started", backend=f"b{number}")
         await self.endpoints.publish(self.entry(number, "DRAINING"))
         await asyncio.sleep(3.0 + fault.duration)
-        self.log.write("back", backend=f"b{number}")
+        self.log.write("drain_ended", backend=f"b{number}")
         await self.endpoints.publish(self.entry(number, "SERVING", time.time()))
         self.drained.discard(number)
 
--- a/tests/soak/gateways.py
+++ b/tests/soak/gateways.py
@@ -41,7 +41,7 @@
     def signal(self, number: signal.Signals) -> None:
         """Send a signal, if the process runs."""
         if self.is_running:
-            self.log.write("signal", process=self.name, number=number.name)
+            self.log.write("signal_sent", process=self.name, signal_name=number.name)
             self.child.send_signal(number)
 
     async def end(self) -> None:
@@ -51,7 +51,7 @@
             async with asyncio.timeout(SHUTDOWN_TIME):
                 code = await self.child.wait()
         except TimeoutError:
-            self.log.write("shutdown_too_long", process=self.name)
+            self.log.write("shutdown_timeout", process=self.name)
             await self.kill()
             return
         self.log.write("ended", process=self.name, code=code)
@@ -156,11 +156,11 @@
             async with asyncio.timeout(READY_TIMEOUT):
                 while await child.call("GET", "/healthcheck") != 200:
                     if not child.is_running:
-                        self.log.write("failed_start", process=child.name, code=child.child.returncode)
+                        self.log.write("start_failed", process=child.name, code=child.child.returncode)
                         return
                     await asyncio.sleep(POLL_INTERVAL)
         except TimeoutError:
-            self.log.write("not_ready", process=child.name)
+            self.log.write("ready_timeout", process=child.name)
 
     def forget_maintenance(self) -> None:
         """Note that a cold start knows of no maintenance."""
--- a/tests/soak/oracle.py
+++ b/tests/soak/oracle.py
@@ -80,7 +80,7 @@
     def check(self) -> list[Violation]:
         """Return all violations."""
         for call, story in self.history.by_call.items():
-            sent = next((event for event in story if event.name == "sent"), None)
+            sent = next((event for event in story if event.name == "request_sent"), None)
             if sent is None:
                 self.report("no request that no client sent", call, "no client sent it", story)
                 continue
@@ -95,19 +95,19 @@
     def check_answer(self, call: str, sent: LoggedEvent, story: list[LoggedEvent]) -> None:
         """Check that a request is answered in time, unless its client leaves or its process is killed."""
         names = {event.name: event for event in story}
-        answer = names.get("answer")
+        answer = names.get("response_received")
         ends_at = sent.at + sent.fields["budget"] + ANSWER_SLACK + self.machine_slack
         if answer is not None:
-            if not answer.fields["right"]:
+            if not answer.fields["matches_request"]:
                 self.report("answers belong to their requests", call, "another body", story)
             if answer.at > ends_at and not self.was_killed(sent, ends_at):
                 self.report("answers come in time", call, f"{answer.at - ends_at:.3f} s late", story)
             return
-        if "left" in names or self.was_killed(sent, ends_at):
+        if "client_closed" in names or self.was_killed(sent, ends_at):
             return
-        closed = names.get("closed")
+        closed = names.get("connection_closed")
         if closed is None:
-            if "unanswered" in names:
+            if "response_timeout" in names:
                 self.report("every request is answered", call, "no answer", story)
             return
         was_read = any(event.name == "received" for event in story)
@@ -115,22 +115,25 @@
         # that were pipelined behind it can have no answer then (a question in docs/findings/open.md).
         if self.was_cut_off(closed):
             return
-        if was_read or (sent.fields["first"] and not self.was_stopping(sent)):
+        if was_read or (sent.fields["first_on_connection"] and not self.was_stopping(sent)):
             self.report("every request is answered", call, "closed without an answer", story)
 
     def was_cut_off(self, closed: LoggedEvent) -> bool:
         """Return whether a close followed an incomplete answer, to this request or to one before it."""
-        first_call = closed.fields.get("behind")
+        first_call = closed.fields.get("pipelined_after")
         story = self.history.by_call.get(first_call, []) if first_call else [closed]
-        return any(event.name == "closed" and event.fields.get("partial", False) for event in story)
+        return any(
+            event.name == "connection_closed" and event.fields.get("partial_response", False)
+            for event in story
+        )
 
     def was_killed(self, sent: LoggedEvent, until: float) -> bool:
         """Return whether a process of the request's gateway was killed meanwhile."""
         prefix = f"gateway-{sent.fields['gateway']}-"
         return any(
             event.fields["process"].startswith(prefix) and sent.at - START_TIME <= event.at <= until
-            for event in self.history.named("signal")
-            if event.fields["number"] == "SIGKILL"
+            for event in self.history.named("signal_sent")
+            if event.fields["signal_name"] == "SIGKILL"
         )
 
     def was_stopping(self, sent: LoggedEvent) -> bool:
@@ -141,13 +144,13 @@
         prefix = f"gateway-{gateway}-"
         return any(
             event.fields["process"].startswith(prefix) and event.at <= sent.at <= event.at + 4.0
-            for event in self.history.named("signal")
-            if event.fields["number"] == "SIGTERM"
+            for event in self.history.named("signal_sent")
+            if event.fields["signal_name"] == "SIGTERM"
         )
 
     def check_attempts(self, call: str, sent: LoggedEvent, story: list[LoggedEvent]) -> None:
         """Check that no attempt begins after its client left, or has more time than its client."""
-        left = next((event for event in story if event.name == "left"), None)
+        left = next((event for event in story if event.name == "client_closed"), None)
         client_ends_at = sent.at + sent.fields["budget"]
         starts = [event for event in story if event.name == "started"]
         for event in starts:
@@ -155,28 +158,28 @@
                 late = event.at - left.at
                 self.report("no attempt begins after its client left", call, f"{late:.3f} s", story)
         for event in story:
-            if event.name != "ran" or not starts:
+            if event.name != "request_executed" or not starts:
                 continue
             # it was written after it was started, so that no more was left than then
             started_at = max(start.at for start in starts if start.at <= event.at)
-            excess = event.fields["told"] - (client_ends_at - started_at)
+            excess = event.fields["budget"] - (client_ends_at - started_at)
             if excess > DEADLINE_SLACK + self.machine_slack:
                 self.report("endpoints are told no more than is left", call, f"{excess:.3f} s more", story)
 
     def check_runs(self, call: str, sent: LoggedEvent, story: list[LoggedEvent]) -> None:
         """Check that a request runs once if it may not run again."""
-        runs = [event for event in story if event.name == "ran"]
+        runs = [event for event in story if event.name == "request_executed"]
         if sent.fields["request_class"] == ONCE and len(runs) > 1:
             self.report("a request runs once", call, f"{len(runs)} times", story)
 
     def check_drains(self) -> None:
         """Check that nothing is sent to a backend that drains, from some time after it was told."""
-        for drained in self.history.named("drained"):
+        for drained in self.history.named("drain_started"):
             backend = drained.fields["backend"]
             back_at = min(
                 (
                     e.at
-                    for e in self.history.named("back")
+                    for e in self.history.named("drain_ended")
                     if e.fields["backend"] == backend and e.at > drained.at
                 ),
                 default=float("inf"),
@@ -206,7 +209,7 @@
         latest = known_from + LONGEST_OUTAGE + NOTICE_TIME + DRAIN_TIME + self.machine_slack
         told = [
             event.at
-            for event in self.history.named("told")
+            for event in self.history.named("endpoint_reported")
             if event.fields["gateway"] == gateway
             and event.fields["backend"] == drained.fields["backend"]
             and event.at >= known_from
@@ -216,7 +219,7 @@
         limit = told[0] + DRAIN_TIME + self.machine_slack
         had_trouble = any(
             event.fields["gateway"] == gateway and known_from - LONGEST_OUTAGE <= event.at <= limit
-            for event in self.history.named("agent_mode")
+            for event in self.history.named("agent_mode_changed")
         )
         return latest if had_trouble else min(limit, latest)
 
@@ -234,7 +237,7 @@
     def check_maintenance(self) -> None:
         """Check that a gateway sends nothing to a backend that an operator took out of service there."""
         ended = self.history.named("maintenance_ended")
-        for began in self.history.named("maintenance"):
+        for began in self.history.named("maintenance_started"):
             gateway, backend = began.fields["gateway"], began.fields["backend"]
             ends_at = min(
                 (e.at for e in ended if e.fields == began.fields and e.at > began.at), default=float("inf")
@@ -250,11 +253,11 @@
     def check_processes(self) -> None:
         """Check that gateways start and end as they are told, and violate no invariant of their own."""
         for event in self.history.events:
-            if event.name in ("failed_start", "not_ready", "shutdown_too_long", "client_failed"):
+            if event.name in ("start_failed", "ready_timeout", "shutdown_timeout", "client_failed"):
                 self.report("processes start and end in time", str(event.fields), event.name, [event])
             if event.name == "ended" and event.fields.get("process") and event.fields["code"] != 0:
                 self.report("processes end well", event.fields["process"], str(event.fields), [event])
-            if event.name == "bad_request_kept" and not self.was_held_up(event):
+            if event.name == "bad_request_not_closed" and not self.was_held_up(event):
                 self.report("bad requests end in 3 s", str(event.fields), event.name, [event])
             if event.name == "bad_request_served":
                 self.report("bad requests are not served", str(event.fields), event.name, [event])
@@ -274,5 +277,5 @@
         prefix = f"gateway-{event.fields['gateway']}-"
         return any(
             other.fields["process"].startswith(prefix) and event.at - 5.0 <= other.at <= event.at
-            for other in self.history.named("signal")
+            for other in self.history.named("signal_sent")
         )
--- a/tests/soak/services.py
+++ b/tests/soak/services.py
@@ -57,7 +57,7 @@
     def set_mode(self, mode: ServiceMode) -> None:
         """Behave differently from now on; calls that wait are answered by the new mode."""
         self.mode = mode
-        self.log.write("agent_mode", gateway=self.gateway, mode=mode)
+        self.log.write("agent_mode_changed", gateway=self.gateway, mode=mode)
         if mode is ServiceMode.DOWN:
             for writer in list(self.open_writers):
                 writer.transport.abort()
@@ -97,7 +97,10 @@
         entries = endpoints.since(known) if known else list(endpoints.entries.values())
         for entry in entries:
             self.log.write(
-                "told", gateway=self.gateway, backend=entry["instanceId"], lifecycle=entry["lifecycle"]
+                "endpoint_reported",
+                gateway=self.gateway,
+                backend=entry["instanceId"],
+                lifecycle=entry["lifecycle"],
             )
         document = {"generation": endpoints.generation, "reset": not known, "instances": entries}
         return json.dumps(document).encode()
