--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -12,11 +12,11 @@
 import tempfile
 import time
 
-from tests.soak.control import Control
+from tests.soak.control import RunController
 from tests.soak.oracle import Oracle, Violation, read_history
 from tests.soak.plan import RunSize
 
-MAX_STORIES = 3  # printed for each invariant of a run
+MAX_EXAMPLES = 3  # printed for each invariant of a run
 MAX_PROCESSES = 200
 
 
@@ -26,7 +26,7 @@
     return range(int(first), (int(last) if separator else int(first)) + 1)
 
 
-def parse_arguments(words: list[str]) -> argparse.Namespace:
+def parse_arguments(argv: list[str]) -> argparse.Namespace:
     """Parse the command line; a wrong one ends the program with one line and status 2."""
     parser = argparse.ArgumentParser(prog="python -m tests.soak", description=__doc__)
     parser.add_argument("--seeds", type=parse_seeds, default=range(1, 2), help="A..B, each a run")
@@ -37,7 +37,7 @@
     parser.add_argument("--clients-each", type=int, default=8)
     parser.add_argument("--slack", type=float, default=0.02, help="seconds that a busy machine adds")
     parser.add_argument("--keep", type=pathlib.Path, help="a folder for the logs of runs with violations")
-    arguments = parser.parse_args(words)
+    arguments = parser.parse_args(argv)
     processes = 2 * arguments.gateways + arguments.backend_processes + arguments.client_processes + 2
     if not 0 < arguments.seconds <= 600 or processes > MAX_PROCESSES or arguments.gateways < 1:
         parser.error(f"from 1 gateway to {MAX_PROCESSES} processes, and at most 600 seconds")
@@ -51,26 +51,26 @@
         by_invariant[violation.invariant].append(violation)
     for invariant, found in by_invariant.items():
         print(f"seed {seed}: {invariant}: {len(found)}")
-        for violation in found[:MAX_STORIES]:
+        for violation in found[:MAX_EXAMPLES]:
             print(f"  {violation.subject}: {violation.detail}")
-            for event in violation.story:
+            for event in violation.events:
                 print(f"    {event.at:.4f} {event.source:16} {event.name} {event.fields}")
 
 
-async def run_until_signal(control: Control) -> None:
+async def run_until_signal(controller: RunController) -> None:
     """Play a run; SIGINT and SIGTERM end it, and every process of it."""
-    task = asyncio.ensure_future(control.run())
+    task = asyncio.ensure_future(controller.run())
     loop = asyncio.get_running_loop()
     for number in (signal.SIGINT, signal.SIGTERM):
         loop.add_signal_handler(number, task.cancel)
     await task
 
 
-def play(seed: int, size: RunSize, slack: float, keep: pathlib.Path | None) -> int:
+def run_seed(seed: int, size: RunSize, slack: float, keep: pathlib.Path | None) -> int:
     """Play one run, print what it found, and return the number of violations."""
     folder = pathlib.Path(tempfile.mkdtemp(prefix=f"soak-{seed}-"))
     started_at = time.monotonic()
-    asyncio.run(run_until_signal(Control(seed, size, folder)))
+    asyncio.run(run_until_signal(RunController(seed, size, folder)))
     history = read_history(folder)
     violations = Oracle(history, size, slack).check()
     statuses = collections.Counter(event.fields["status"] for event in history.named("response_received"))
@@ -101,7 +101,7 @@
         seconds=arguments.seconds,
     )
     try:
-        violations = sum(play(seed, size, arguments.slack, arguments.keep) for seed in arguments.seeds)
+        violations = sum(run_seed(seed, size, arguments.slack, arguments.keep) for seed in arguments.seeds)
     except asyncio.CancelledError:
         print("ended by a signal")
         return 2
--- a/tests/soak/backends.py
+++ b/tests/soak/backends.py
@@ -17,7 +17,7 @@
 LONG_BODY = b"z" * 150_000
 
 
-class Mode(StrEnum):
+class BackendMode(StrEnum):
     """How a backend behaves."""
 
     SERVES = "serves"
@@ -30,15 +30,15 @@
 class SoakBackend(FakeServer):
     """A backend that records each request it has read whole, and how it ended it."""
 
-    def __init__(self, name: str, log: EventLog, chance: random.Random) -> None:
+    def __init__(self, name: str, log: EventLog, rng: random.Random) -> None:
         super().__init__()
         self.name = name
         self.log = log
-        self.chance = chance
-        self.mode = Mode.SERVES
+        self.rng = rng
+        self.mode = BackendMode.SERVES
         self.mode_changed = asyncio.Event()
 
-    def set_mode(self, mode: Mode) -> None:
+    def set_mode(self, mode: BackendMode) -> None:
         """Behave differently from now on, also to requests that hang."""
         self.mode = mode
         self.mode_changed.set()
@@ -49,36 +49,36 @@
         while True:
             request = await read_message(reader)
             call = request.headers.get("x-call-id", "")
-            if self.mode is Mode.REJECTS and self.chance.random() < 0.8:
+            if self.mode is BackendMode.REJECTS and self.rng.random() < 0.8:
                 self.log.write("request_rejected", call=call, backend=self.name)
                 writer.write(http_response(503, b"", "X-Rejected: 1"))
                 continue
             self.log.write(
                 "request_executed", call=call, backend=self.name, budget=float(request.headers["x-budget"])
             )
-            while self.mode is Mode.HANGS:
+            while self.mode is BackendMode.HANGS:
                 await self.mode_changed.wait()
-            await asyncio.sleep(self.chance.expovariate(1.0 / MEAN_SERVICE_TIME))
+            await asyncio.sleep(self.rng.expovariate(1.0 / MEAN_SERVICE_TIME))
             if self.respond(writer, request, call):
                 return
 
     def respond(self, writer: asyncio.StreamWriter, request: HttpMessage, call: str) -> bool:
         """Answer a request by the mode; return whether the connection is over."""
         body = b"served " + call.encode()
-        if self.chance.random() < LONG_BODY_FRACTION:
+        if self.rng.random() < LONG_BODY_FRACTION:
             body += LONG_BODY
-        if self.mode is Mode.RESETS and self.chance.random() < 0.7:
+        if self.mode is BackendMode.RESETS and self.rng.random() < 0.7:
             response = http_response(200, body)
-            writer.write(response[: self.chance.randrange(len(response))])
+            writer.write(response[: self.rng.randrange(len(response))])
             writer.transport.abort()
             return True
-        status = 500 if self.mode is Mode.FAILS and self.chance.random() < 0.8 else 200
-        units = self.chance.choice(["1", "1", "2"])
+        status = 500 if self.mode is BackendMode.FAILS and self.rng.random() < 0.8 else 200
+        units = self.rng.choice(["1", "1", "2"])
         writer.write(http_response(status, body, f"Billed-Units: {units}"))
         return False
 
 
-async def control_lines() -> asyncio.StreamReader:
+async def open_command_stream() -> asyncio.StreamReader:
     """Return standard input as a stream of the control's commands."""
     reader = asyncio.StreamReader()
     loop = asyncio.get_running_loop()
@@ -94,7 +94,7 @@
         await backend.start()
         backends.append(backend)
     print(json.dumps([backend.address for backend in backends]), flush=True)
-    commands = await control_lines()
+    commands = await open_command_stream()
     while line := await commands.readline():
         command = json.loads(line)
         backend = backends[command["backend"]]
@@ -102,4 +102,4 @@
             for writer in list(backend.open_writers):
                 writer.transport.abort()
         else:
-            backend.set_mode(Mode(command["mode"]))
+            backend.set_mode(BackendMode(command["mode"]))
--- a/tests/soak/clients.py
+++ b/tests/soak/clients.py
@@ -15,16 +15,16 @@
 
 REQUEST_CLASSES = ("lookup", "lookup", "report", "extract")
 BUDGETS = (0.4, 0.8, 1.5, 2.4)  # seconds
-MEAN_PAUSE = 0.12  # seconds between a client's requests
-READ_MARGIN = 2.0  # seconds after a request's time until its client stops to wait for an answer
-KEEP_FRACTION = 0.8  # of the requests, after which the connection is kept
+MEAN_REQUEST_INTERVAL = 0.12  # seconds between a client's requests
+RESPONSE_MARGIN = 2.0  # seconds after a request's time until its client stops to wait for an answer
+KEEP_ALIVE_FRACTION = 0.8  # of the requests, after which the connection is kept
 CONNECT_RETRY = 0.05  # seconds
 BAD_REQUESTS = (
     b"GET /api HTTP/1.1\r\nX-Call",
     b"nonsense\r\n\r\n",
     b"POST /api HTTP/1.1\r\nContent-Length: 9\r\n\r\nx",
 )
-BAD_REQUEST_TIME = 3.5  # seconds from the connect in which such a client gets an error or a close
+BAD_REQUEST_TIMEOUT = 3.5  # seconds from the connect in which such a client gets an error or a close
 
 
 class SoakClient:
@@ -34,33 +34,33 @@
         self.name = name
         self.gateways: list[tuple[str, int]] = arguments["gateways"]
         self.log = log
-        self.chance = random.Random(f"{arguments['seed']} {name}")
-        self.count = 0
+        self.rng = random.Random(f"{arguments['seed']} {name}")
+        self.request_count = 0
         self.reader: asyncio.StreamReader
         self.writer: asyncio.StreamWriter
-        self.gateway = 0
-        self.connection = 0  # counted over this client
+        self.gateway_index = 0
+        self.connection_count = 0  # counted over this client
         self.requests_on_connection = 0
         self.connected = False
 
     async def run(self) -> None:
         """Send requests until it is cancelled."""
         while True:
-            await asyncio.sleep(self.chance.expovariate(1.0 / MEAN_PAUSE))
+            await asyncio.sleep(self.rng.expovariate(1.0 / MEAN_REQUEST_INTERVAL))
             try:
                 if not self.connected:
                     await self.connect()
-                await self.behave()
+                await self.send_random()
             except (OSError, asyncio.IncompleteReadError, TimeoutError):
                 await self.disconnect()
                 await asyncio.sleep(CONNECT_RETRY)
 
     async def connect(self) -> None:
         """Connect to one of the gateways."""
-        self.gateway = self.chance.randrange(len(self.gateways))
-        self.reader, self.writer = await asyncio.open_connection(*self.gateways[self.gateway])
+        self.gateway_index = self.rng.randrange(len(self.gateways))
+        self.reader, self.writer = await asyncio.open_connection(*self.gateways[self.gateway_index])
         self.connected = True
-        self.connection += 1
+        self.connection_count += 1
         self.requests_on_connection = 0
 
     async def disconnect(self) -> None:
@@ -69,33 +69,33 @@
             self.connected = False
             self.writer.close()
 
-    async def behave(self) -> None:
+    async def send_random(self) -> None:
         """Send one or some requests in a way that is drawn."""
-        draw = self.chance.random()
+        draw = self.rng.random()
         if draw < 0.68:
             await self.exchange(1)
         elif draw < 0.76:
-            await self.exchange(self.chance.randrange(2, 5))
+            await self.exchange(self.rng.randrange(2, 5))
         elif draw < 0.90:
-            await self.leave()
+            await self.send_and_close()
         elif draw < 0.95:
             await self.exchange(1, slowly=True)
         else:
             await self.send_bad_request()
-        if self.chance.random() > KEEP_FRACTION:
+        if self.rng.random() > KEEP_ALIVE_FRACTION:
             await self.disconnect()
 
     def next_request(self) -> tuple[str, bytes, float, str]:
         """Return the id, the text, the time and the class of a new request."""
-        self.count += 1
-        number = (int(self.name) << 32) + self.count
-        budget = self.chance.choice(BUDGETS)
-        request_class = self.chance.choice(REQUEST_CLASSES)
-        customer = f"{self.chance.randrange(40):016x}"
+        self.request_count += 1
+        number = (int(self.name) << 32) + self.request_count
+        budget = self.rng.choice(BUDGETS)
+        request_class = self.rng.choice(REQUEST_CLASSES)
+        customer = f"{self.rng.randrange(40):016x}"
         text = request(number, request_class, budget, customer=customer)
         return f"{number:016x}", text, budget, request_class
 
-    def note_sent(self, call: str, budget: float, request_class: str) -> None:
+    def log_sent(self, call: str, budget: float, request_class: str) -> None:
         """Log a request whose last byte was written just now."""
         self.requests_on_connection += 1
         self.log.write(
@@ -103,10 +103,10 @@
             call=call,
             budget=budget,
             request_class=request_class,
-            gateway=self.gateway,
+            gateway=self.gateway_index,
             first_on_connection=self.requests_on_connection == 1,
             client=self.name,
-            connection=self.connection,
+            connection=self.connection_count,
         )
 
     async def exchange(self, count: int, slowly: bool = False) -> None:
@@ -115,23 +115,23 @@
         for _ in range(count):
             call, text, budget, request_class = self.next_request()
             if slowly:
-                cut = self.chance.randrange(1, len(text) - 1)
-                self.writer.write(text[:cut])
-                await asyncio.sleep(0.3 * self.chance.random())
-                text = text[cut:]
+                split_at = self.rng.randrange(1, len(text) - 1)
+                self.writer.write(text[:split_at])
+                await asyncio.sleep(0.3 * self.rng.random())
+                text = text[split_at:]
             self.writer.write(text)
-            self.note_sent(call, budget, request_class)
+            self.log_sent(call, budget, request_class)
             sent.append((call, time.monotonic() + budget))
-        for position, (call, ends_at) in enumerate(sent):
-            if not await self.read_answer(call, ends_at):
-                for later, _ in sent[position + 1 :]:
-                    self.log.write("connection_closed", call=later, pipelined_after=call)
+        for position, (call, deadline) in enumerate(sent):
+            if not await self.read_response(call, deadline):
+                for later_call, _ in sent[position + 1 :]:
+                    self.log.write("connection_closed", call=later_call, pipelined_after=call)
                 raise ConnectionResetError
 
-    async def read_answer(self, call: str, ends_at: float) -> bool:
+    async def read_response(self, call: str, deadline: float) -> bool:
         """Read and log an answer; return whether the connection can be used for another."""
         try:
-            async with asyncio.timeout(max(ends_at - time.monotonic(), 0.0) + READ_MARGIN):
+            async with asyncio.timeout(max(deadline - time.monotonic(), 0.0) + RESPONSE_MARGIN):
                 status_line, headers, body = await read_message(self.reader)
         except TimeoutError:
             self.log.write("response_timeout", call=call)
@@ -145,13 +145,13 @@
         self.log.write("response_received", call=call, status=status, matches_request=is_matching)
         return headers.get("connection") != "close"
 
-    async def leave(self) -> None:
+    async def send_and_close(self) -> None:
         """Send a request, and close, reset or half-close some time after it."""
         call, text, budget, request_class = self.next_request()
         self.writer.write(text)
-        self.note_sent(call, budget, request_class)
-        await asyncio.sleep(self.chance.choice([0.0, 0.01, 0.05, 0.2]) * self.chance.random())
-        how = self.chance.choice(["close", "reset", "half_close"])
+        self.log_sent(call, budget, request_class)
+        await asyncio.sleep(self.rng.choice([0.0, 0.01, 0.05, 0.2]) * self.rng.random())
+        how = self.rng.choice(["close", "reset", "half_close"])
         if how == "half_close":
             self.writer.write_eof()
         else:
@@ -162,7 +162,7 @@
         self.log.write("client_closed", call=call, how=how)
         if how == "half_close":
             with contextlib.suppress(OSError, asyncio.IncompleteReadError, TimeoutError):
-                async with asyncio.timeout(budget + READ_MARGIN):
+                async with asyncio.timeout(budget + RESPONSE_MARGIN):
                     await self.reader.read()
         raise ConnectionResetError
 
@@ -171,18 +171,18 @@
         await self.disconnect()
         await self.connect()
         connected_at = time.monotonic()
-        text = self.chance.choice(BAD_REQUESTS)
+        text = self.rng.choice(BAD_REQUESTS)
         self.writer.write(text)
         try:
-            async with asyncio.timeout(BAD_REQUEST_TIME):
-                answer = await self.reader.read(4096)
+            async with asyncio.timeout(BAD_REQUEST_TIMEOUT):
+                response = await self.reader.read(4096)
         except TimeoutError:
             self.log.write(
-                "bad_request_not_closed", gateway=self.gateway, seconds=time.monotonic() - connected_at
+                "bad_request_not_closed", gateway=self.gateway_index, seconds=time.monotonic() - connected_at
             )
             raise
-        if answer.startswith(b"HTTP/1.1 2"):
-            self.log.write("bad_request_served", gateway=self.gateway)
+        if response.startswith(b"HTTP/1.1 2"):
+            self.log.write("bad_request_served", gateway=self.gateway_index)
         raise ConnectionResetError
 
 
--- a/tests/soak/control.py
+++ b/tests/soak/control.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from tests.fakes import example_settings
-from tests.soak.backends import Mode
+from tests.soak.backends import BackendMode
 from tests.soak.event_log import EventLog
 from tests.soak.fault_proxy import ProxyMode
 from tests.soak.gateways import ROOT, Gateway, GatewayChild
@@ -29,34 +29,34 @@
 )
 from tests.soak.services import Agent, EndpointList, ServiceMode, SoakCounter
 
-HOLD_UPS = (0.05, 0.15, 0.15, 0.3)  # seconds
-FAILURE_RATE = 0.12  # of system calls, at most
-HALF_FILE_TIME = 0.3  # seconds in which a configuration file is half written
-END_TIME = 4.0  # seconds after the clients' end until all answers are in
+PAUSE_TIMES = (0.05, 0.15, 0.15, 0.3)  # seconds
+MAX_FAILURE_RATE = 0.12  # of system calls, at most
+PARTIAL_FILE_TIME = 0.3  # seconds in which a configuration file is half written
+SETTLE_TIME = 4.0  # seconds after the clients' end until all answers are in
 BACKEND_MODES = {
-    Fault.BACKEND_HANGS: Mode.HANGS,
-    Fault.BACKEND_FAILS: Mode.FAILS,
-    Fault.BACKEND_REJECTS: Mode.REJECTS,
-    Fault.BACKEND_RESETS: Mode.RESETS,
+    Fault.BACKEND_HANGS: BackendMode.HANGS,
+    Fault.BACKEND_FAILS: BackendMode.FAILS,
+    Fault.BACKEND_REJECTS: BackendMode.REJECTS,
+    Fault.BACKEND_RESETS: BackendMode.RESETS,
 }
 PROXY_MODES = {
     Fault.PROXY_DELAYS: ProxyMode.DELAYS,
     Fault.PROXY_RESETS: ProxyMode.RESETS,
-    Fault.PROXY_STALLS: ProxyMode.FREEZES,
-    Fault.PROXY_FRAGMENTS: ProxyMode.DRIBBLES,
+    Fault.PROXY_STALLS: ProxyMode.STALLS,
+    Fault.PROXY_FRAGMENTS: ProxyMode.FRAGMENTS,
 }
 AGENT_MODES = {
-    Fault.DISCOVERY_HANGS: ServiceMode.SILENT,
+    Fault.DISCOVERY_UNRESPONSIVE: ServiceMode.UNRESPONSIVE,
     Fault.DISCOVERY_DOWN: ServiceMode.DOWN,
-    Fault.DISCOVERY_OVERLOADED: ServiceMode.REFUSES,
+    Fault.DISCOVERY_OVERLOADED: ServiceMode.OVERLOADED,
 }
 COUNTER_MODES = {
-    Fault.COUNTER_HANGS: ServiceMode.SILENT,
-    Fault.COUNTER_BUSY: ServiceMode.REFUSES,
+    Fault.COUNTER_UNRESPONSIVE: ServiceMode.UNRESPONSIVE,
+    Fault.COUNTER_BUSY: ServiceMode.OVERLOADED,
 }
 
 
-def run_settings(size: RunSize, index: int) -> dict[str, Any]:
+def gateway_settings(size: RunSize, index: int) -> dict[str, Any]:
     """Return the settings of one gateway: the example's, with short deadlines and more quota."""
     settings = example_settings()
     settings.update(balancers=size.gateways, me=index)
@@ -91,7 +91,7 @@
         await self.process.wait()
 
 
-class Control:
+class RunController:
     """One run."""
 
     def __init__(self, seed: int, size: RunSize, folder: pathlib.Path) -> None:
@@ -107,7 +107,7 @@
         self.backend_workers: list[Worker] = []
         self.proxy: Worker
         self.addresses: list[str] = []  # of the backends, by the proxy
-        self.drained: set[int] = set()
+        self.draining: set[int] = set()
 
     async def start_worker(self, role: str, name: str, arguments: dict[str, Any]) -> Worker:
         """Start a process that plays a role."""
@@ -133,7 +133,7 @@
         try:
             await self.start_backends()
             await self.start_gateways()
-            await self.play()
+            await self.run_workload()
         finally:
             await self.stop()
 
@@ -149,11 +149,11 @@
         self.proxy = await self.start_worker("proxy", "proxy", {"targets": targets})
         self.addresses = await self.proxy.read_addresses()
         for number in range(len(targets)):
-            entry = self.entry(number, "SERVING")
+            entry = self.endpoint_entry(number, "SERVING")
             self.endpoints.entries[entry["instanceId"]] = entry
             self.endpoints.versions[entry["instanceId"]] = 1
 
-    def entry(self, number: int, lifecycle: str, started_at: float = 0.0) -> dict[str, Any]:
+    def endpoint_entry(self, number: int, lifecycle: str, started_at: float = 0.0) -> dict[str, Any]:
         """Return a backend as discovery lists it."""
         return {
             "instanceId": f"b{number}",
@@ -181,12 +181,12 @@
                 "seed": f"{self.seed * 1000 + index:x}",
                 "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 512},
                 "known": {"generation": 1, "reset": True, "instances": list(self.endpoints.entries.values())},
-                "settings": run_settings(self.size, index),
+                "settings": gateway_settings(self.size, index),
             }
             self.gateways.append(Gateway(index, self.folder, document, self.log))
         await asyncio.gather(*(gateway.start() for gateway in self.gateways))
 
-    async def play(self) -> None:
+    async def run_workload(self) -> None:
         """Let the clients play, and carry out the troubles at their times."""
         gateways = [[HOST, gateway.port] for gateway in self.gateways]
         for number in range(self.size.client_processes):
@@ -199,143 +199,143 @@
         tasks = []
         for fault in plan_faults(self.seed, self.size.seconds):
             await asyncio.sleep(max(started_at + fault.starts_at - time.monotonic(), 0.0))
-            tasks.append(asyncio.ensure_future(self.carry_out(fault)))
+            tasks.append(asyncio.ensure_future(self.inject(fault)))
         await asyncio.sleep(max(started_at + self.size.seconds - time.monotonic(), 0.0))
         await asyncio.gather(*tasks)
-        await asyncio.sleep(END_TIME)
+        await asyncio.sleep(SETTLE_TIME)
 
     async def stop(self) -> None:
         """End all gateways as on a planned restart, and kill the rest."""
         for gateway in self.gateways:
-            await asyncio.gather(*(child.end() for child in gateway.running))
+            await asyncio.gather(*(child.terminate() for child in gateway.running))
         self.log.write("run_ended")
         for worker in self.workers:
             await worker.stop()
         for server in [self.counter, *(agent for agents in self.agents for agent in agents)]:
             await server.stop()
 
-    async def carry_out(self, fault: PlannedFault) -> None:
+    async def inject(self, fault: PlannedFault) -> None:
         """Begin a trouble, and end it after its time."""
         self.log.write("fault_started", kind=fault.kind, duration=fault.duration, target=fault.target)
         kind = fault.kind
         if kind in BACKEND_MODES:
-            await self.change_backend(fault, BACKEND_MODES[kind])
+            await self.change_backend_mode(fault, BACKEND_MODES[kind])
         elif kind in PROXY_MODES:
-            await self.change_proxy(fault, PROXY_MODES[kind])
+            await self.change_proxy_mode(fault, PROXY_MODES[kind])
         elif kind in AGENT_MODES:
-            await self.change_agents(fault, AGENT_MODES[kind])
+            await self.change_agent_mode(fault, AGENT_MODES[kind])
         elif kind in COUNTER_MODES:
             self.counter.mode = COUNTER_MODES[kind]
             await asyncio.sleep(fault.duration)
             self.counter.mode = ServiceMode.SERVES
         else:
-            await self.handlers()[kind](fault, self.gateways[fault.target % len(self.gateways)])
+            await self.fault_handlers()[kind](fault, self.gateways[fault.target % len(self.gateways)])
 
-    def handlers(self) -> dict[Fault, Callable[[PlannedFault, Gateway], Awaitable[None]]]:
+    def fault_handlers(self) -> dict[Fault, Callable[[PlannedFault, Gateway], Awaitable[None]]]:
         """Return what carries out each of the other kinds."""
         return {
-            Fault.PAUSE: self.hold_up,
-            Fault.KILL: lambda fault, gateway: self.restart(gateway, gateway.kill),
-            Fault.RESTART: lambda fault, gateway: self.restart(gateway, gateway.restart),
-            Fault.HOT_RESTART: lambda fault, gateway: self.restart(gateway, gateway.hot_restart),
-            Fault.NEW_PROCESS_KILLED: lambda fault, gateway: self.restart(
-                gateway, lambda: gateway.lose_newer(fault.random_value)
+            Fault.PAUSE: self.pause_process,
+            Fault.KILL: lambda fault, gateway: self.restart_gateway(gateway, gateway.kill),
+            Fault.RESTART: lambda fault, gateway: self.restart_gateway(gateway, gateway.restart),
+            Fault.HOT_RESTART: lambda fault, gateway: self.restart_gateway(gateway, gateway.hot_restart),
+            Fault.NEW_PROCESS_KILLED: lambda fault, gateway: self.restart_gateway(
+                gateway, lambda: gateway.kill_new_process(fault.random_value)
             ),
             Fault.RELOAD: self.reload,
-            Fault.FAILED_RELOAD: self.reload_broken,
-            Fault.MAINTENANCE: self.maintain,
-            Fault.BACKENDS_PAUSE: self.stop_backends,
+            Fault.FAILED_RELOAD: self.fail_reload,
+            Fault.MAINTENANCE: self.run_maintenance,
+            Fault.BACKENDS_PAUSE: self.pause_backends,
             Fault.BACKEND_DRAINS: self.drain_backend,
             Fault.BACKEND_RESTARTS: self.restart_backend,
-            Fault.SYSTEM_CALLS_FAIL: self.fail_calls,
-            Fault.SHORT_IO: self.shorten_calls,
+            Fault.SYSTEM_CALLS_FAIL: self.fail_system_calls,
+            Fault.SHORT_IO: self.shorten_io,
             Fault.CLOCK_STEP: self.step_clock,
-            Fault.SHARED_FOLDER_FAILS: self.fail_folder,
+            Fault.SHARED_FOLDER_FAILS: self.fail_shared_folder,
         }
 
-    async def restart(self, gateway: Gateway, action: Callable[[], Awaitable[None]]) -> None:
+    async def restart_gateway(self, gateway: Gateway, action: Callable[[], Awaitable[None]]) -> None:
         """Do something with the processes of a gateway, one thing at a time."""
-        async with gateway.lifecycle:
+        async with gateway.lifecycle_lock:
             await action()
 
-    async def hold_up(self, fault: PlannedFault, gateway: Gateway) -> None:
+    async def pause_process(self, fault: PlannedFault, gateway: Gateway) -> None:
         """Stop the newest process for a moment."""
         child = gateway.newest
         if child is None:
             return
-        seconds = HOLD_UPS[int(fault.random_value * len(HOLD_UPS))]
+        seconds = PAUSE_TIMES[int(fault.random_value * len(PAUSE_TIMES))]
         child.signal(signal.SIGSTOP)
         await asyncio.sleep(seconds)
         child.signal(signal.SIGCONT)
 
     async def reload(self, fault: PlannedFault, gateway: Gateway) -> None:
         """Move discovery to the gateway's other agent."""
-        self.move_agent(gateway)
+        self.switch_agent(gateway)
         gateway.write_config()
         self.signal_reload(gateway)
 
-    def move_agent(self, gateway: Gateway) -> None:
+    def switch_agent(self, gateway: Gateway) -> None:
         addresses = [agent.address for agent in self.agents[gateway.index]]
         gateway.document["discovery"] = addresses[gateway.document["discovery"] == addresses[0]]
 
     def signal_reload(self, gateway: Gateway) -> None:
         """Send SIGHUP to the processes that are ready."""
         for child in gateway.running:
-            if child in gateway.children and not gateway.lifecycle.locked():
+            if child in gateway.children and not gateway.lifecycle_lock.locked():
                 child.signal(signal.SIGHUP)
 
-    async def reload_broken(self, fault: PlannedFault, gateway: Gateway) -> None:
+    async def fail_reload(self, fault: PlannedFault, gateway: Gateway) -> None:
         """Move discovery with a file that can't be read, or is half written, at first."""
-        async with gateway.lifecycle:
-            self.move_agent(gateway)
+        async with gateway.lifecycle_lock:
+            self.switch_agent(gateway)
             if fault.random_value < 0.5:
                 gateway.config_path.write_text('{"name":')
             else:
-                gateway.faults.fail_configuration_file(FOLDER_ERRORS[0])
+                gateway.fault_injector.fail_configuration_file(FOLDER_ERRORS[0])
             for child in gateway.running:
                 child.signal(signal.SIGHUP)
-            await asyncio.sleep(HALF_FILE_TIME)
-            gateway.faults.fail_configuration_file(0)
+            await asyncio.sleep(PARTIAL_FILE_TIME)
+            gateway.fault_injector.fail_configuration_file(0)
             gateway.write_config()
 
-    async def maintain(self, fault: PlannedFault, gateway: Gateway) -> None:
+    async def run_maintenance(self, fault: PlannedFault, gateway: Gateway) -> None:
         """Take a backend out of service for some time."""
         backend = f"b{fault.target % self.size.backends}"
-        async with gateway.lifecycle:
+        async with gateway.lifecycle_lock:
             child = gateway.newest
-            if child is None or await child.call("POST", f"/backends/{backend}/maint") != 200:
+            if child is None or await child.call_admin_api("POST", f"/backends/{backend}/maint") != 200:
                 return
-            gateway.maintenance.add(backend)
+            gateway.backends_in_maintenance.add(backend)
             self.log.write("maintenance_started", gateway=gateway.index, backend=backend)
         await asyncio.sleep(2 * fault.duration)
-        async with gateway.lifecycle:
-            if backend not in gateway.maintenance:
+        async with gateway.lifecycle_lock:
+            if backend not in gateway.backends_in_maintenance:
                 return
-            gateway.maintenance.discard(backend)
+            gateway.backends_in_maintenance.discard(backend)
             self.log.write("maintenance_ended", gateway=gateway.index, backend=backend)
             await self.end_maintenance(gateway.newest, backend)
 
     async def end_maintenance(self, child: GatewayChild | None, backend: str) -> None:
         if child is not None:
-            await child.call("POST", f"/backends/{backend}/ready")
+            await child.call_admin_api("POST", f"/backends/{backend}/ready")
 
-    async def change_backend(self, fault: PlannedFault, mode: Mode) -> None:
+    async def change_backend_mode(self, fault: PlannedFault, mode: BackendMode) -> None:
         """Have a backend behave differently for some time."""
         number = fault.target % self.size.backends
         worker = self.backend_workers[number // self.size.backends_each]
         index = number % self.size.backends_each
         worker.command(backend=index, mode=mode)
         await asyncio.sleep(fault.duration)
-        worker.command(backend=index, mode=Mode.SERVES)
+        worker.command(backend=index, mode=BackendMode.SERVES)
 
-    async def change_proxy(self, fault: PlannedFault, mode: ProxyMode) -> None:
+    async def change_proxy_mode(self, fault: PlannedFault, mode: ProxyMode) -> None:
         """Have the connections to a backend fare differently for some time."""
         number = fault.target % self.size.backends
         self.proxy.command(route=number, mode=mode)
         await asyncio.sleep(fault.duration)
-        self.proxy.command(route=number, mode=ProxyMode.PASSES)
+        self.proxy.command(route=number, mode=ProxyMode.FORWARDS)
 
-    async def change_agents(self, fault: PlannedFault, mode: ServiceMode) -> None:
+    async def change_agent_mode(self, fault: PlannedFault, mode: ServiceMode) -> None:
         """Have the agents of one gateway behave differently for some time."""
         agents = self.agents[fault.target % self.size.gateways]
         for agent in agents:
@@ -344,7 +344,7 @@
         for agent in agents:
             agent.set_mode(ServiceMode.SERVES)
 
-    async def stop_backends(self, fault: PlannedFault, gateway: Gateway) -> None:
+    async def pause_backends(self, fault: PlannedFault, gateway: Gateway) -> None:
         """Stop a process with some backends for a while."""
         process = self.backend_workers[fault.target % len(self.backend_workers)].process
         process.send_signal(signal.SIGSTOP)
@@ -355,53 +355,53 @@
     async def drain_backend(self, fault: PlannedFault, gateway: Gateway) -> None:
         """Drain a backend, and start it anew some time later."""
         number = fault.target % self.size.backends
-        if number in self.drained or len(self.drained) >= self.size.backends // 3:
+        if number in self.draining or len(self.draining) >= self.size.backends // 3:
             return
-        self.drained.add(number)
+        self.draining.add(number)
         self.log.write("drain_started", backend=f"b{number}")
-        await self.endpoints.publish(self.entry(number, "DRAINING"))
+        await self.endpoints.publish(self.endpoint_entry(number, "DRAINING"))
         await asyncio.sleep(3.0 + fault.duration)
         self.log.write("drain_ended", backend=f"b{number}")
-        await self.endpoints.publish(self.entry(number, "SERVING", time.time()))
-        self.drained.discard(number)
+        await self.endpoints.publish(self.endpoint_entry(number, "SERVING", time.time()))
+        self.draining.discard(number)
 
     async def restart_backend(self, fault: PlannedFault, gateway: Gateway) -> None:
         """Reset all connections of a backend, which comes back cold."""
         number = fault.target % self.size.backends
-        if number in self.drained:
+        if number in self.draining:
             return
         worker = self.backend_workers[number // self.size.backends_each]
         worker.command(backend=number % self.size.backends_each, restart=True)
-        await self.endpoints.publish(self.entry(number, "SERVING", time.time()))
+        await self.endpoints.publish(self.endpoint_entry(number, "SERVING", time.time()))
 
-    async def fail_calls(self, fault: PlannedFault, gateway: Gateway) -> None:
+    async def fail_system_calls(self, fault: PlannedFault, gateway: Gateway) -> None:
         """Have system calls of a gateway fail for a moment each."""
         error = RESOURCE_ERRORS[int(fault.random_value * len(RESOURCE_ERRORS))]
-        rate = FAILURE_RATE * fault.random_value
-        gateway.faults.fail_accepts(rate, error)
-        gateway.faults.fail_sockets(rate, RESOURCE_ERRORS[0])
-        gateway.faults.fail_connects(rate, CONNECT_ERRORS[fault.target % len(CONNECT_ERRORS)])
+        rate = MAX_FAILURE_RATE * fault.random_value
+        gateway.fault_injector.fail_accepts(rate, error)
+        gateway.fault_injector.fail_sockets(rate, RESOURCE_ERRORS[0])
+        gateway.fault_injector.fail_connects(rate, CONNECT_ERRORS[fault.target % len(CONNECT_ERRORS)])
         await asyncio.sleep(fault.duration)
-        gateway.faults.fail_accepts(0.0, 0)
-        gateway.faults.fail_sockets(0.0, 0)
-        gateway.faults.fail_connects(0.0, 0)
+        gateway.fault_injector.fail_accepts(0.0, 0)
+        gateway.fault_injector.fail_sockets(0.0, 0)
+        gateway.fault_injector.fail_connects(0.0, 0)
 
-    async def shorten_calls(self, fault: PlannedFault, gateway: Gateway) -> None:
+    async def shorten_io(self, fault: PlannedFault, gateway: Gateway) -> None:
         """Have reads and writes of a gateway be short, and its waits interrupted."""
-        gateway.faults.page.short_io_rate = 0.2
-        gateway.faults.page.interrupt_rate = 0.05
+        gateway.fault_injector.page.short_io_rate = 0.2
+        gateway.fault_injector.page.interrupt_rate = 0.05
         await asyncio.sleep(fault.duration)
-        gateway.faults.page.short_io_rate = 0.0
-        gateway.faults.page.interrupt_rate = 0.0
+        gateway.fault_injector.page.short_io_rate = 0.0
+        gateway.fault_injector.page.interrupt_rate = 0.0
 
     async def step_clock(self, fault: PlannedFault, gateway: Gateway) -> None:
         """Step the wall clock of a gateway, and step it back."""
-        gateway.faults.step_wall_clock(CLOCK_STEPS[int(fault.random_value * len(CLOCK_STEPS))])
+        gateway.fault_injector.step_wall_clock(CLOCK_STEPS[int(fault.random_value * len(CLOCK_STEPS))])
         await asyncio.sleep(2 * fault.duration)
-        gateway.faults.step_wall_clock(0.0)
+        gateway.fault_injector.step_wall_clock(0.0)
 
-    async def fail_folder(self, fault: PlannedFault, gateway: Gateway) -> None:
+    async def fail_shared_folder(self, fault: PlannedFault, gateway: Gateway) -> None:
         """Have the shared folder of a gateway fail for a while."""
-        gateway.faults.fail_folder(FOLDER_ERRORS[fault.target % len(FOLDER_ERRORS)])
+        gateway.fault_injector.fail_folder(FOLDER_ERRORS[fault.target % len(FOLDER_ERRORS)])
         await asyncio.sleep(fault.duration)
-        gateway.faults.fail_folder(0)
+        gateway.fault_injector.fail_folder(0)
--- a/tests/soak/fault_proxy.py
+++ b/tests/soak/fault_proxy.py
@@ -8,7 +8,7 @@
 from enum import StrEnum
 from typing import Any
 
-from tests.soak.backends import control_lines
+from tests.soak.backends import open_command_stream
 from tests.soak.event_log import EventLog
 from tests.soak.plan import HOST
 
@@ -19,56 +19,56 @@
 class ProxyMode(StrEnum):
     """What happens to connections to one backend."""
 
-    PASSES = "passes"
+    FORWARDS = "forwards"
     DELAYS = "delays"  # connections come up late
     RESETS = "resets"  # some are reset, before or in the middle of a message
-    FREEZES = "freezes"  # nothing is passed on
-    DRIBBLES = "dribbles"  # messages are passed on in pieces
+    STALLS = "stalls"  # nothing is passed on
+    FRAGMENTS = "fragments"  # messages are passed on in pieces
 
 
 class Route:
     """The proxy of one backend."""
 
-    def __init__(self, target: str, chance: random.Random) -> None:
+    def __init__(self, target: str, rng: random.Random) -> None:
         self.host, _, port = target.rpartition(":")
         self.port = int(port)
-        self.chance = chance
-        self.mode = ProxyMode.PASSES
-        self.thawed = asyncio.Event()
-        self.thawed.set()
+        self.rng = rng
+        self.mode = ProxyMode.FORWARDS
+        self.forwarding = asyncio.Event()
+        self.forwarding.set()
 
     def set_mode(self, mode: ProxyMode) -> None:
         """Treat connections, also those that are open, differently from now on."""
         self.mode = mode
-        if mode is ProxyMode.FREEZES:
-            self.thawed.clear()
+        if mode is ProxyMode.STALLS:
+            self.forwarding.clear()
         else:
-            self.thawed.set()
+            self.forwarding.set()
 
     async def handle(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Connect to the backend and pass bytes on in both directions."""
         if self.mode is ProxyMode.DELAYS:
-            await asyncio.sleep(self.chance.random() * MAX_CONNECT_DELAY)
+            await asyncio.sleep(self.rng.random() * MAX_CONNECT_DELAY)
         try:
             target_reader, target_writer = await asyncio.open_connection(self.host, self.port)
         except OSError:
             writer.transport.abort()
             return
-        directions = (self.pass_on(reader, target_writer), self.pass_on(target_reader, writer))
+        directions = (self.forward(reader, target_writer), self.forward(target_reader, writer))
         tasks = [asyncio.ensure_future(direction) for direction in directions]
         await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
         for task in tasks:
             task.cancel()
-        for end in (writer, target_writer):
-            end.close()
+        for connection in (writer, target_writer):
+            connection.close()
 
-    async def pass_on(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def forward(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Pass bytes on in one direction, until either end closes or the mode ends the connection."""
         try:
             while data := await reader.read(READ_SIZE):
-                await self.thawed.wait()
-                if self.mode is ProxyMode.RESETS and self.chance.random() < 0.3:
-                    writer.write(data[: self.chance.randrange(len(data))])
+                await self.forwarding.wait()
+                if self.mode is ProxyMode.RESETS and self.rng.random() < 0.3:
+                    writer.write(data[: self.rng.randrange(len(data))])
                     writer.transport.abort()
                     return
                 await self.write(writer, data)
@@ -77,11 +77,11 @@
 
     async def write(self, writer: asyncio.StreamWriter, data: bytes) -> None:
         """Write bytes, some of them in pieces."""
-        if self.mode is ProxyMode.DRIBBLES and len(data) > 1:
-            cut = self.chance.randrange(1, len(data))
-            writer.write(data[:cut])
-            await asyncio.sleep(0.01 * self.chance.random())
-            data = data[cut:]
+        if self.mode is ProxyMode.FRAGMENTS and len(data) > 1:
+            split_at = self.rng.randrange(1, len(data))
+            writer.write(data[:split_at])
+            await asyncio.sleep(0.01 * self.rng.random())
+            data = data[split_at:]
         writer.write(data)
         await writer.drain()
 
@@ -94,7 +94,7 @@
     servers = [await asyncio.start_server(route.handle, HOST, 0) for route in routes]
     addresses = ["{}:{}".format(*server.sockets[0].getsockname()) for server in servers]
     print(json.dumps(addresses), flush=True)
-    commands = await control_lines()
+    commands = await open_command_stream()
     while line := await commands.readline():
         command = json.loads(line)
         routes[command["route"]].set_mode(ProxyMode(command["mode"]))
--- a/tests/soak/gateways.py
+++ b/tests/soak/gateways.py
@@ -18,38 +18,40 @@
 from tests.soak.plan import HOST
 
 ROOT = pathlib.Path(__file__).parent.parent.parent
-RUN = os.environ.get("GATEWAY_RUN") or f"exec {shlex.quote(sys.executable)} -m quota_gateway"
+GATEWAY_COMMAND = os.environ.get("GATEWAY_RUN") or f"exec {shlex.quote(sys.executable)} -m quota_gateway"
 READY_TIMEOUT = 10.0  # seconds from a start until the gateway should be ready
-SHUTDOWN_TIME = 3.2  # seconds from SIGTERM to SIGKILL: the longest deadline, 2.5 s, and 0.7
+SHUTDOWN_TIMEOUT = 3.2  # seconds from SIGTERM to SIGKILL: the longest deadline, 2.5 s, and 0.7
 POLL_INTERVAL = 0.02  # seconds
 
 
 class GatewayChild:
     """One process of a gateway."""
 
-    def __init__(self, name: str, child: asyncio.subprocess.Process, admin_port: int, log: EventLog) -> None:
+    def __init__(
+        self, name: str, os_process: asyncio.subprocess.Process, admin_port: int, log: EventLog
+    ) -> None:
         self.name = name
-        self.child = child
+        self.os_process = os_process
         self.admin_port = admin_port
         self.log = log
 
     @property
     def is_running(self) -> bool:
         """Whether the process has not ended."""
-        return self.child.returncode is None
+        return self.os_process.returncode is None
 
     def signal(self, number: signal.Signals) -> None:
         """Send a signal, if the process runs."""
         if self.is_running:
             self.log.write("signal_sent", process=self.name, signal_name=number.name)
-            self.child.send_signal(number)
+            self.os_process.send_signal(number)
 
-    async def end(self) -> None:
+    async def terminate(self) -> None:
         """Send SIGTERM, wait as long as the platform does, and kill what is left."""
         self.signal(signal.SIGTERM)
         try:
-            async with asyncio.timeout(SHUTDOWN_TIME):
-                code = await self.child.wait()
+            async with asyncio.timeout(SHUTDOWN_TIMEOUT):
+                code = await self.os_process.wait()
         except TimeoutError:
             self.log.write("shutdown_timeout", process=self.name)
             await self.kill()
@@ -59,9 +61,9 @@
     async def kill(self) -> None:
         """Kill the process."""
         self.signal(signal.SIGKILL)
-        await self.child.wait()
+        await self.os_process.wait()
 
-    async def call(self, method: str, path: str) -> int:
+    async def call_admin_api(self, method: str, path: str) -> int:
         """Call the admin API; 0 if it does not answer."""
         try:
             async with asyncio.timeout(1.0):
@@ -85,23 +87,23 @@
         self.folder = folder
         self.document = document
         self.log = log
-        self.shared = folder / f"shared-{index}"
-        self.shared.mkdir()
+        self.shared_folder = folder / f"shared-{index}"
+        self.shared_folder.mkdir()
         self.config_path = folder / f"config-{index}.json"
-        self.faults = FaultInjector(folder / f"faults-{index}", seed=index)
-        self.is_hot = index % 2 == 0
+        self.fault_injector = FaultInjector(folder / f"faults-{index}", seed=index)
+        self.inherits_socket = index % 2 == 0
         self.listener = socket.socket()
         self.listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self.listener.bind((HOST, 0))
         self.port: int = self.listener.getsockname()[1]
-        if self.is_hot:
+        if self.inherits_socket:
             self.listener.listen(256)
         else:
             self.listener.close()
         self.children: list[GatewayChild] = []
-        self.started_count = 0
-        self.lifecycle = asyncio.Lock()
-        self.maintenance: set[str] = set()
+        self.start_count = 0
+        self.lifecycle_lock = asyncio.Lock()
+        self.backends_in_maintenance: set[str] = set()
         self.write_config()
 
     def write_config(self) -> None:
@@ -123,26 +125,26 @@
 
     async def start(self) -> GatewayChild:
         """Start a process and wait until it serves."""
-        self.started_count += 1
-        name = f"gateway-{self.index}-{self.started_count}"
-        with socket.socket() as unused:
-            unused.bind((HOST, 0))
-            admin_port = unused.getsockname()[1]
+        self.start_count += 1
+        name = f"gateway-{self.index}-{self.start_count}"
+        with socket.socket() as port_probe:
+            port_probe.bind((HOST, 0))
+            admin_port = port_probe.getsockname()[1]
         variables = {
             **os.environ,
-            **self.faults.environment,
+            **self.fault_injector.environment,
             "RELAY_CONFIG": str(self.config_path),
             "RELAY_CONSOLE": f"{HOST}:{admin_port}",
             "RELAY_LOG_LEVEL": "debug",
-            "TMPDIR": str(self.shared),
+            "TMPDIR": str(self.shared_folder),
         }
         descriptors: tuple[int, ...] = ()
-        if self.is_hot:
+        if self.inherits_socket:
             descriptors = (self.listener.fileno(),)
             variables["RELAY_SOCKET_FD"] = str(descriptors[0])
         with (self.folder / f"{name}.err").open("wb") as errors:
             process = await asyncio.create_subprocess_exec(
-                "/bin/sh", "-c", RUN, cwd=ROOT, env=variables, pass_fds=descriptors, stderr=errors
+                "/bin/sh", "-c", GATEWAY_COMMAND, cwd=ROOT, env=variables, pass_fds=descriptors, stderr=errors
             )
         child = GatewayChild(name, process, admin_port, self.log)
         self.children.append(child)
@@ -154,49 +156,49 @@
         """Wait until a process serves; one that does not in time is logged."""
         try:
             async with asyncio.timeout(READY_TIMEOUT):
-                while await child.call("GET", "/healthcheck") != 200:
+                while await child.call_admin_api("GET", "/healthcheck") != 200:
                     if not child.is_running:
-                        self.log.write("start_failed", process=child.name, code=child.child.returncode)
+                        self.log.write("start_failed", process=child.name, code=child.os_process.returncode)
                         return
                     await asyncio.sleep(POLL_INTERVAL)
         except TimeoutError:
             self.log.write("ready_timeout", process=child.name)
 
-    def forget_maintenance(self) -> None:
+    def clear_maintenance(self) -> None:
         """Note that a cold start knows of no maintenance."""
-        for backend in self.maintenance:
+        for backend in self.backends_in_maintenance:
             self.log.write("maintenance_ended", gateway=self.index, backend=backend)
-        self.maintenance.clear()
+        self.backends_in_maintenance.clear()
 
     async def kill(self) -> None:
         """Kill all processes and start anew."""
         for child in self.running:
             await child.kill()
-        self.forget_maintenance()
+        self.clear_maintenance()
         await self.start()
 
     async def restart(self) -> None:
         """End all processes with SIGTERM and start anew; with an inherited socket, without a gap."""
-        if self.is_hot and self.running:
+        if self.inherits_socket and self.running:
             await self.hot_restart()
             return
-        await asyncio.gather(*(child.end() for child in self.running))
-        self.forget_maintenance()
+        await asyncio.gather(*(child.terminate() for child in self.running))
+        self.clear_maintenance()
         await self.start()
 
     async def hot_restart(self) -> None:
         """Start a newer process, and end the older one once the newer one serves."""
-        if not self.is_hot or not self.running:
+        if not self.inherits_socket or not self.running:
             await self.restart()
             return
-        older = self.running
+        old_processes = self.running
         await self.start()
-        await asyncio.gather(*(child.end() for child in older))
+        await asyncio.gather(*(child.terminate() for child in old_processes))
 
-    async def lose_newer(self, delay: float) -> None:
+    async def kill_new_process(self, delay: float) -> None:
         """Start a newer process and kill it some time after it serves."""
-        if not self.is_hot or not self.running:
+        if not self.inherits_socket or not self.running:
             return
-        newer = await self.start()
+        new_process = await self.start()
         await asyncio.sleep(delay)
-        await newer.kill()
+        await new_process.kill()
--- a/tests/soak/oracle.py
+++ b/tests/soak/oracle.py
@@ -9,15 +9,15 @@
 from tests.soak.event_log import LoggedEvent, read_events, read_gateway_log
 from tests.soak.plan import RunSize
 
-ANSWER_SLACK = 0.5  # seconds after a client's time until which an answer is not lost
-START_SLACK = 0.1  # seconds after its client left in which an attempt may begin
+RESPONSE_SLACK = 0.5  # seconds after a client's time until which an answer is not lost
+ATTEMPT_SLACK = 0.1  # seconds after its client left in which an attempt may begin
 DEADLINE_SLACK = 0.15  # seconds by which an attempt may have more time than its client
 DRAIN_TIME = 2.0  # seconds from the notice that a backend drains to the last attempt
-LONGEST_OUTAGE = 3.0  # seconds that an agent fails, and some
-NOTICE_TIME = 6.0  # seconds from a change until it counts as told, whatever fails
+MAX_AGENT_OUTAGE = 3.0  # seconds that an agent fails, and some
+MAX_PROPAGATION_TIME = 6.0  # seconds from a change until it counts as told, whatever fails
 MAINTENANCE_SLACK = 0.3  # seconds from an operator's command to the last attempt
-START_TIME = 1.5  # seconds after a kill until clients of an inherited socket are accepted again
-ONCE = "extract"  # the class whose requests may run once only
+RESTART_TIME = 1.5  # seconds after a kill until clients of an inherited socket are accepted again
+RUN_ONCE_CLASS = "extract"  # the class whose requests may run once only
 
 
 @dataclass(frozen=True, slots=True)
@@ -27,7 +27,7 @@
     invariant: str
     subject: str
     detail: str
-    story: list[LoggedEvent]
+    events: list[LoggedEvent]
 
 
 @dataclass
@@ -73,70 +73,70 @@
         self.machine_slack = machine_slack
         self.violations: list[Violation] = []
 
-    def report(self, invariant: str, subject: str, detail: str, story: list[LoggedEvent]) -> None:
+    def report(self, invariant: str, subject: str, detail: str, events: list[LoggedEvent]) -> None:
         """Add a violation."""
-        self.violations.append(Violation(invariant, subject, detail, story))
+        self.violations.append(Violation(invariant, subject, detail, events))
 
     def check(self) -> list[Violation]:
         """Return all violations."""
-        for call, story in self.history.by_call.items():
-            sent = next((event for event in story if event.name == "request_sent"), None)
+        for call, events in self.history.by_call.items():
+            sent = next((event for event in events if event.name == "request_sent"), None)
             if sent is None:
-                self.report("no request that no client sent", call, "no client sent it", story)
+                self.report("no request that no client sent", call, "no client sent it", events)
                 continue
-            self.check_answer(call, sent, story)
-            self.check_attempts(call, sent, story)
-            self.check_runs(call, sent, story)
+            self.check_response(call, sent, events)
+            self.check_attempts(call, sent, events)
+            self.check_executions(call, sent, events)
         self.check_drains()
         self.check_maintenance()
         self.check_processes()
         return self.violations
 
-    def check_answer(self, call: str, sent: LoggedEvent, story: list[LoggedEvent]) -> None:
+    def check_response(self, call: str, sent: LoggedEvent, events: list[LoggedEvent]) -> None:
         """Check that a request is answered in time, unless its client leaves or its process is killed."""
-        names = {event.name: event for event in story}
-        answer = names.get("response_received")
-        ends_at = sent.at + sent.fields["budget"] + ANSWER_SLACK + self.machine_slack
-        if answer is not None:
-            if not answer.fields["matches_request"]:
-                self.report("answers belong to their requests", call, "another body", story)
-            if answer.at > ends_at and not self.was_killed(sent, ends_at):
-                self.report("answers come in time", call, f"{answer.at - ends_at:.3f} s late", story)
+        event_by_name = {event.name: event for event in events}
+        response = event_by_name.get("response_received")
+        deadline = sent.at + sent.fields["budget"] + RESPONSE_SLACK + self.machine_slack
+        if response is not None:
+            if not response.fields["matches_request"]:
+                self.report("answers belong to their requests", call, "another body", events)
+            if response.at > deadline and not self.was_killed(sent, deadline):
+                self.report("answers come in time", call, f"{response.at - deadline:.3f} s late", events)
             return
-        if "client_closed" in names or self.was_killed(sent, ends_at):
+        if "client_closed" in event_by_name or self.was_killed(sent, deadline):
             return
-        closed = names.get("connection_closed")
-        if closed is None:
-            if "response_timeout" in names:
-                self.report("every request is answered", call, "no answer", story)
+        connection_closed = event_by_name.get("connection_closed")
+        if connection_closed is None:
+            if "response_timeout" in event_by_name:
+                self.report("every request is answered", call, "no answer", events)
             return
-        was_read = any(event.name == "received" for event in story)
+        was_received = any(event.name == "received" for event in events)
         # An answer that could not be finished ends with its connection, so that the client can tell. Requests
         # that were pipelined behind it can have no answer then (a question in docs/findings/open.md).
-        if self.was_cut_off(closed):
+        if self.was_cut_off(connection_closed):
             return
-        if was_read or (sent.fields["first_on_connection"] and not self.was_stopping(sent)):
-            self.report("every request is answered", call, "closed without an answer", story)
+        if was_received or (sent.fields["first_on_connection"] and not self.was_terminating(sent)):
+            self.report("every request is answered", call, "closed without an answer", events)
 
-    def was_cut_off(self, closed: LoggedEvent) -> bool:
+    def was_cut_off(self, connection_closed: LoggedEvent) -> bool:
         """Return whether a close followed an incomplete answer, to this request or to one before it."""
-        first_call = closed.fields.get("pipelined_after")
-        story = self.history.by_call.get(first_call, []) if first_call else [closed]
+        previous_call = connection_closed.fields.get("pipelined_after")
+        events = self.history.by_call.get(previous_call, []) if previous_call else [connection_closed]
         return any(
             event.name == "connection_closed" and event.fields.get("partial_response", False)
-            for event in story
+            for event in events
         )
 
     def was_killed(self, sent: LoggedEvent, until: float) -> bool:
         """Return whether a process of the request's gateway was killed meanwhile."""
         prefix = f"gateway-{sent.fields['gateway']}-"
         return any(
-            event.fields["process"].startswith(prefix) and sent.at - START_TIME <= event.at <= until
+            event.fields["process"].startswith(prefix) and sent.at - RESTART_TIME <= event.at <= until
             for event in self.history.named("signal_sent")
             if event.fields["signal_name"] == "SIGKILL"
         )
 
-    def was_stopping(self, sent: LoggedEvent) -> bool:
+    def was_terminating(self, sent: LoggedEvent) -> bool:
         """Return whether the gateway binds its own socket and was ending, so that its queue is closed."""
         gateway = sent.fields["gateway"]
         if gateway % 2 == 0:
@@ -148,87 +148,87 @@
             if event.fields["signal_name"] == "SIGTERM"
         )
 
-    def check_attempts(self, call: str, sent: LoggedEvent, story: list[LoggedEvent]) -> None:
+    def check_attempts(self, call: str, sent: LoggedEvent, events: list[LoggedEvent]) -> None:
         """Check that no attempt begins after its client left, or has more time than its client."""
-        left = next((event for event in story if event.name == "client_closed"), None)
-        client_ends_at = sent.at + sent.fields["budget"]
-        starts = [event for event in story if event.name == "started"]
-        for event in starts:
-            if left is not None and event.at > left.at + START_SLACK + self.machine_slack:
-                late = event.at - left.at
-                self.report("no attempt begins after its client left", call, f"{late:.3f} s", story)
-        for event in story:
-            if event.name != "request_executed" or not starts:
+        client_closed = next((event for event in events if event.name == "client_closed"), None)
+        client_deadline = sent.at + sent.fields["budget"]
+        attempt_starts = [event for event in events if event.name == "started"]
+        for event in attempt_starts:
+            if client_closed is not None and event.at > client_closed.at + ATTEMPT_SLACK + self.machine_slack:
+                delay = event.at - client_closed.at
+                self.report("no attempt begins after its client left", call, f"{delay:.3f} s", events)
+        for event in events:
+            if event.name != "request_executed" or not attempt_starts:
                 continue
             # it was written after it was started, so that no more was left than then
-            started_at = max(start.at for start in starts if start.at <= event.at)
-            excess = event.fields["budget"] - (client_ends_at - started_at)
+            started_at = max(start.at for start in attempt_starts if start.at <= event.at)
+            excess = event.fields["budget"] - (client_deadline - started_at)
             if excess > DEADLINE_SLACK + self.machine_slack:
-                self.report("endpoints are told no more than is left", call, f"{excess:.3f} s more", story)
+                self.report("endpoints are told no more than is left", call, f"{excess:.3f} s more", events)
 
-    def check_runs(self, call: str, sent: LoggedEvent, story: list[LoggedEvent]) -> None:
+    def check_executions(self, call: str, sent: LoggedEvent, events: list[LoggedEvent]) -> None:
         """Check that a request runs once if it may not run again."""
-        runs = [event for event in story if event.name == "request_executed"]
-        if sent.fields["request_class"] == ONCE and len(runs) > 1:
-            self.report("a request runs once", call, f"{len(runs)} times", story)
+        executions = [event for event in events if event.name == "request_executed"]
+        if sent.fields["request_class"] == RUN_ONCE_CLASS and len(executions) > 1:
+            self.report("a request runs once", call, f"{len(executions)} times", events)
 
     def check_drains(self) -> None:
         """Check that nothing is sent to a backend that drains, from some time after it was told."""
-        for drained in self.history.named("drain_started"):
-            backend = drained.fields["backend"]
-            back_at = min(
+        for drain in self.history.named("drain_started"):
+            backend = drain.fields["backend"]
+            drain_ended_at = min(
                 (
-                    e.at
-                    for e in self.history.named("drain_ended")
-                    if e.fields["backend"] == backend and e.at > drained.at
+                    event.at
+                    for event in self.history.named("drain_ended")
+                    if event.fields["backend"] == backend and event.at > drain.at
                 ),
                 default=float("inf"),
             )
             for start in self.process_starts():
-                limit = self.drain_limit(drained, start)
+                grace_end = self.drain_grace_end(drain, start)
                 self.check_no_attempts(
                     "nothing is sent to a backend that drains",
                     start.fields["process"],
                     backend,
-                    limit,
-                    back_at,
+                    grace_end,
+                    drain_ended_at,
                 )
 
     def process_starts(self) -> list[LoggedEvent]:
         """Return the starts of all gateway processes."""
         return [event for event in self.history.named("started") if "process" in event.fields]
 
-    def drain_limit(self, drained: LoggedEvent, start: LoggedEvent) -> float:
+    def drain_grace_end(self, drain: LoggedEvent, start: LoggedEvent) -> float:
         """Return from when a process may send no attempt to a backend that drains.
 
         What the agent has counts as told, also to a process that starts later; while the agent fails, it is
         the time until a change counts as told whatever fails.
         """
         gateway = start.fields["gateway"]
-        known_from = max(drained.at, start.at)
-        latest = known_from + LONGEST_OUTAGE + NOTICE_TIME + DRAIN_TIME + self.machine_slack
-        told = [
+        known_from = max(drain.at, start.at)
+        upper_bound = known_from + MAX_AGENT_OUTAGE + MAX_PROPAGATION_TIME + DRAIN_TIME + self.machine_slack
+        report_times = [
             event.at
             for event in self.history.named("endpoint_reported")
             if event.fields["gateway"] == gateway
-            and event.fields["backend"] == drained.fields["backend"]
+            and event.fields["backend"] == drain.fields["backend"]
             and event.at >= known_from
         ]
-        if not told:
-            return latest
-        limit = told[0] + DRAIN_TIME + self.machine_slack
-        had_trouble = any(
-            event.fields["gateway"] == gateway and known_from - LONGEST_OUTAGE <= event.at <= limit
+        if not report_times:
+            return upper_bound
+        grace_end = report_times[0] + DRAIN_TIME + self.machine_slack
+        agent_changed_mode = any(
+            event.fields["gateway"] == gateway and known_from - MAX_AGENT_OUTAGE <= event.at <= grace_end
             for event in self.history.named("agent_mode_changed")
         )
-        return latest if had_trouble else min(limit, latest)
+        return upper_bound if agent_changed_mode else min(grace_end, upper_bound)
 
     def check_no_attempts(
-        self, invariant: str, processes: str, backend: str, start: float, end: float
+        self, invariant: str, process_prefix: str, backend: str, start: float, end: float
     ) -> None:
         """Report the attempts to a backend within a time, of the processes whose names begin so."""
         for event in self.history.named("started"):
-            is_attempt = event.source.startswith(processes) and event.fields.get("endpoint") == backend
+            is_attempt = event.source.startswith(process_prefix) and event.fields.get("endpoint") == backend
             if is_attempt and start < event.at < end:
                 call = event.fields["call"]
                 detail = f"{event.source} to {backend}, {event.at - start:.3f} s late"
@@ -236,18 +236,23 @@
 
     def check_maintenance(self) -> None:
         """Check that a gateway sends nothing to a backend that an operator took out of service there."""
-        ended = self.history.named("maintenance_ended")
-        for began in self.history.named("maintenance_started"):
-            gateway, backend = began.fields["gateway"], began.fields["backend"]
-            ends_at = min(
-                (e.at for e in ended if e.fields == began.fields and e.at > began.at), default=float("inf")
+        maintenance_ends = self.history.named("maintenance_ended")
+        for maintenance in self.history.named("maintenance_started"):
+            gateway, backend = maintenance.fields["gateway"], maintenance.fields["backend"]
+            ended_at = min(
+                (
+                    event.at
+                    for event in maintenance_ends
+                    if event.fields == maintenance.fields and event.at > maintenance.at
+                ),
+                default=float("inf"),
             )
             self.check_no_attempts(
                 "nothing is sent to a backend in maintenance",
                 f"gateway-{gateway}-",
                 backend,
-                began.at + MAINTENANCE_SLACK + self.machine_slack,
-                ends_at,
+                maintenance.at + MAINTENANCE_SLACK + self.machine_slack,
+                ended_at,
             )
 
     def check_processes(self) -> None:
@@ -257,7 +262,7 @@
                 self.report("processes start and end in time", str(event.fields), event.name, [event])
             if event.name == "ended" and event.fields.get("process") and event.fields["code"] != 0:
                 self.report("processes end well", event.fields["process"], str(event.fields), [event])
-            if event.name == "bad_request_not_closed" and not self.was_held_up(event):
+            if event.name == "bad_request_not_closed" and not self.was_signalled(event):
                 self.report("bad requests end in 3 s", str(event.fields), event.name, [event])
             if event.name == "bad_request_served":
                 self.report("bad requests are not served", str(event.fields), event.name, [event])
@@ -272,7 +277,7 @@
                     self.report("no error is logged", process, text[-3000:], [])
                     break
 
-    def was_held_up(self, event: LoggedEvent) -> bool:
+    def was_signalled(self, event: LoggedEvent) -> bool:
         """Return whether the gateway was stopped, or not there, in the seconds before."""
         prefix = f"gateway-{event.fields['gateway']}-"
         return any(
--- a/tests/soak/plan.py
+++ b/tests/soak/plan.py
@@ -57,10 +57,10 @@
     PROXY_RESETS = "proxy_resets"
     PROXY_STALLS = "proxy_stalls"
     PROXY_FRAGMENTS = "proxy_fragments"
-    DISCOVERY_HANGS = "discovery_hangs"
+    DISCOVERY_UNRESPONSIVE = "discovery_unresponsive"
     DISCOVERY_DOWN = "discovery_down"
     DISCOVERY_OVERLOADED = "discovery_overloaded"
-    COUNTER_HANGS = "counter_hangs"
+    COUNTER_UNRESPONSIVE = "counter_unresponsive"
     COUNTER_BUSY = "counter_busy"
     SYSTEM_CALLS_FAIL = "system_calls_fail"  # accept, socket and connect of a gateway
     SHORT_IO = "short_io"  # short reads and writes, and interrupted waits, of a gateway
--- a/tests/soak/services.py
+++ b/tests/soak/services.py
@@ -17,8 +17,8 @@
     """How a service behaves."""
 
     SERVES = "serves"
-    SILENT = "silent"  # it takes calls and answers none
-    REFUSES = "refuses"  # it has no capacity
+    UNRESPONSIVE = "unresponsive"  # it takes calls and answers none
+    OVERLOADED = "overloaded"  # it has no capacity
     DOWN = "down"  # it refuses connections and resets those that are open
 
 
@@ -71,30 +71,30 @@
             request = await read_message(reader)
             since = re.search(r"since=(\d+)", request.start_line)
             timeout = re.search(r"timeout_ms=(\d+)", request.start_line)
-            known = int(since[1]) if since is not None else 0
+            known_generation = int(since[1]) if since is not None else 0
             if since is not None and timeout is not None:
-                await self.wait_for_change(known, int(timeout[1]) / 1000)
-            if self.mode is ServiceMode.SILENT:
+                await self.wait_for_change(known_generation, int(timeout[1]) / 1000)
+            if self.mode is ServiceMode.UNRESPONSIVE:
                 await asyncio.sleep(30.0)
                 return
-            if self.mode is ServiceMode.REFUSES:
+            if self.mode is ServiceMode.OVERLOADED:
                 writer.write(http_response(503, b"", "Retry-After: 1"))
                 continue
-            writer.write(http_response(200, self.answer(known)))
+            writer.write(http_response(200, self.changes_since(known_generation)))
 
-    async def wait_for_change(self, known: int, seconds: float) -> None:
+    async def wait_for_change(self, known_generation: int, seconds: float) -> None:
         """Wait until there is something newer than a version, for some time."""
         endpoints = self.endpoints
         try:
             async with asyncio.timeout(seconds), endpoints.changed:
-                await endpoints.changed.wait_for(lambda: endpoints.generation > known)
+                await endpoints.changed.wait_for(lambda: endpoints.generation > known_generation)
         except TimeoutError:
             pass
 
-    def answer(self, known: int) -> bytes:
+    def changes_since(self, known_generation: int) -> bytes:
         """Return the changes since a version, or with 0 the whole list, and log that they are told."""
         endpoints = self.endpoints
-        entries = endpoints.since(known) if known else list(endpoints.entries.values())
+        entries = endpoints.since(known_generation) if known_generation else list(endpoints.entries.values())
         for entry in entries:
             self.log.write(
                 "endpoint_reported",
@@ -102,7 +102,7 @@
                 backend=entry["instanceId"],
                 lifecycle=entry["lifecycle"],
             )
-        document = {"generation": endpoints.generation, "reset": not known, "instances": entries}
+        document = {"generation": endpoints.generation, "reset": not known_generation, "instances": entries}
         return json.dumps(document).encode()
 
 
@@ -117,9 +117,9 @@
         """Answer the calls of one connection."""
         while True:
             increment = await self.read_increment(reader)
-            if self.mode is ServiceMode.SILENT:
+            if self.mode is ServiceMode.UNRESPONSIVE:
                 continue
-            if self.mode is ServiceMode.REFUSES:
+            if self.mode is ServiceMode.OVERLOADED:
                 writer.write(b"-BUSY\r\n")
                 continue
             total = self.totals.get(increment.key, 0.0) + increment.amount
