--- a/tests/soak/__init__.py
+++ b/tests/soak/__init__.py
@@ -1,5 +1,5 @@
-"""A randomized soak of real gateway processes: faults overlap in time, and invariants are the oracle.
+"""Randomized soak test that runs real gateway processes under overlapping faults.
 
-`python -m tests.soak --seeds 1..20` plays one run a seed. Every process writes its events with the time of
-the monotonic clock; after a run the oracle reads all of them.
+`python -m tests.soak --seeds 1..20` performs one run per seed. Every process logs its events with the time of
+the monotonic clock. After a run, the oracle reads all logs and checks invariants over them.
 """
--- a/tests/soak/control.py
+++ b/tests/soak/control.py
@@ -1,4 +1,4 @@
-"""The control of a run: starts all processes, and carries out the planned troubles."""
+"""The controller of a run: starts all processes and injects the planned faults."""
 
 from __future__ import annotations
 
@@ -29,10 +29,10 @@
 )
 from tests.soak.services import Agent, EndpointList, ServiceMode, SoakCounter
 
-PAUSE_TIMES = (0.05, 0.15, 0.15, 0.3)  # seconds
-MAX_FAILURE_RATE = 0.12  # of system calls, at most
-PARTIAL_FILE_TIME = 0.3  # seconds in which a configuration file is half written
-SETTLE_TIME = 4.0  # seconds after the clients' end until all answers are in
+PAUSE_TIMES = (0.05, 0.15, 0.15, 0.3)  # seconds for which a gateway process is stopped
+MAX_FAILURE_RATE = 0.12  # the largest fraction of system calls that fail
+PARTIAL_FILE_TIME = 0.3  # seconds for which a configuration file is incomplete or unreadable
+SETTLE_TIME = 4.0  # seconds after the clients' last requests until all responses have arrived
 BACKEND_MODES = {
     Fault.BACKEND_HANGS: BackendMode.HANGS,
     Fault.BACKEND_FAILS: BackendMode.FAILS,
@@ -57,7 +57,7 @@
 
 
 def gateway_settings(size: RunSize, index: int) -> dict[str, Any]:
-    """Return the settings of one gateway: the example's, with short deadlines and more quota."""
+    """Return the settings of one gateway: those of the example, with short deadlines and more quota."""
     settings = example_settings()
     settings.update(balancers=size.gateways, me=index)
     for service in settings["services"]:
@@ -67,24 +67,24 @@
 
 
 class Worker:
-    """A process of a run that plays one role, and its standard input."""
+    """A worker process with one role, which takes commands on its standard input."""
 
     def __init__(self, process: asyncio.subprocess.Process) -> None:
         self.process = process
 
     async def read_addresses(self) -> list[str]:
-        """Return the addresses that the process listens at."""
+        """Read and return the addresses on which the process listens."""
         assert self.process.stdout is not None
         addresses: list[str] = json.loads(await self.process.stdout.readline())
         return addresses
 
     def command(self, **fields: Any) -> None:
-        """Send a command."""
+        """Send a command to the process as a JSON line."""
         assert self.process.stdin is not None
         self.process.stdin.write(json.dumps(fields).encode() + b"\n")
 
     async def stop(self) -> None:
-        """End the process."""
+        """Kill the process, even if it is stopped, and wait for it."""
         if self.process.returncode is None:
             self.process.send_signal(signal.SIGCONT)
             self.process.kill()
@@ -92,7 +92,7 @@
 
 
 class RunController:
-    """One run."""
+    """Controls one run: its processes, its fake services and its faults."""
 
     def __init__(self, seed: int, size: RunSize, folder: pathlib.Path) -> None:
         self.seed = seed
@@ -101,16 +101,16 @@
         self.log = EventLog(folder / "control.jsonl")
         self.endpoints = EndpointList()
         self.counter = SoakCounter()
-        self.agents: list[list[Agent]] = []  # two for each gateway, which reloads change between
+        self.agents: list[list[Agent]] = []  # two per gateway, between which reloads switch
         self.gateways: list[Gateway] = []
         self.workers: list[Worker] = []
         self.backend_workers: list[Worker] = []
         self.proxy: Worker
-        self.addresses: list[str] = []  # of the backends, by the proxy
+        self.addresses: list[str] = []  # of the proxy, one for each backend
         self.draining: set[int] = set()
 
     async def start_worker(self, role: str, name: str, arguments: dict[str, Any]) -> Worker:
-        """Start a process that plays a role."""
+        """Start a worker process with a role."""
         path = self.folder / f"{name}.arguments"
         path.write_text(json.dumps({**arguments, "seed": self.seed}))
         process = await asyncio.create_subprocess_exec(
@@ -129,7 +129,7 @@
         return worker
 
     async def run(self) -> None:
-        """Play the run, and stop everything whatever happens."""
+        """Perform the run and stop all processes, also after an error."""
         try:
             await self.start_backends()
             await self.start_gateways()
@@ -138,7 +138,7 @@
             await self.stop()
 
     async def start_backends(self) -> None:
-        """Start the backends, the proxy before them, and list them."""
+        """Start the backends and the proxy in front of them, and add them to discovery."""
         targets: list[str] = []
         for number in range(self.size.backend_processes):
             first = number * self.size.backends_each
@@ -154,7 +154,7 @@
             self.endpoints.versions[entry["instanceId"]] = 1
 
     def endpoint_entry(self, number: int, lifecycle: str, started_at: float = 0.0) -> dict[str, Any]:
-        """Return a backend as discovery lists it."""
+        """Return the discovery entry of a backend; `started_at` is in seconds of the wall clock."""
         return {
             "instanceId": f"b{number}",
             "hostPort": self.addresses[number],
@@ -187,7 +187,7 @@
         await asyncio.gather(*(gateway.start() for gateway in self.gateways))
 
     async def run_workload(self) -> None:
-        """Let the clients play, and carry out the troubles at their times."""
+        """Start the clients, and inject the faults at their times until the run is over."""
         gateways = [[HOST, gateway.port] for gateway in self.gateways]
         for number in range(self.size.client_processes):
             first = number * self.size.clients_each
@@ -205,7 +205,7 @@
         await asyncio.sleep(SETTLE_TIME)
 
     async def stop(self) -> None:
-        """End all gateways as on a planned restart, and kill the rest."""
+        """Terminate all gateways as in a planned restart, then stop the workers and the fake services."""
         for gateway in self.gateways:
             await asyncio.gather(*(child.terminate() for child in gateway.running))
         self.log.write("run_ended")
@@ -215,7 +215,7 @@
             await server.stop()
 
     async def inject(self, fault: PlannedFault) -> None:
-        """Begin a trouble, and end it after its time."""
+        """Inject a fault, and end it after its duration."""
         self.log.write("fault_started", kind=fault.kind, duration=fault.duration, target=fault.target)
         kind = fault.kind
         if kind in BACKEND_MODES:
@@ -232,7 +232,7 @@
             await self.fault_handlers()[kind](fault, self.gateways[fault.target % len(self.gateways)])
 
     def fault_handlers(self) -> dict[Fault, Callable[[PlannedFault, Gateway], Awaitable[None]]]:
-        """Return what carries out each of the other kinds."""
+        """Return the handlers of the faults that are no mode of a backend, the proxy or a service."""
         return {
             Fault.PAUSE: self.pause_process,
             Fault.KILL: lambda fault, gateway: self.restart_gateway(gateway, gateway.kill),
@@ -254,12 +254,12 @@
         }
 
     async def restart_gateway(self, gateway: Gateway, action: Callable[[], Awaitable[None]]) -> None:
-        """Do something with the processes of a gateway, one thing at a time."""
+        """Run a restart action of a gateway while no other action changes its processes."""
         async with gateway.lifecycle_lock:
             await action()
 
     async def pause_process(self, fault: PlannedFault, gateway: Gateway) -> None:
-        """Stop the newest process for a moment."""
+        """Stop the newest process of a gateway for a short time."""
         child = gateway.newest
         if child is None:
             return
@@ -269,7 +269,7 @@
         child.signal(signal.SIGCONT)
 
     async def reload(self, fault: PlannedFault, gateway: Gateway) -> None:
-        """Move discovery to the gateway's other agent."""
+        """Reload a gateway with the address of its other discovery agent."""
         self.switch_agent(gateway)
         gateway.write_config()
         self.signal_reload(gateway)
@@ -279,13 +279,13 @@
         gateway.document["discovery"] = addresses[gateway.document["discovery"] == addresses[0]]
 
     def signal_reload(self, gateway: Gateway) -> None:
-        """Send SIGHUP to the processes that are ready."""
+        """Send SIGHUP to all processes of a gateway, unless one of them is starting or ending."""
         for child in gateway.running:
             if child in gateway.children and not gateway.lifecycle_lock.locked():
                 child.signal(signal.SIGHUP)
 
     async def fail_reload(self, fault: PlannedFault, gateway: Gateway) -> None:
-        """Move discovery with a file that can't be read, or is half written, at first."""
+        """Reload a gateway with a file that is at first incomplete or cannot be opened."""
         async with gateway.lifecycle_lock:
             self.switch_agent(gateway)
             if fault.random_value < 0.5:
@@ -299,7 +299,7 @@
             gateway.write_config()
 
     async def run_maintenance(self, fault: PlannedFault, gateway: Gateway) -> None:
-        """Take a backend out of service for some time."""
+        """Take a backend out of service at one gateway for twice the duration of the fault."""
         backend = f"b{fault.target % self.size.backends}"
         async with gateway.lifecycle_lock:
             child = gateway.newest
@@ -320,7 +320,7 @@
             await child.call_admin_api("POST", f"/backends/{backend}/ready")
 
     async def change_backend_mode(self, fault: PlannedFault, mode: BackendMode) -> None:
-        """Have a backend behave differently for some time."""
+        """Change the mode of a backend for the duration of the fault."""
         number = fault.target % self.size.backends
         worker = self.backend_workers[number // self.size.backends_each]
         index = number % self.size.backends_each
@@ -329,14 +329,14 @@
         worker.command(backend=index, mode=BackendMode.SERVES)
 
     async def change_proxy_mode(self, fault: PlannedFault, mode: ProxyMode) -> None:
-        """Have the connections to a backend fare differently for some time."""
+        """Change how the proxy treats the connections to a backend for the duration of the fault."""
         number = fault.target % self.size.backends
         self.proxy.command(route=number, mode=mode)
         await asyncio.sleep(fault.duration)
         self.proxy.command(route=number, mode=ProxyMode.FORWARDS)
 
     async def change_agent_mode(self, fault: PlannedFault, mode: ServiceMode) -> None:
-        """Have the agents of one gateway behave differently for some time."""
+        """Change the mode of both agents of a gateway for the duration of the fault."""
         agents = self.agents[fault.target % self.size.gateways]
         for agent in agents:
             agent.set_mode(mode)
@@ -345,7 +345,7 @@
             agent.set_mode(ServiceMode.SERVES)
 
     async def pause_backends(self, fault: PlannedFault, gateway: Gateway) -> None:
-        """Stop a process with some backends for a while."""
+        """Stop a process that runs several backends for up to one second."""
         process = self.backend_workers[fault.target % len(self.backend_workers)].process
         process.send_signal(signal.SIGSTOP)
         await asyncio.sleep(min(fault.duration, 1.0))
@@ -353,7 +353,7 @@
             process.send_signal(signal.SIGCONT)
 
     async def drain_backend(self, fault: PlannedFault, gateway: Gateway) -> None:
-        """Drain a backend, and start it anew some time later."""
+        """Drain a backend and bring it back as restarted; at most a third of the backends drain at once."""
         number = fault.target % self.size.backends
         if number in self.draining or len(self.draining) >= self.size.backends // 3:
             return
@@ -366,7 +366,7 @@
         self.draining.discard(number)
 
     async def restart_backend(self, fault: PlannedFault, gateway: Gateway) -> None:
-        """Reset all connections of a backend, which comes back cold."""
+        """Reset all connections of a backend and list it as just started."""
         number = fault.target % self.size.backends
         if number in self.draining:
             return
@@ -375,7 +375,7 @@
         await self.endpoints.publish(self.endpoint_entry(number, "SERVING", time.time()))
 
     async def fail_system_calls(self, fault: PlannedFault, gateway: Gateway) -> None:
-        """Have system calls of a gateway fail for a moment each."""
+        """Make a fraction of the accept, socket and connect calls of a gateway fail."""
         error = RESOURCE_ERRORS[int(fault.random_value * len(RESOURCE_ERRORS))]
         rate = MAX_FAILURE_RATE * fault.random_value
         gateway.fault_injector.fail_accepts(rate, error)
@@ -387,7 +387,7 @@
         gateway.fault_injector.fail_connects(0.0, 0)
 
     async def shorten_io(self, fault: PlannedFault, gateway: Gateway) -> None:
-        """Have reads and writes of a gateway be short, and its waits interrupted."""
+        """Make reads and writes of a gateway short, and interrupt its epoll waits."""
         gateway.fault_injector.page.short_io_rate = 0.2
         gateway.fault_injector.page.interrupt_rate = 0.05
         await asyncio.sleep(fault.duration)
@@ -395,13 +395,13 @@
         gateway.fault_injector.page.interrupt_rate = 0.0
 
     async def step_clock(self, fault: PlannedFault, gateway: Gateway) -> None:
-        """Step the wall clock of a gateway, and step it back."""
+        """Step the wall clock of a gateway, and step it back after twice the duration of the fault."""
         gateway.fault_injector.step_wall_clock(CLOCK_STEPS[int(fault.random_value * len(CLOCK_STEPS))])
         await asyncio.sleep(2 * fault.duration)
         gateway.fault_injector.step_wall_clock(0.0)
 
     async def fail_shared_folder(self, fault: PlannedFault, gateway: Gateway) -> None:
-        """Have the shared folder of a gateway fail for a while."""
+        """Make every use of a gateway's shared folder fail for the duration of the fault."""
         gateway.fault_injector.fail_folder(FOLDER_ERRORS[fault.target % len(FOLDER_ERRORS)])
         await asyncio.sleep(fault.duration)
         gateway.fault_injector.fail_folder(0)
--- a/tests/soak/event_log.py
+++ b/tests/soak/event_log.py
@@ -1,4 +1,7 @@
-"""Events of the processes of a run, as lines of JSON with the time of the monotonic clock."""
+"""Event logs of the processes of a run: JSON lines, timestamped with the monotonic clock.
+
+The monotonic clock is shared by all processes of the machine, so that their events can be ordered.
+"""
 
 from __future__ import annotations
 
@@ -10,7 +13,7 @@
 
 
 class LoggedEvent(NamedTuple):
-    """One event: when it was, what it was, its further fields, and the file that it stands in."""
+    """An event: its time in seconds, its name, its other fields, and the log file it was read from."""
 
     at: float
     name: str
@@ -19,19 +22,19 @@
 
 
 class EventLog:
-    """The events of one process."""
+    """The event log of one process."""
 
     def __init__(self, path: pathlib.Path) -> None:
-        """Create the file, which is written line by line: its process may be killed."""
+        """Create the file; it is line buffered, because the process may be killed at any time."""
         self._file: TextIO = path.open("w", buffering=1)
 
     def write(self, name: str, **fields: Any) -> None:
-        """Add an event that happens now."""
+        """Append an event with the current time."""
         self._file.write(json.dumps({"at": time.monotonic(), "event": name, **fields}) + "\n")
 
 
 def read_events(path: pathlib.Path) -> Iterator[LoggedEvent]:
-    """Yield the events in a file; a last line that was not written to its end is left out."""
+    """Yield the events in a log file, skipping an incomplete last line."""
     for line in path.read_text().splitlines():
         try:
             fields = json.loads(line)
@@ -41,7 +44,7 @@
 
 
 def read_gateway_log(path: pathlib.Path) -> Iterator[LoggedEvent]:
-    """Yield the request events in a gateway's standard error, which has other lines too."""
+    """Yield the events of the request log in a gateway's standard error, skipping other lines."""
     for line in path.read_text(errors="replace").splitlines():
         prefix, _, text = line.partition("at=")
         if prefix != "quota_gateway.requests: ":
--- a/tests/soak/oracle.py
+++ b/tests/soak/oracle.py
@@ -1,4 +1,4 @@
-"""The oracle of a run: reads the events of all processes and finds broken invariants."""
+"""The oracle of a run: reads the event logs of all processes and reports violated invariants."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 from tests.soak.event_log import LoggedEvent, read_events, read_gateway_log
 from tests.soak.plan import RunSize
 
-RESPONSE_SLACK = 0.5  # seconds after a client's time until which an answer is not lost
-ATTEMPT_SLACK = 0.1  # seconds after its client left in which an attempt may begin
-DEADLINE_SLACK = 0.15  # seconds by which an attempt may have more time than its client
-DRAIN_TIME = 2.0  # seconds from the notice that a backend drains to the last attempt
-MAX_AGENT_OUTAGE = 3.0  # seconds that an agent fails, and some
-MAX_PROPAGATION_TIME = 6.0  # seconds from a change until it counts as told, whatever fails
-MAINTENANCE_SLACK = 0.3  # seconds from an operator's command to the last attempt
-RESTART_TIME = 1.5  # seconds after a kill until clients of an inherited socket are accepted again
-RUN_ONCE_CLASS = "extract"  # the class whose requests may run once only
+RESPONSE_SLACK = 0.5  # seconds after the client's deadline in which a response still counts as in time
+ATTEMPT_SLACK = 0.1  # seconds after a client closed its connection in which an attempt may start
+DEADLINE_SLACK = 0.15  # seconds by which an attempt's budget may exceed the time left to its client
+DRAIN_TIME = 2.0  # seconds from the report that a backend drains to the last attempt sent to it
+MAX_AGENT_OUTAGE = 3.0  # seconds: the longest failure of an agent and a margin
+MAX_PROPAGATION_TIME = 6.0  # seconds until a gateway must know a change in discovery, whatever fails
+MAINTENANCE_SLACK = 0.3  # seconds from an operator's command to the last attempt sent to the backend
+RESTART_TIME = 1.5  # seconds after a kill until the clients of an inherited socket are accepted again
+RUN_ONCE_CLASS = "extract"  # the request class whose requests must not be executed twice
 
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """A broken invariant, and the story of what it struck."""
+    """A violated invariant with the events of the request or process concerned."""
 
     invariant: str
     subject: str
@@ -32,19 +32,21 @@
 
 @dataclass
 class History:
-    """The events of a run in their order."""
+    """The events of a run, ordered by time."""
 
     events: list[LoggedEvent]
     by_call: dict[str, list[LoggedEvent]] = field(default_factory=lambda: defaultdict(list))
-    errors: dict[str, str] = field(default_factory=dict)  # what gateways wrote besides, by process
+    errors: dict[str, str] = field(
+        default_factory=dict
+    )  # by process: its standard error without the request log
 
     def named(self, name: str) -> list[LoggedEvent]:
-        """Return the events with a name."""
+        """Return the events with this name."""
         return [event for event in self.events if event.name == name]
 
 
 def read_history(folder: pathlib.Path) -> History:
-    """Read the events of all processes."""
+    """Read the event logs of all processes and the standard error of all gateways."""
     events: list[LoggedEvent] = []
     errors: dict[str, str] = {}
     for path in folder.glob("*.jsonl"):
@@ -64,21 +66,21 @@
 
 
 class Oracle:
-    """Checks the history of one run."""
+    """Checks the invariants over the history of one run."""
 
     def __init__(self, history: History, size: RunSize, machine_slack: float) -> None:
-        """Take a history; `machine_slack` is how long a busy machine may hold up any process, in seconds."""
+        """Initialize the oracle; `machine_slack` is how many seconds a busy machine may delay any process."""
         self.history = history
         self.size = size
         self.machine_slack = machine_slack
         self.violations: list[Violation] = []
 
     def report(self, invariant: str, subject: str, detail: str, events: list[LoggedEvent]) -> None:
-        """Add a violation."""
+        """Record a violation."""
         self.violations.append(Violation(invariant, subject, detail, events))
 
     def check(self) -> list[Violation]:
-        """Return all violations."""
+        """Check all invariants and return the violations."""
         for call, events in self.history.by_call.items():
             sent = next((event for event in events if event.name == "request_sent"), None)
             if sent is None:
@@ -93,7 +95,7 @@
         return self.violations
 
     def check_response(self, call: str, sent: LoggedEvent, events: list[LoggedEvent]) -> None:
-        """Check that a request is answered in time, unless its client leaves or its process is killed."""
+        """Check that a request is answered in time, unless its client closes or the gateway is killed."""
         event_by_name = {event.name: event for event in events}
         response = event_by_name.get("response_received")
         deadline = sent.at + sent.fields["budget"] + RESPONSE_SLACK + self.machine_slack
@@ -111,15 +113,15 @@
                 self.report("every request is answered", call, "no answer", events)
             return
         was_received = any(event.name == "received" for event in events)
-        # An answer that could not be finished ends with its connection, so that the client can tell. Requests
-        # that were pipelined behind it can have no answer then (a question in docs/findings/open.md).
+        # A gateway that cannot complete a response closes the connection, so that the client notices.
+        # Requests pipelined after it cannot be answered then (an open question, see docs/findings/open.md).
         if self.was_cut_off(connection_closed):
             return
         if was_received or (sent.fields["first_on_connection"] and not self.was_terminating(sent)):
             self.report("every request is answered", call, "closed without an answer", events)
 
     def was_cut_off(self, connection_closed: LoggedEvent) -> bool:
-        """Return whether a close followed an incomplete answer, to this request or to one before it."""
+        """Return whether the connection closed after an incomplete response to this or an earlier request."""
         previous_call = connection_closed.fields.get("pipelined_after")
         events = self.history.by_call.get(previous_call, []) if previous_call else [connection_closed]
         return any(
@@ -128,7 +130,10 @@
         )
 
     def was_killed(self, sent: LoggedEvent, until: float) -> bool:
-        """Return whether a process of the request's gateway was killed meanwhile."""
+        """Return whether a process of the request's gateway was killed between its sending and `until`.
+
+        A kill up to RESTART_TIME before the request counts too, as no process may accept it yet.
+        """
         prefix = f"gateway-{sent.fields['gateway']}-"
         return any(
             event.fields["process"].startswith(prefix) and sent.at - RESTART_TIME <= event.at <= until
@@ -137,7 +142,10 @@
         )
 
     def was_terminating(self, sent: LoggedEvent) -> bool:
-        """Return whether the gateway binds its own socket and was ending, so that its queue is closed."""
+        """Return whether the gateway was terminating and closed the accept queue of a socket of its own.
+
+        Gateways with an even index inherit their listening socket, whose queue outlives the process.
+        """
         gateway = sent.fields["gateway"]
         if gateway % 2 == 0:
             return False
@@ -149,7 +157,7 @@
         )
 
     def check_attempts(self, call: str, sent: LoggedEvent, events: list[LoggedEvent]) -> None:
-        """Check that no attempt begins after its client left, or has more time than its client."""
+        """Check that no attempt starts after its client closed, or has a larger budget than its client."""
         client_closed = next((event for event in events if event.name == "client_closed"), None)
         client_deadline = sent.at + sent.fields["budget"]
         attempt_starts = [event for event in events if event.name == "started"]
@@ -160,20 +168,20 @@
         for event in events:
             if event.name != "request_executed" or not attempt_starts:
                 continue
-            # it was written after it was started, so that no more was left than then
+            # The attempt was sent after it was logged as started, when the client had the most time left.
             started_at = max(start.at for start in attempt_starts if start.at <= event.at)
             excess = event.fields["budget"] - (client_deadline - started_at)
             if excess > DEADLINE_SLACK + self.machine_slack:
                 self.report("endpoints are told no more than is left", call, f"{excess:.3f} s more", events)
 
     def check_executions(self, call: str, sent: LoggedEvent, events: list[LoggedEvent]) -> None:
-        """Check that a request runs once if it may not run again."""
+        """Check that a request that must not be repeated is executed at most once."""
         executions = [event for event in events if event.name == "request_executed"]
         if sent.fields["request_class"] == RUN_ONCE_CLASS and len(executions) > 1:
             self.report("a request runs once", call, f"{len(executions)} times", events)
 
     def check_drains(self) -> None:
-        """Check that nothing is sent to a backend that drains, from some time after it was told."""
+        """Check that no attempt is sent to a draining backend after the grace time."""
         for drain in self.history.named("drain_started"):
             backend = drain.fields["backend"]
             drain_ended_at = min(
@@ -195,14 +203,18 @@
                 )
 
     def process_starts(self) -> list[LoggedEvent]:
-        """Return the starts of all gateway processes."""
+        """Return the start events of all gateway processes.
+
+        The request log has events of this name for attempts; those carry no process.
+        """
         return [event for event in self.history.named("started") if "process" in event.fields]
 
     def drain_grace_end(self, drain: LoggedEvent, start: LoggedEvent) -> float:
-        """Return from when a process may send no attempt to a backend that drains.
+        """Return the time from which a process must not send attempts to a draining backend.
 
-        What the agent has counts as told, also to a process that starts later; while the agent fails, it is
-        the time until a change counts as told whatever fails.
+        The grace time starts with the first report by the agent after the drain and after the start of the
+        process. If there was no report, or if the agent changed its mode around that time, the limit is the
+        latest time at which the process must know the change whatever fails.
         """
         gateway = start.fields["gateway"]
         known_from = max(drain.at, start.at)
@@ -226,7 +238,7 @@
     def check_no_attempts(
         self, invariant: str, process_prefix: str, backend: str, start: float, end: float
     ) -> None:
-        """Report the attempts to a backend within a time, of the processes whose names begin so."""
+        """Report attempts to a backend between `start` and `end` by processes with this name prefix."""
         for event in self.history.named("started"):
             is_attempt = event.source.startswith(process_prefix) and event.fields.get("endpoint") == backend
             if is_attempt and start < event.at < end:
@@ -235,7 +247,7 @@
                 self.report(invariant, call, detail, self.history.by_call[call])
 
     def check_maintenance(self) -> None:
-        """Check that a gateway sends nothing to a backend that an operator took out of service there."""
+        """Check that a gateway sends no attempt to a backend that an operator took out of service there."""
         maintenance_ends = self.history.named("maintenance_ended")
         for maintenance in self.history.named("maintenance_started"):
             gateway, backend = maintenance.fields["gateway"], maintenance.fields["backend"]
@@ -256,7 +268,7 @@
             )
 
     def check_processes(self) -> None:
-        """Check that gateways start and end as they are told, and violate no invariant of their own."""
+        """Check that processes start and end in time, and that gateways log no errors of their own."""
         for event in self.history.events:
             if event.name in ("start_failed", "ready_timeout", "shutdown_timeout", "client_failed"):
                 self.report("processes start and end in time", str(event.fields), event.name, [event])
@@ -278,7 +290,7 @@
                     break
 
     def was_signalled(self, event: LoggedEvent) -> bool:
-        """Return whether the gateway was stopped, or not there, in the seconds before."""
+        """Return whether a process of the gateway was paused or ended by a signal in the 5 s before."""
         prefix = f"gateway-{event.fields['gateway']}-"
         return any(
             other.fields["process"].startswith(prefix) and event.at - 5.0 <= other.at <= event.at
--- a/tests/soak/plan.py
+++ b/tests/soak/plan.py
@@ -1,4 +1,4 @@
-"""What a run is made of: its size, and the troubles that a seed draws."""
+"""The size of a run and the schedule of faults that a seed generates."""
 
 from __future__ import annotations
 
@@ -8,17 +8,16 @@
 from enum import StrEnum
 
 HOST = "127.0.0.1"
-WARM_UP = 1.5  # seconds without trouble at the start of a run
-COOL_DOWN = 2.0  # seconds without new trouble at its end
-MEAN_FAULT_INTERVAL = (
-    0.45  # seconds between the beginnings of two troubles: most last longer, so that they overlap
-)
-HOUR = 3600.0
+WARM_UP = 1.5  # seconds without faults at the start of a run
+COOL_DOWN = 2.0  # seconds without new faults at the end of a run
+# Mean seconds between the starts of two faults. Most faults last longer than this, so that they overlap.
+MEAN_FAULT_INTERVAL = 0.45
+HOUR = 3600.0  # seconds
 
 
 @dataclass(frozen=True, slots=True)
 class RunSize:
-    """How many processes there are of each kind, and how long they play, in seconds."""
+    """The number of processes of each role, and for how many seconds the clients send requests."""
 
     gateways: int
     backend_processes: int
@@ -29,28 +28,29 @@
 
     @property
     def backends(self) -> int:
-        """The number of backends."""
+        """The total number of backends in all backend processes."""
         return self.backend_processes * self.backends_each
 
 
 class Fault(StrEnum):
-    """The kinds of trouble."""
+    """The kinds of fault that a run injects.
+
+    The order of the members determines what a seed draws.
+    """
 
-    PAUSE = "pause"  # a gateway process is stopped for a moment
-    KILL = "kill"  # a gateway is killed, and started again
-    RESTART = "restart"  # a gateway is ended with SIGTERM, and started again
+    PAUSE = "pause"  # the newest process of a gateway is stopped with SIGSTOP for up to 0.3 s
+    KILL = "kill"  # a gateway is killed and started again
+    RESTART = "restart"  # a gateway is terminated with SIGTERM and started again
     HOT_RESTART = "hot_restart"
-    NEW_PROCESS_KILLED = "new_process_killed"  # a hot restart whose newer process is killed as it serves
-    RELOAD = "reload"  # SIGHUP, with another discovery address in the file
-    FAILED_RELOAD = (
-        "failed_reload"  # the same, but the file is half written, or can't be opened, for a moment
-    )
+    NEW_PROCESS_KILLED = "new_process_killed"  # a hot restart whose new process is killed once it serves
+    RELOAD = "reload"  # SIGHUP with another discovery address in the configuration file
+    FAILED_RELOAD = "failed_reload"  # a reload whose file is at first incomplete or cannot be opened
     MAINTENANCE = "maintenance"  # an operator takes a backend out of service at one gateway
     BACKEND_HANGS = "backend_hangs"
     BACKEND_FAILS = "backend_fails"
     BACKEND_REJECTS = "backend_rejects"
     BACKEND_RESETS = "backend_resets"
-    BACKENDS_PAUSE = "backends_pause"  # a process with some backends is stopped for a while
+    BACKENDS_PAUSE = "backends_pause"  # a process that runs several backends is stopped with SIGSTOP
     BACKEND_DRAINS = "backend_drains"
     BACKEND_RESTARTS = "backend_restarts"
     PROXY_DELAYS = "proxy_delays"
@@ -62,13 +62,14 @@
     DISCOVERY_OVERLOADED = "discovery_overloaded"
     COUNTER_UNRESPONSIVE = "counter_unresponsive"
     COUNTER_BUSY = "counter_busy"
-    SYSTEM_CALLS_FAIL = "system_calls_fail"  # accept, socket and connect of a gateway
-    SHORT_IO = "short_io"  # short reads and writes, and interrupted waits, of a gateway
-    CLOCK_STEP = "clock_step"  # of a gateway's wall clock
+    SYSTEM_CALLS_FAIL = "system_calls_fail"  # accept, socket and connect calls of a gateway
+    SHORT_IO = "short_io"  # short reads and writes and interrupted epoll waits of a gateway
+    CLOCK_STEP = "clock_step"  # a step of a gateway's wall clock
     SHARED_FOLDER_FAILS = "shared_folder_fails"
 
 
-# Kinds stand as often as they are to be drawn.
+# Faults are drawn uniformly from this sequence: those listed several times are more frequent. The order
+# determines what a seed draws.
 WEIGHTED_FAULTS = (
     *Fault,
     Fault.PAUSE,
@@ -80,22 +81,25 @@
 RESOURCE_ERRORS = (errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.ECONNABORTED)
 CONNECT_ERRORS = (errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.EHOSTUNREACH, errno.ETIMEDOUT)
 FOLDER_ERRORS = (errno.EIO, errno.ENOSPC)
-CLOCK_STEPS = (-HOUR, -3.0, 3.0, HOUR)
+CLOCK_STEPS = (-HOUR, -3.0, 3.0, HOUR)  # seconds
 
 
 @dataclass(frozen=True, slots=True)
 class PlannedFault:
-    """One trouble: when it begins after the start of the run, how long it lasts, and whom it strikes."""
+    """A fault: its start in seconds after the start of the run, its duration in seconds and its target."""
 
     starts_at: float
     kind: Fault
     duration: float
-    target: int  # a number, of which the kind takes the rest modulo how many there are
-    random_value: float  # from 0 to 1, for whatever else the kind draws
+    target: int  # taken modulo the number of possible targets
+    random_value: float  # from 0 to 1; selects further parameters, such as the errno
 
 
 def plan_faults(seed: int, seconds: float) -> list[PlannedFault]:
-    """Draw the troubles of a run; they overlap, as each lasts up to 2.5 s."""
+    """Generate the faults of a run in the order of their starts.
+
+    A fault has a duration of 0.1 to 2.5 s, so that most faults overlap.
+    """
     rng = random.Random(seed)
     faults = []
     starts_at = WARM_UP
