--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m tests.soak --seeds A..B`: plays a run for each seed and prints the broken invariants."""
+"""`python -m tests.soak --seeds A..B`: performs a run for each seed and prints the violated invariants."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 from tests.soak.oracle import Oracle, Violation, read_history
 from tests.soak.plan import RunSize
 
-MAX_EXAMPLES = 3  # printed for each invariant of a run
-MAX_PROCESSES = 200
+MAX_EXAMPLES = 3  # the most violations printed for each invariant of a run
+MAX_PROCESSES = 200  # over all roles; hot restarts double the gateways for a time
 
 
 def parse_seeds(text: str) -> range:
@@ -27,25 +27,31 @@
 
 
 def parse_arguments(argv: list[str]) -> argparse.Namespace:
-    """Parse the command line; a wrong one ends the program with one line and status 2."""
+    """Parse the command line; an invalid one prints the usage and exits with status 2."""
     parser = argparse.ArgumentParser(prog="python -m tests.soak", description=__doc__)
-    parser.add_argument("--seeds", type=parse_seeds, default=range(1, 2), help="A..B, each a run")
-    parser.add_argument("--seconds", type=float, default=20.0, help="that the clients of a run play")
+    parser.add_argument("--seeds", type=parse_seeds, default=range(1, 2), help="the seeds A..B, one run each")
+    parser.add_argument("--seconds", type=float, default=20.0, help="for how long the clients send requests")
     parser.add_argument("--gateways", type=int, default=6)
     parser.add_argument("--backend-processes", type=int, default=4)
     parser.add_argument("--client-processes", type=int, default=4)
     parser.add_argument("--clients-each", type=int, default=8)
-    parser.add_argument("--slack", type=float, default=0.02, help="seconds that a busy machine adds")
-    parser.add_argument("--keep", type=pathlib.Path, help="a folder for the logs of runs with violations")
+    parser.add_argument(
+        "--slack", type=float, default=0.02, help="by how many seconds a busy machine may delay a process"
+    )
+    parser.add_argument(
+        "--keep", type=pathlib.Path, help="the folder to which the logs of runs with violations are copied"
+    )
     arguments = parser.parse_args(argv)
     processes = 2 * arguments.gateways + arguments.backend_processes + arguments.client_processes + 2
     if not 0 < arguments.seconds <= 600 or processes > MAX_PROCESSES or arguments.gateways < 1:
-        parser.error(f"from 1 gateway to {MAX_PROCESSES} processes, and at most 600 seconds")
+        parser.error(
+            f"at least 1 gateway, at most {MAX_PROCESSES} processes and at most 600 seconds are needed"
+        )
     return arguments
 
 
 def print_violations(seed: int, violations: list[Violation]) -> None:
-    """Print each broken invariant with some of its stories."""
+    """Print each violated invariant with the events of its first violations."""
     by_invariant = collections.defaultdict(list)
     for violation in violations:
         by_invariant[violation.invariant].append(violation)
@@ -58,7 +64,7 @@
 
 
 async def run_until_signal(controller: RunController) -> None:
-    """Play a run; SIGINT and SIGTERM end it, and every process of it."""
+    """Perform a run; SIGINT and SIGTERM cancel it and stop all of its processes."""
     task = asyncio.ensure_future(controller.run())
     loop = asyncio.get_running_loop()
     for number in (signal.SIGINT, signal.SIGTERM):
@@ -67,7 +73,7 @@
 
 
 def run_seed(seed: int, size: RunSize, slack: float, keep: pathlib.Path | None) -> int:
-    """Play one run, print what it found, and return the number of violations."""
+    """Perform one run, print a summary and the violations, and return their number."""
     folder = pathlib.Path(tempfile.mkdtemp(prefix=f"soak-{seed}-"))
     started_at = time.monotonic()
     asyncio.run(run_until_signal(RunController(seed, size, folder)))
@@ -90,7 +96,7 @@
 
 
 def main() -> int:
-    """Play all runs; the status is 1 where an invariant was broken."""
+    """Perform all runs; return 1 if an invariant was violated, 2 after a signal, else 0."""
     arguments = parse_arguments(sys.argv[1:])
     size = RunSize(
         gateways=arguments.gateways,
--- a/tests/soak/backends.py
+++ b/tests/soak/backends.py
@@ -1,4 +1,4 @@
-"""Backends of a run, some of them in each worker process; they misbehave as the run's control tells them."""
+"""Backends of a run, several in each worker process; the controller sets how they misbehave."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 from tests.fakes import FakeServer, HttpMessage, http_response, read_message
 from tests.soak.event_log import EventLog
 
-MEAN_SERVICE_TIME = 0.02  # seconds
-LONG_BODY_FRACTION = 0.01  # of the responses
+MEAN_SERVICE_TIME = 0.02  # seconds, exponentially distributed
+LONG_BODY_FRACTION = 0.01  # the fraction of responses with a long body
 LONG_BODY = b"z" * 150_000
 
 
@@ -24,11 +24,11 @@
     HANGS = "hangs"
     FAILS = "fails"
     REJECTS = "rejects"
-    RESETS = "resets"  # connections, some of them in the middle of a response
+    RESETS = "resets"  # resets most connections within a response
 
 
 class SoakBackend(FakeServer):
-    """A backend that records each request it has read whole, and how it ended it."""
+    """A backend that logs whether it rejects or executes each request it has read completely."""
 
     def __init__(self, name: str, log: EventLog, rng: random.Random) -> None:
         super().__init__()
@@ -39,7 +39,7 @@
         self.mode_changed = asyncio.Event()
 
     def set_mode(self, mode: BackendMode) -> None:
-        """Behave differently from now on, also to requests that hang."""
+        """Change the mode, also for requests that are hanging."""
         self.mode = mode
         self.mode_changed.set()
         self.mode_changed = asyncio.Event()
@@ -63,7 +63,7 @@
                 return
 
     def respond(self, writer: asyncio.StreamWriter, request: HttpMessage, call: str) -> bool:
-        """Answer a request by the mode; return whether the connection is over."""
+        """Answer a request according to the mode; return whether the connection was reset."""
         body = b"served " + call.encode()
         if self.rng.random() < LONG_BODY_FRACTION:
             body += LONG_BODY
@@ -79,7 +79,7 @@
 
 
 async def open_command_stream() -> asyncio.StreamReader:
-    """Return standard input as a stream of the control's commands."""
+    """Return standard input as a stream of the controller's commands."""
     reader = asyncio.StreamReader()
     loop = asyncio.get_running_loop()
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
@@ -87,7 +87,7 @@
 
 
 async def run(arguments: dict[str, Any], log: EventLog) -> None:
-    """Serve until standard input ends."""
+    """Print the addresses, then serve and execute commands until standard input ends."""
     backends = []
     for name in arguments["names"]:
         backend = SoakBackend(name, log, random.Random(f"{arguments['seed']} {name}"))
--- a/tests/soak/clients.py
+++ b/tests/soak/clients.py
@@ -1,4 +1,7 @@
-"""Clients of a run: most behave; others leave, half-close, pipeline, write slowly or send half a request."""
+"""Clients of a run.
+
+Most requests are ordinary; others are pipelined, written slowly, abandoned, half-closed or malformed.
+"""
 
 from __future__ import annotations
 
@@ -14,21 +17,21 @@
 from tests.soak.event_log import EventLog
 
 REQUEST_CLASSES = ("lookup", "lookup", "report", "extract")
-BUDGETS = (0.4, 0.8, 1.5, 2.4)  # seconds
-MEAN_REQUEST_INTERVAL = 0.12  # seconds between a client's requests
-RESPONSE_MARGIN = 2.0  # seconds after a request's time until its client stops to wait for an answer
-KEEP_ALIVE_FRACTION = 0.8  # of the requests, after which the connection is kept
-CONNECT_RETRY = 0.05  # seconds
+BUDGETS = (0.4, 0.8, 1.5, 2.4)  # seconds until the deadline of a request
+MEAN_REQUEST_INTERVAL = 0.12  # mean seconds between the requests of a client
+RESPONSE_MARGIN = 2.0  # seconds after its deadline for which a client still waits for a response
+KEEP_ALIVE_FRACTION = 0.8  # the fraction of requests after which the connection is kept open
+CONNECT_RETRY = 0.05  # seconds from a connection error to the next attempt to connect
 BAD_REQUESTS = (
     b"GET /api HTTP/1.1\r\nX-Call",
     b"nonsense\r\n\r\n",
     b"POST /api HTTP/1.1\r\nContent-Length: 9\r\n\r\nx",
 )
-BAD_REQUEST_TIMEOUT = 3.5  # seconds from the connect in which such a client gets an error or a close
+BAD_REQUEST_TIMEOUT = 3.5  # seconds after the connect within which a bad request gets an error or a close
 
 
 class SoakClient:
-    """One client, which goes to all gateways in turn."""
+    """A client that selects a gateway at random for each connection."""
 
     def __init__(self, name: str, arguments: dict[str, Any], log: EventLog) -> None:
         self.name = name
@@ -39,12 +42,12 @@
         self.reader: asyncio.StreamReader
         self.writer: asyncio.StreamWriter
         self.gateway_index = 0
-        self.connection_count = 0  # counted over this client
+        self.connection_count = 0  # how many connections this client has opened
         self.requests_on_connection = 0
         self.connected = False
 
     async def run(self) -> None:
-        """Send requests until it is cancelled."""
+        """Send requests until cancelled."""
         while True:
             await asyncio.sleep(self.rng.expovariate(1.0 / MEAN_REQUEST_INTERVAL))
             try:
@@ -56,7 +59,7 @@
                 await asyncio.sleep(CONNECT_RETRY)
 
     async def connect(self) -> None:
-        """Connect to one of the gateways."""
+        """Connect to a randomly selected gateway."""
         self.gateway_index = self.rng.randrange(len(self.gateways))
         self.reader, self.writer = await asyncio.open_connection(*self.gateways[self.gateway_index])
         self.connected = True
@@ -70,7 +73,7 @@
             self.writer.close()
 
     async def send_random(self) -> None:
-        """Send one or some requests in a way that is drawn."""
+        """Send one or more requests in a randomly selected way."""
         draw = self.rng.random()
         if draw < 0.68:
             await self.exchange(1)
@@ -86,7 +89,7 @@
             await self.disconnect()
 
     def next_request(self) -> tuple[str, bytes, float, str]:
-        """Return the id, the text, the time and the class of a new request."""
+        """Return the call id, the bytes, the budget in seconds and the class of a new request."""
         self.request_count += 1
         number = (int(self.name) << 32) + self.request_count
         budget = self.rng.choice(BUDGETS)
@@ -96,7 +99,7 @@
         return f"{number:016x}", text, budget, request_class
 
     def log_sent(self, call: str, budget: float, request_class: str) -> None:
-        """Log a request whose last byte was written just now."""
+        """Log a request whose last byte has just been written."""
         self.requests_on_connection += 1
         self.log.write(
             "request_sent",
@@ -110,7 +113,7 @@
         )
 
     async def exchange(self, count: int, slowly: bool = False) -> None:
-        """Send requests at once, and read their answers in order."""
+        """Send requests one after another without waiting, then read their responses in order."""
         sent: list[tuple[str, float]] = []
         for _ in range(count):
             call, text, budget, request_class = self.next_request()
@@ -129,7 +132,7 @@
                 raise ConnectionResetError
 
     async def read_response(self, call: str, deadline: float) -> bool:
-        """Read and log an answer; return whether the connection can be used for another."""
+        """Read and log a response; return whether the connection can be used further."""
         try:
             async with asyncio.timeout(max(deadline - time.monotonic(), 0.0) + RESPONSE_MARGIN):
                 status_line, headers, body = await read_message(self.reader)
@@ -146,7 +149,7 @@
         return headers.get("connection") != "close"
 
     async def send_and_close(self) -> None:
-        """Send a request, and close, reset or half-close some time after it."""
+        """Send a request, then close, reset or half-close the connection before the response."""
         call, text, budget, request_class = self.next_request()
         self.writer.write(text)
         self.log_sent(call, budget, request_class)
@@ -167,7 +170,7 @@
         raise ConnectionResetError
 
     async def send_bad_request(self) -> None:
-        """Send something that is no request on a new connection, and wait for an error or a close."""
+        """Send a malformed or incomplete request on a new connection, and wait for an error or a close."""
         await self.disconnect()
         await self.connect()
         connected_at = time.monotonic()
@@ -187,7 +190,7 @@
 
 
 async def run(arguments: dict[str, Any], log: EventLog) -> None:
-    """Play all clients of this process until the time is over."""
+    """Run all clients of this process for the configured time."""
     clients = [SoakClient(name, arguments, log) for name in arguments["names"]]
     tasks = [asyncio.ensure_future(client.run()) for client in clients]
     _, pending = await asyncio.wait(tasks, timeout=arguments["seconds"])
--- a/tests/soak/fault_proxy.py
+++ b/tests/soak/fault_proxy.py
@@ -1,4 +1,4 @@
-"""A TCP proxy in front of the backends that delays, resets, freezes and dribbles connections."""
+"""A TCP proxy in front of the backends that delays, resets, stalls and fragments connections."""
 
 from __future__ import annotations
 
@@ -13,21 +13,21 @@
 from tests.soak.plan import HOST
 
 READ_SIZE = 65536
-MAX_CONNECT_DELAY = 0.6  # seconds
+MAX_CONNECT_DELAY = 0.6  # seconds before the proxy connects to the backend
 
 
 class ProxyMode(StrEnum):
     """What happens to connections to one backend."""
 
     FORWARDS = "forwards"
-    DELAYS = "delays"  # connections come up late
-    RESETS = "resets"  # some are reset, before or in the middle of a message
-    STALLS = "stalls"  # nothing is passed on
-    FRAGMENTS = "fragments"  # messages are passed on in pieces
+    DELAYS = "delays"  # new connections to the backend are delayed
+    RESETS = "resets"  # some connections are reset, before or within a message
+    STALLS = "stalls"  # no data is forwarded
+    FRAGMENTS = "fragments"  # data is forwarded in two parts with a delay between them
 
 
 class Route:
-    """The proxy of one backend."""
+    """The proxied route to one backend."""
 
     def __init__(self, target: str, rng: random.Random) -> None:
         self.host, _, port = target.rpartition(":")
@@ -38,7 +38,7 @@
         self.forwarding.set()
 
     def set_mode(self, mode: ProxyMode) -> None:
-        """Treat connections, also those that are open, differently from now on."""
+        """Change the mode, also for connections that are open."""
         self.mode = mode
         if mode is ProxyMode.STALLS:
             self.forwarding.clear()
@@ -46,7 +46,7 @@
             self.forwarding.set()
 
     async def handle(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Connect to the backend and pass bytes on in both directions."""
+        """Connect to the backend and forward data in both directions."""
         if self.mode is ProxyMode.DELAYS:
             await asyncio.sleep(self.rng.random() * MAX_CONNECT_DELAY)
         try:
@@ -63,7 +63,7 @@
             connection.close()
 
     async def forward(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Pass bytes on in one direction, until either end closes or the mode ends the connection."""
+        """Forward data in one direction until either side closes or the mode resets the connection."""
         try:
             while data := await reader.read(READ_SIZE):
                 await self.forwarding.wait()
@@ -76,7 +76,7 @@
             return
 
     async def write(self, writer: asyncio.StreamWriter, data: bytes) -> None:
-        """Write bytes, some of them in pieces."""
+        """Write data, in two parts if the mode fragments it."""
         if self.mode is ProxyMode.FRAGMENTS and len(data) > 1:
             split_at = self.rng.randrange(1, len(data))
             writer.write(data[:split_at])
@@ -87,7 +87,7 @@
 
 
 async def run(arguments: dict[str, Any], log: EventLog) -> None:
-    """Proxy until standard input ends."""
+    """Print the addresses, then forward connections and execute commands until standard input ends."""
     routes = [
         Route(target, random.Random(f"{arguments['seed']} {target}")) for target in arguments["targets"]
     ]
--- a/tests/soak/gateways.py
+++ b/tests/soak/gateways.py
@@ -1,4 +1,4 @@
-"""One gateway of a run: its processes, their signals and the faults of their system calls."""
+"""A gateway of a run: its processes, their signals and the faults injected into their system calls."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
 
 ROOT = pathlib.Path(__file__).parent.parent.parent
 GATEWAY_COMMAND = os.environ.get("GATEWAY_RUN") or f"exec {shlex.quote(sys.executable)} -m quota_gateway"
-READY_TIMEOUT = 10.0  # seconds from a start until the gateway should be ready
-SHUTDOWN_TIMEOUT = 3.2  # seconds from SIGTERM to SIGKILL: the longest deadline, 2.5 s, and 0.7
-POLL_INTERVAL = 0.02  # seconds
+READY_TIMEOUT = 10.0  # seconds after its start within which a gateway must be ready
+SHUTDOWN_TIMEOUT = 3.2  # seconds from SIGTERM to SIGKILL: the longest deadline of 2.5 s plus 0.7 s
+POLL_INTERVAL = 0.02  # seconds between two readiness checks
 
 
 class GatewayChild:
@@ -37,17 +37,17 @@
 
     @property
     def is_running(self) -> bool:
-        """Whether the process has not ended."""
+        """Whether the process has not exited."""
         return self.os_process.returncode is None
 
     def signal(self, number: signal.Signals) -> None:
-        """Send a signal, if the process runs."""
+        """Send a signal and log it, if the process is running."""
         if self.is_running:
             self.log.write("signal_sent", process=self.name, signal_name=number.name)
             self.os_process.send_signal(number)
 
     async def terminate(self) -> None:
-        """Send SIGTERM, wait as long as the platform does, and kill what is left."""
+        """Send SIGTERM, and kill the process if it has not exited after the platform's shutdown timeout."""
         self.signal(signal.SIGTERM)
         try:
             async with asyncio.timeout(SHUTDOWN_TIMEOUT):
@@ -59,12 +59,12 @@
         self.log.write("ended", process=self.name, code=code)
 
     async def kill(self) -> None:
-        """Kill the process."""
+        """Send SIGKILL and wait until the process has exited."""
         self.signal(signal.SIGKILL)
         await self.os_process.wait()
 
     async def call_admin_api(self, method: str, path: str) -> int:
-        """Call the admin API; 0 if it does not answer."""
+        """Call the admin API and return the HTTP status, or 0 if it does not answer within a second."""
         try:
             async with asyncio.timeout(1.0):
                 reader, writer = await asyncio.open_connection(HOST, self.admin_port)
@@ -77,9 +77,9 @@
 
 
 class Gateway:
-    """The processes of one gateway, of which the last one is the newest.
+    """A gateway with its current and past processes, in the order of their starts.
 
-    Every other gateway has an inherited listening socket and can be restarted hot; the others bind their own.
+    Gateways with an even index inherit a listening socket and support hot restart; the others bind their own.
     """
 
     def __init__(self, index: int, folder: pathlib.Path, document: dict[str, Any], log: EventLog) -> None:
@@ -107,7 +107,7 @@
         self.write_config()
 
     def write_config(self) -> None:
-        """Write the configuration file in one step."""
+        """Replace the configuration file atomically."""
         text = json.dumps({**self.document, "listen": f"{HOST}:{self.port}"})
         temporary = self.config_path.with_suffix(".new")
         temporary.write_text(text)
@@ -115,16 +115,16 @@
 
     @property
     def running(self) -> list[GatewayChild]:
-        """The processes that have not ended."""
+        """The processes that have not exited."""
         return [child for child in self.children if child.is_running]
 
     @property
     def newest(self) -> GatewayChild | None:
-        """The process started last, if it runs."""
+        """The running process that was started last, or None."""
         return self.running[-1] if self.running else None
 
     async def start(self) -> GatewayChild:
-        """Start a process and wait until it serves."""
+        """Start a process and wait until it is ready."""
         self.start_count += 1
         name = f"gateway-{self.index}-{self.start_count}"
         with socket.socket() as port_probe:
@@ -153,7 +153,7 @@
         return child
 
     async def wait_until_ready(self, child: GatewayChild) -> None:
-        """Wait until a process serves; one that does not in time is logged."""
+        """Wait until a process is ready; log an event if it exits first or takes too long."""
         try:
             async with asyncio.timeout(READY_TIMEOUT):
                 while await child.call_admin_api("GET", "/healthcheck") != 200:
@@ -165,20 +165,20 @@
             self.log.write("ready_timeout", process=child.name)
 
     def clear_maintenance(self) -> None:
-        """Note that a cold start knows of no maintenance."""
+        """Log the end of all maintenance, which a cold start does not restore."""
         for backend in self.backends_in_maintenance:
             self.log.write("maintenance_ended", gateway=self.index, backend=backend)
         self.backends_in_maintenance.clear()
 
     async def kill(self) -> None:
-        """Kill all processes and start anew."""
+        """Kill all processes and start a new one."""
         for child in self.running:
             await child.kill()
         self.clear_maintenance()
         await self.start()
 
     async def restart(self) -> None:
-        """End all processes with SIGTERM and start anew; with an inherited socket, without a gap."""
+        """Terminate all processes and start a new one; with an inherited socket, do a hot restart."""
         if self.inherits_socket and self.running:
             await self.hot_restart()
             return
@@ -187,7 +187,7 @@
         await self.start()
 
     async def hot_restart(self) -> None:
-        """Start a newer process, and end the older one once the newer one serves."""
+        """Start a new process and terminate the old ones once it is ready."""
         if not self.inherits_socket or not self.running:
             await self.restart()
             return
@@ -196,7 +196,7 @@
         await asyncio.gather(*(child.terminate() for child in old_processes))
 
     async def kill_new_process(self, delay: float) -> None:
-        """Start a newer process and kill it some time after it serves."""
+        """Start a new process and kill it `delay` seconds after it is ready."""
         if not self.inherits_socket or not self.running:
             return
         new_process = await self.start()
--- a/tests/soak/oracle.py
+++ b/tests/soak/oracle.py
@@ -101,7 +101,9 @@
         deadline = sent.at + sent.fields["budget"] + RESPONSE_SLACK + self.machine_slack
         if response is not None:
             if not response.fields["matches_request"]:
-                self.report("answers belong to their requests", call, "another body", events)
+                self.report(
+                    "answers belong to their requests", call, "the body does not match the request", events
+                )
             if response.at > deadline and not self.was_killed(sent, deadline):
                 self.report("answers come in time", call, f"{response.at - deadline:.3f} s late", events)
             return
--- a/tests/soak/services.py
+++ b/tests/soak/services.py
@@ -1,4 +1,4 @@
-"""Discovery and the counter of a run: one agent a gateway, over one list, and faults of each."""
+"""Fake discovery agents, which share one list of endpoints, and the fake counter of a run."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
     """How a service behaves."""
 
     SERVES = "serves"
-    UNRESPONSIVE = "unresponsive"  # it takes calls and answers none
-    OVERLOADED = "overloaded"  # it has no capacity
-    DOWN = "down"  # it refuses connections and resets those that are open
+    UNRESPONSIVE = "unresponsive"  # accepts calls and answers none
+    OVERLOADED = "overloaded"  # answers that it has no capacity
+    DOWN = "down"  # resets all connections, new and open ones
 
 
 @dataclass
 class EndpointList:
-    """The list of backends, with the version at which each entry changed last."""
+    """The list of endpoints, with the generation in which each entry changed last."""
 
     entries: dict[str, dict[str, Any]] = field(default_factory=dict)
     versions: dict[str, int] = field(default_factory=dict)
@@ -32,7 +32,7 @@
     changed: asyncio.Condition = field(default_factory=asyncio.Condition)
 
     async def publish(self, entry: dict[str, Any]) -> None:
-        """Replace one entry."""
+        """Replace an entry and wake up the calls that wait for a change."""
         async with self.changed:
             self.generation += 1
             self.entries[entry["instanceId"]] = entry
@@ -40,12 +40,12 @@
             self.changed.notify_all()
 
     def since(self, generation: int) -> list[dict[str, Any]]:
-        """Return the entries that changed after a version."""
+        """Return the entries that changed after a generation."""
         return [self.entries[name] for name, version in self.versions.items() if version > generation]
 
 
 class Agent(FakeServer):
-    """The discovery agent of one gateway."""
+    """A discovery agent of one gateway."""
 
     def __init__(self, gateway: int, endpoints: EndpointList, log: EventLog) -> None:
         super().__init__()
@@ -55,7 +55,7 @@
         self.mode = ServiceMode.SERVES
 
     def set_mode(self, mode: ServiceMode) -> None:
-        """Behave differently from now on; calls that wait are answered by the new mode."""
+        """Change the mode, also for calls that are waiting; being down resets all open connections."""
         self.mode = mode
         self.log.write("agent_mode_changed", gateway=self.gateway, mode=mode)
         if mode is ServiceMode.DOWN:
@@ -63,7 +63,7 @@
                 writer.transport.abort()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Answer polls and watches."""
+        """Answer polls and long polls on one connection."""
         if self.mode is ServiceMode.DOWN:
             writer.transport.abort()
             return
@@ -83,7 +83,7 @@
             writer.write(http_response(200, self.changes_since(known_generation)))
 
     async def wait_for_change(self, known_generation: int, seconds: float) -> None:
-        """Wait until there is something newer than a version, for some time."""
+        """Wait until the list is newer than a generation, but at most `seconds`."""
         endpoints = self.endpoints
         try:
             async with asyncio.timeout(seconds), endpoints.changed:
@@ -92,7 +92,7 @@
             pass
 
     def changes_since(self, known_generation: int) -> bytes:
-        """Return the changes since a version, or with 0 the whole list, and log that they are told."""
+        """Return and log the entries changed since a generation; 0 gives the complete list."""
         endpoints = self.endpoints
         entries = endpoints.since(known_generation) if known_generation else list(endpoints.entries.values())
         for entry in entries:
@@ -107,7 +107,7 @@
 
 
 class SoakCounter(FakeCounter):
-    """A counter that may be silent or busy."""
+    """A counter that can be unresponsive or busy."""
 
     def __init__(self) -> None:
         super().__init__()
--- a/tests/soak/worker.py
+++ b/tests/soak/worker.py
@@ -1,4 +1,4 @@
-"""A process of a run that plays one role: `python -m tests.soak.worker ROLE ARGUMENTS.json LOG`."""
+"""A worker process of a run with one role: `python -m tests.soak.worker ROLE ARGUMENTS.json LOG`."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def main() -> None:
-    """Play the role that the command line names."""
+    """Run the role given on the command line until it ends."""
     role, arguments, log = sys.argv[1:]
     parsed = json.loads(pathlib.Path(arguments).read_text())
     asyncio.run(ROLES[role](parsed, EventLog(pathlib.Path(log))))
