--- a/tests/fault_injection/__init__.py
+++ b/tests/fault_injection/__init__.py
@@ -1,1 +1,1 @@
-"""Faults of the operating system for real gateway processes: failing calls, clocks and folders."""
+"""Injection of operating system faults into real gateway processes: failing calls, clocks and folders."""
--- a/tests/fault_injection/injector.py
+++ b/tests/fault_injection/injector.py
@@ -1,4 +1,4 @@
-"""Builds the preloaded library of faults, and controls the faults of one process through a shared page."""
+"""Builds the preloaded fault library and controls the faults of one process through shared memory."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class ControlPage(ctypes.Structure):
-    """The faults that a process meets; the layout is that of `struct control` in system_faults.c."""
+    """The faults to inject into a process; the layout is that of `struct control` in system_faults.c."""
 
     _fields_ = (
         ("accept_rate", ctypes.c_double),
@@ -37,7 +37,7 @@
 
 @functools.cache
 def fault_library() -> pathlib.Path:
-    """Compile the library once a test run and return its path; CalledProcessError shows why it can't be."""
+    """Compile the library once per test run and return its path; raises CalledProcessError on failure."""
     path = pathlib.Path(tempfile.mkdtemp(prefix="system-faults-")) / "system_faults.so"
     command = ["cc", "-O2", "-Wall", "-Werror", "-shared", "-fPIC", "-o", str(path), str(SOURCE), "-ldl"]
     subprocess.run(command, check=True)
@@ -45,10 +45,10 @@
 
 
 class FaultInjector:
-    """The control page of one process, which is started with the variables of `environment`."""
+    """Controls the faults of one process, which must be started with the variables in `environment`."""
 
     def __init__(self, control_file: pathlib.Path, seed: int = 0) -> None:
-        """Create the page in `control_file`, without any fault; `seed` is for the faults drawn at random."""
+        """Create the page in `control_file` without faults; `seed` determines the faults drawn at random."""
         control_file.write_bytes(bytes(ctypes.sizeof(ControlPage)))
         with control_file.open("r+b") as file:
             self._mapping = mmap.mmap(file.fileno(), ctypes.sizeof(ControlPage))
@@ -61,37 +61,37 @@
 
     @property
     def injected(self) -> int:
-        """The number of faults that the process has met."""
+        """The number of faults injected so far."""
         return int(self.page.injected)
 
     def step_wall_clock(self, seconds: float) -> None:
-        """Set the process's wall clock to be so far ahead of the machine's, or behind it if below 0."""
+        """Set the process's wall clock `seconds` ahead of the machine's, or behind it if below 0."""
         self.page.wall_offset_ns = round(seconds * NANOSECONDS_PER_SECOND)
 
     def fail_accepts(self, rate: float, error: int) -> None:
-        """Have a part of the accepts fail with this errno, while a connection waits."""
+        """Make a fraction of accept calls fail with this errno while a connection is waiting."""
         self.page.accept_errno = error
         self.page.accept_rate = rate
 
     def fail_sockets(self, rate: float, error: int) -> None:
-        """Have a part of the socket calls for TCP fail with this errno."""
+        """Make a fraction of the calls that create TCP sockets fail with this errno."""
         self.page.socket_errno = error
         self.page.socket_rate = rate
 
     def fail_connects(self, rate: float, error: int) -> None:
-        """Have a part of the TCP connects fail with this errno."""
+        """Make a fraction of TCP connects fail with this errno."""
         self.page.connect_errno = error
         self.page.connect_rate = rate
 
     def fail_folder(self, error: int) -> None:
-        """Have every use of the shared folder fail with this errno; 0 ends it."""
+        """Make every use of the shared folder fail with this errno; 0 ends the fault."""
         self.page.folder_errno = error
 
     def fail_configuration_file(self, error: int) -> None:
-        """Have every open of the configuration file fail with this errno; 0 ends it."""
+        """Make every open of the configuration file fail with this errno; 0 ends the fault."""
         self.page.open_errno = error
 
 
 def open_descriptor_count(process_id: int) -> int:
-    """Return how many descriptors a process has open."""
+    """Return the number of open file descriptors of a process."""
     return len(os.listdir(f"/proc/{process_id}/fd"))
--- a/tests/fault_injection/system_faults.c
+++ b/tests/fault_injection/system_faults.c
@@ -1,8 +1,8 @@
 /*
- * A library to preload into a gateway process, which then meets the faults that a shared control page asks for.
+ * A library to preload into a gateway process; it injects the faults that a shared control page requests.
  *
- * The control page is a file that the test maps as well (tests/fault_injection/injector.py has the same layout),
- * so that faults begin and end while the process runs. Only documented results of the calls are produced.
+ * The control page is a file that the test maps too (tests/fault_injection/injector.py has the same layout), so
+ * that faults can begin and end while the process runs. Calls return only results that are documented for them.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -24,20 +24,20 @@
 #include <unistd.h>
 
 struct control {
-    double accept_rate;     /* of accept4 calls that fail with accept_errno */
-    double socket_rate;     /* of socket calls that fail with socket_errno */
-    double connect_rate;    /* of TCP connects that fail with connect_errno */
-    double interrupt_rate;  /* of epoll waits that return EINTR */
-    double short_io_rate;   /* of socket reads and writes that move one byte only */
-    double broken_rate;     /* of socket reads that find the connection broken, with ETIMEDOUT */
-    int64_t wall_offset_ns; /* added to the wall clock */
+    double accept_rate;     /* fraction of accept4 calls that fail with accept_errno */
+    double socket_rate;     /* fraction of TCP socket calls that fail with socket_errno */
+    double connect_rate;    /* fraction of TCP connects that fail with connect_errno */
+    double interrupt_rate;  /* fraction of epoll waits that fail with EINTR */
+    double short_io_rate;   /* fraction of socket reads and writes that transfer only one byte */
+    double broken_rate;     /* fraction of socket reads that fail with ETIMEDOUT, as on a broken connection */
+    int64_t wall_offset_ns; /* nanoseconds added to the wall clock */
     int32_t accept_errno;
     int32_t socket_errno;
     int32_t connect_errno;
-    int32_t folder_errno;   /* of every write to the shared folder; 0: it works */
-    int32_t open_errno;     /* of every open of the configuration file; 0: it works */
+    int32_t folder_errno;   /* errno of renames, and of binds and connects of Unix sockets (the shared folder); 0: none */
+    int32_t open_errno;     /* errno of every open of the configuration file; 0: none */
     int32_t padding;
-    int64_t injected;       /* number of faults so far */
+    int64_t injected;       /* number of faults injected so far */
 };
 
 static struct control none;
@@ -89,7 +89,7 @@
     REAL(accept4);
     if (draw(control->accept_rate)) {
         struct pollfd waiting = {fd, POLLIN, 0};
-        if (poll(&waiting, 1, 0) <= 0) return fail(EAGAIN); /* nothing to accept, so nothing to fail at */
+        if (poll(&waiting, 1, 0) <= 0) return fail(EAGAIN); /* no connection is waiting */
         return fail(control->accept_errno);
     }
     return real(fd, address, length, flags);
@@ -134,7 +134,7 @@
     return control->open_errno && configuration && strcmp(path, configuration) == 0;
 }
 
-/* open and open64 are the same call under two names */
+/* open and open64 are one function with two names. */
 #define DEFINE_OPEN(name) \
     int name(const char *path, int flags, ...) { \
         REAL(name); \
--- a/tests/test_soak_oracle.py
+++ b/tests/test_soak_oracle.py
@@ -1,4 +1,4 @@
-"""The oracle of the soak finds broken invariants, and none where there is none."""
+"""Tests of the soak's oracle, which must report every violated invariant and nothing else."""
 
 from __future__ import annotations
 
@@ -63,7 +63,7 @@
 
 
 def sent_previous() -> LoggedEvent:
-    """Return the request that was pipelined before."""
+    """Return the sending of the request that precedes CALL in its pipeline."""
     return event(
         10.0,
         "request_sent",
@@ -86,7 +86,7 @@
         (
             [sent(first_on_connection=False), CONNECTION_CLOSED],
             None,
-        ),  # it crossed the close of a resting connection
+        ),  # sent while the gateway closed an idle connection
         ([sent(first_on_connection=False), RECEIVED, CONNECTION_CLOSED], "every request is answered"),
         ([sent(), RECEIVED, CUT_OFF], None),
         ([sent(), RECEIVED, KILLED, CONNECTION_CLOSED], None),
@@ -100,7 +100,7 @@
         (
             [sent(), started(10.4, left=0.9), executed(10.45, budget=0.6), RESPONSE],
             None,
-        ),  # held up before it was logged
+        ),  # paused between computing `left` and logging the start
         (
             [
                 sent(first_on_connection=False),
