--- a/tests/fault_injection/system_faults.c
+++ b/tests/fault_injection/system_faults.c
@@ -40,9 +40,9 @@
     int64_t injected;       /* number of faults injected so far */
 };
 
-static struct control none;
-static struct control *control = &none;
-static uint64_t state = 88172645463325252ull;
+static struct control no_faults;
+static struct control *control = &no_faults;
+static uint64_t random_state = 88172645463325252ull;
 
 #define REAL(function) \
     static typeof(&function) real; \
@@ -51,8 +51,8 @@
 __attribute__((constructor)) static void load_control(void) {
     const char *path = getenv("FAULT_CONTROL");
     const char *seed = getenv("FAULT_SEED");
-    if (seed) state ^= strtoull(seed, NULL, 10) * 0x9E3779B97F4A7C15ull;
-    if (!state) state = 1;
+    if (seed) random_state ^= strtoull(seed, NULL, 10) * 0x9E3779B97F4A7C15ull;
+    if (!random_state) random_state = 1;
     if (!path) return;
     int fd = open(path, O_RDWR | O_CLOEXEC);
     if (fd < 0) return;
@@ -61,12 +61,12 @@
     if (page != MAP_FAILED) control = page;
 }
 
-static int draw(double rate) {
+static int should_inject(double rate) {
     if (rate <= 0) return 0;
-    state ^= state << 13;
-    state ^= state >> 7;
-    state ^= state << 17;
-    if ((double)(state >> 11) / 9007199254740992.0 >= rate) return 0;
+    random_state ^= random_state << 13;
+    random_state ^= random_state >> 7;
+    random_state ^= random_state << 17;
+    if ((double)(random_state >> 11) / 9007199254740992.0 >= rate) return 0;
     __atomic_add_fetch(&control->injected, 1, __ATOMIC_RELAXED);
     return 1;
 }
@@ -81,13 +81,13 @@
     return fstat(fd, &status) == 0 && S_ISSOCK(status.st_mode);
 }
 
-static int is_stream_of_internet(int domain, int type) {
+static int is_tcp(int domain, int type) {
     return (domain == AF_INET || domain == AF_INET6) && (type & 0xf) == SOCK_STREAM;
 }
 
 int accept4(int fd, struct sockaddr *address, socklen_t *length, int flags) {
     REAL(accept4);
-    if (draw(control->accept_rate)) {
+    if (should_inject(control->accept_rate)) {
         struct pollfd waiting = {fd, POLLIN, 0};
         if (poll(&waiting, 1, 0) <= 0) return fail(EAGAIN); /* no connection is waiting */
         return fail(control->accept_errno);
@@ -97,11 +97,11 @@
 
 int socket(int domain, int type, int protocol) {
     REAL(socket);
-    if (is_stream_of_internet(domain, type) && draw(control->socket_rate)) return fail(control->socket_errno);
+    if (is_tcp(domain, type) && should_inject(control->socket_rate)) return fail(control->socket_errno);
     return real(domain, type, protocol);
 }
 
-static int folder_fails(void) {
+static int should_fail_folder(void) {
     if (!control->folder_errno) return 0;
     __atomic_add_fetch(&control->injected, 1, __ATOMIC_RELAXED);
     return 1;
@@ -110,8 +110,8 @@
 int connect(int fd, const struct sockaddr *address, socklen_t length) {
     REAL(connect);
     if (address && address->sa_family == AF_UNIX) {
-        if (folder_fails()) return fail(control->folder_errno);
-    } else if (address && address->sa_family == AF_INET && draw(control->connect_rate)) {
+        if (should_fail_folder()) return fail(control->folder_errno);
+    } else if (address && address->sa_family == AF_INET && should_inject(control->connect_rate)) {
         return fail(control->connect_errno);
     }
     return real(fd, address, length);
@@ -119,30 +119,30 @@
 
 int bind(int fd, const struct sockaddr *address, socklen_t length) {
     REAL(bind);
-    if (address && address->sa_family == AF_UNIX && folder_fails()) return fail(control->folder_errno);
+    if (address && address->sa_family == AF_UNIX && should_fail_folder()) return fail(control->folder_errno);
     return real(fd, address, length);
 }
 
 int rename(const char *from, const char *to) {
     REAL(rename);
-    if (folder_fails()) return fail(control->folder_errno);
+    if (should_fail_folder()) return fail(control->folder_errno);
     return real(from, to);
 }
 
-static int opens_configuration(const char *path) {
-    const char *configuration = getenv("RELAY_CONFIG");
-    return control->open_errno && configuration && strcmp(path, configuration) == 0;
+static int should_fail_open(const char *path) {
+    const char *config_path = getenv("RELAY_CONFIG");
+    return control->open_errno && config_path && strcmp(path, config_path) == 0;
 }
 
 /* open and open64 are one function with two names. */
 #define DEFINE_OPEN(name) \
     int name(const char *path, int flags, ...) { \
         REAL(name); \
-        va_list rest; \
-        va_start(rest, flags); \
-        int mode = va_arg(rest, int); \
-        va_end(rest); \
-        if (opens_configuration(path)) return fail(control->open_errno); \
+        va_list arguments; \
+        va_start(arguments, flags); \
+        int mode = va_arg(arguments, int); \
+        va_end(arguments); \
+        if (should_fail_open(path)) return fail(control->open_errno); \
         return real(path, flags, mode); \
     }
 DEFINE_OPEN(open)
@@ -150,22 +150,22 @@
 
 int epoll_pwait(int fd, struct epoll_event *events, int count, int timeout, const sigset_t *mask) {
     REAL(epoll_pwait);
-    if (draw(control->interrupt_rate)) return fail(EINTR);
+    if (should_inject(control->interrupt_rate)) return fail(EINTR);
     return real(fd, events, count, timeout, mask);
 }
 
 ssize_t read(int fd, void *buffer, size_t size) {
     REAL(read);
     if ((control->short_io_rate > 0 || control->broken_rate > 0) && is_socket(fd)) {
-        if (draw(control->broken_rate)) return fail(ETIMEDOUT);
-        if (size > 1 && draw(control->short_io_rate)) size = 1;
+        if (should_inject(control->broken_rate)) return fail(ETIMEDOUT);
+        if (size > 1 && should_inject(control->short_io_rate)) size = 1;
     }
     return real(fd, buffer, size);
 }
 
 ssize_t write(int fd, const void *buffer, size_t size) {
     REAL(write);
-    if (control->short_io_rate > 0 && size > 1 && is_socket(fd) && draw(control->short_io_rate)) size = 1;
+    if (control->short_io_rate > 0 && size > 1 && is_socket(fd) && should_inject(control->short_io_rate)) size = 1;
     return real(fd, buffer, size);
 }
 
