--- a/tests/soak/clients.py
+++ b/tests/soak/clients.py
@@ -21,7 +21,7 @@
 MEAN_REQUEST_INTERVAL = 0.12  # mean seconds between the requests of a client
 RESPONSE_MARGIN = 2.0  # seconds after its deadline for which a client still waits for a response
 KEEP_ALIVE_FRACTION = 0.8  # the fraction of requests after which the connection is kept open
-CONNECT_RETRY = 0.05  # seconds from a connection error to the next attempt to connect
+CONNECT_RETRY_DELAY = 0.05  # seconds from a connection error to the next attempt to connect
 BAD_REQUESTS = (
     b"GET /api HTTP/1.1\r\nX-Call",
     b"nonsense\r\n\r\n",
@@ -56,7 +56,7 @@
                 await self.send_random()
             except (OSError, asyncio.IncompleteReadError, TimeoutError):
                 await self.disconnect()
-                await asyncio.sleep(CONNECT_RETRY)
+                await asyncio.sleep(CONNECT_RETRY_DELAY)
 
     async def connect(self) -> None:
         """Connect to a randomly selected gateway."""
--- a/tests/soak/control.py
+++ b/tests/soak/control.py
@@ -151,7 +151,7 @@
         for number in range(len(targets)):
             entry = self.endpoint_entry(number, "SERVING")
             self.endpoints.entries[entry["instanceId"]] = entry
-            self.endpoints.versions[entry["instanceId"]] = 1
+            self.endpoints.generations[entry["instanceId"]] = 1
 
     def endpoint_entry(self, number: int, lifecycle: str, started_at: float = 0.0) -> dict[str, Any]:
         """Return the discovery entry of a backend; `started_at` is in seconds of the wall clock."""
--- a/tests/soak/event_log.py
+++ b/tests/soak/event_log.py
@@ -49,6 +49,6 @@
         prefix, _, text = line.partition("at=")
         if prefix != "quota_gateway.requests: ":
             continue
-        words = [word.partition("=") for word in f"at={text}".split()]
-        fields: dict[str, Any] = {name: value for name, _, value in words}
+        pairs = [pair.partition("=") for pair in f"at={text}".split()]
+        fields: dict[str, Any] = {name: value for name, _, value in pairs}
         yield LoggedEvent(float(fields.pop("at")), fields.pop("event"), fields, path.stem)
--- a/tests/soak/services.py
+++ b/tests/soak/services.py
@@ -27,7 +27,7 @@
     """The list of endpoints, with the generation in which each entry changed last."""
 
     entries: dict[str, dict[str, Any]] = field(default_factory=dict)
-    versions: dict[str, int] = field(default_factory=dict)
+    generations: dict[str, int] = field(default_factory=dict)
     generation: int = 1
     changed: asyncio.Condition = field(default_factory=asyncio.Condition)
 
@@ -36,12 +36,14 @@
         async with self.changed:
             self.generation += 1
             self.entries[entry["instanceId"]] = entry
-            self.versions[entry["instanceId"]] = self.generation
+            self.generations[entry["instanceId"]] = self.generation
             self.changed.notify_all()
 
-    def since(self, generation: int) -> list[dict[str, Any]]:
+    def changed_since(self, generation: int) -> list[dict[str, Any]]:
         """Return the entries that changed after a generation."""
-        return [self.entries[name] for name, version in self.versions.items() if version > generation]
+        return [
+            self.entries[name] for name, changed_in in self.generations.items() if changed_in > generation
+        ]
 
 
 class Agent(FakeServer):
@@ -94,7 +96,11 @@
     def changes_since(self, known_generation: int) -> bytes:
         """Return and log the entries changed since a generation; 0 gives the complete list."""
         endpoints = self.endpoints
-        entries = endpoints.since(known_generation) if known_generation else list(endpoints.entries.values())
+        entries = (
+            endpoints.changed_since(known_generation)
+            if known_generation
+            else list(endpoints.entries.values())
+        )
         for entry in entries:
             self.log.write(
                 "endpoint_reported",
