--- a/tests/fault_injection/system_faults.c
+++ b/tests/fault_injection/system_faults.c
@@ -34,7 +34,7 @@
     int32_t accept_errno;
     int32_t socket_errno;
     int32_t connect_errno;
-    int32_t folder_errno;   /* errno of renames, and of binds and connects of Unix sockets (the shared folder); 0: none */
+    int32_t folder_errno;   /* errno of renames and Unix binds and connects (shared folder); 0: none */
     int32_t open_errno;     /* errno of every open of the configuration file; 0: none */
     int32_t padding;
     int64_t injected;       /* number of faults injected so far */
@@ -61,6 +61,7 @@
     if (page != MAP_FAILED) control = page;
 }
 
+/* Returns 1 and counts a fault with the probability `rate`; draws from xorshift64. */
 static int should_inject(double rate) {
     if (rate <= 0) return 0;
     random_state ^= random_state << 13;
@@ -81,6 +82,7 @@
     return fstat(fd, &status) == 0 && S_ISSOCK(status.st_mode);
 }
 
+/* The mask removes SOCK_NONBLOCK and SOCK_CLOEXEC from the type. */
 static int is_tcp(int domain, int type) {
     return (domain == AF_INET || domain == AF_INET6) && (type & 0xf) == SOCK_STREAM;
 }
@@ -101,6 +103,7 @@
     return real(domain, type, protocol);
 }
 
+/* Returns 1 and counts a fault while the shared folder has to fail. */
 static int should_fail_folder(void) {
     if (!control->folder_errno) return 0;
     __atomic_add_fetch(&control->injected, 1, __ATOMIC_RELAXED);
@@ -129,6 +132,7 @@
     return real(from, to);
 }
 
+/* Returns 1 if `path` is the configuration file and its opens have to fail. */
 static int should_fail_open(const char *path) {
     const char *config_path = getenv("RELAY_CONFIG");
     return control->open_errno && config_path && strcmp(path, config_path) == 0;
--- a/tests/soak/backends.py
+++ b/tests/soak/backends.py
@@ -21,10 +21,10 @@
     """How a backend behaves."""
 
     SERVES = "serves"
-    HANGS = "hangs"
-    FAILS = "fails"
-    REJECTS = "rejects"
-    RESETS = "resets"  # resets most connections within a response
+    HANGS = "hangs"  # answers no request until the mode changes
+    FAILS = "fails"  # answers most requests with status 500
+    REJECTS = "rejects"  # answers most requests with status 503 and X-Rejected
+    RESETS = "resets"  # resets the connection within most responses
 
 
 class SoakBackend(FakeServer):
--- a/tests/soak/clients.py
+++ b/tests/soak/clients.py
@@ -18,7 +18,7 @@
 
 REQUEST_CLASSES = ("lookup", "lookup", "report", "extract")
 BUDGETS = (0.4, 0.8, 1.5, 2.4)  # seconds until the deadline of a request
-MEAN_REQUEST_INTERVAL = 0.12  # mean seconds between the requests of a client
+MEAN_REQUEST_INTERVAL = 0.12  # seconds on average from the end of one exchange to the next request
 RESPONSE_MARGIN = 2.0  # seconds after its deadline for which a client still waits for a response
 KEEP_ALIVE_FRACTION = 0.8  # the fraction of requests after which the connection is kept open
 CONNECT_RETRY_DELAY = 0.05  # seconds from a connection error to the next attempt to connect
--- a/tests/soak/control.py
+++ b/tests/soak/control.py
@@ -275,6 +275,7 @@
         self.signal_reload(gateway)
 
     def switch_agent(self, gateway: Gateway) -> None:
+        """Replace the discovery address in the gateway's configuration by that of its other agent."""
         addresses = [agent.address for agent in self.agents[gateway.index]]
         gateway.document["discovery"] = addresses[gateway.document["discovery"] == addresses[0]]
 
@@ -316,6 +317,7 @@
             await self.end_maintenance(gateway.newest, backend)
 
     async def end_maintenance(self, child: GatewayChild | None, backend: str) -> None:
+        """Put a backend back into service through the admin API, if a process is running."""
         if child is not None:
             await child.call_admin_api("POST", f"/backends/{backend}/ready")
 
--- a/tests/soak/fault_proxy.py
+++ b/tests/soak/fault_proxy.py
@@ -12,7 +12,7 @@
 from tests.soak.event_log import EventLog
 from tests.soak.plan import HOST
 
-READ_SIZE = 65536
+READ_SIZE = 65536  # bytes
 MAX_CONNECT_DELAY = 0.6  # seconds before the proxy connects to the backend
 
 
--- a/tests/soak/oracle.py
+++ b/tests/soak/oracle.py
@@ -13,7 +13,7 @@
 ATTEMPT_SLACK = 0.1  # seconds after a client closed its connection in which an attempt may start
 DEADLINE_SLACK = 0.15  # seconds by which an attempt's budget may exceed the time left to its client
 DRAIN_TIME = 2.0  # seconds from the report that a backend drains to the last attempt sent to it
-MAX_AGENT_OUTAGE = 3.0  # seconds: the longest failure of an agent and a margin
+MAX_AGENT_OUTAGE = 3.0  # seconds for which an agent may fail: at most 2.5, plus a margin
 MAX_PROPAGATION_TIME = 6.0  # seconds until a gateway must know a change in discovery, whatever fails
 MAINTENANCE_SLACK = 0.3  # seconds from an operator's command to the last attempt sent to the backend
 RESTART_TIME = 1.5  # seconds after a kill until the clients of an inherited socket are accepted again
@@ -36,9 +36,8 @@
 
     events: list[LoggedEvent]
     by_call: dict[str, list[LoggedEvent]] = field(default_factory=lambda: defaultdict(list))
-    errors: dict[str, str] = field(
-        default_factory=dict
-    )  # by process: its standard error without the request log
+    # The standard error of each gateway process, without the request log.
+    errors: dict[str, str] = field(default_factory=dict)
 
     def named(self, name: str) -> list[LoggedEvent]:
         """Return the events with this name."""
--- a/tests/soak/plan.py
+++ b/tests/soak/plan.py
@@ -35,7 +35,7 @@
 class Fault(StrEnum):
     """The kinds of fault that a run injects.
 
-    The order of the members determines what a seed draws.
+    The order of the members is part of what a seed generates, so it must not change.
     """
 
     PAUSE = "pause"  # the newest process of a gateway is stopped with SIGSTOP for up to 0.3 s
@@ -50,7 +50,7 @@
     BACKEND_FAILS = "backend_fails"
     BACKEND_REJECTS = "backend_rejects"
     BACKEND_RESETS = "backend_resets"
-    BACKENDS_PAUSE = "backends_pause"  # a process that runs several backends is stopped with SIGSTOP
+    BACKENDS_PAUSE = "backends_pause"  # a process with several backends is stopped for up to 1 s
     BACKEND_DRAINS = "backend_drains"
     BACKEND_RESTARTS = "backend_restarts"
     PROXY_DELAYS = "proxy_delays"
@@ -62,14 +62,14 @@
     DISCOVERY_OVERLOADED = "discovery_overloaded"
     COUNTER_UNRESPONSIVE = "counter_unresponsive"
     COUNTER_BUSY = "counter_busy"
-    SYSTEM_CALLS_FAIL = "system_calls_fail"  # accept, socket and connect calls of a gateway
-    SHORT_IO = "short_io"  # short reads and writes and interrupted epoll waits of a gateway
-    CLOCK_STEP = "clock_step"  # a step of a gateway's wall clock
+    SYSTEM_CALLS_FAIL = "system_calls_fail"  # some accept, socket and connect calls of a gateway fail
+    SHORT_IO = "short_io"  # a gateway has short reads and writes and interrupted epoll waits
+    CLOCK_STEP = "clock_step"  # the wall clock of a gateway is stepped, and stepped back later
     SHARED_FOLDER_FAILS = "shared_folder_fails"
 
 
-# Faults are drawn uniformly from this sequence: those listed several times are more frequent. The order
-# determines what a seed draws.
+# Faults are drawn uniformly from this sequence: those listed several times are more frequent. Its
+# order is part of what a seed generates.
 WEIGHTED_FAULTS = (
     *Fault,
     Fault.PAUSE,
