--- a/tests/soak/control.py
+++ b/tests/soak/control.py
@@ -1,4 +1,4 @@
-"""The control of a run: starts all processes, and carries out the planned troubles."""
+"""The controller of a run: starts all processes and injects the planned faults."""
 
 from __future__ import annotations
 
@@ -12,52 +12,52 @@
 from typing import Any
 
 from tests.fakes import example_settings
-from tests.soak.backends import Mode
+from tests.soak.backends import BackendMode
 from tests.soak.event_log import EventLog
 from tests.soak.fault_proxy import ProxyMode
 from tests.soak.gateways import ROOT, Gateway, GatewayChild
 from tests.soak.plan import (
+    CLOCK_STEPS,
     CONNECT_ERRORS,
     FOLDER_ERRORS,
     HOST,
-    SHORTAGES,
-    STEPS,
-    PlannedTrouble,
+    RESOURCE_ERRORS,
+    Fault,
+    PlannedFault,
     RunSize,
-    Trouble,
-    plan_troubles,
+    plan_faults,
 )
 from tests.soak.services import Agent, EndpointList, ServiceMode, SoakCounter
 
-HOLD_UPS = (0.05, 0.15, 0.15, 0.3)  # seconds
-FAILURE_RATE = 0.12  # of system calls, at most
-HALF_FILE_TIME = 0.3  # seconds in which a configuration file is half written
-END_TIME = 4.0  # seconds after the clients' end until all answers are in
+PAUSE_TIMES = (0.05, 0.15, 0.15, 0.3)  # seconds for which a gateway process is stopped
+MAX_FAILURE_RATE = 0.12  # the largest fraction of system calls that fail
+PARTIAL_FILE_TIME = 0.3  # seconds for which a configuration file is incomplete or unreadable
+SETTLE_TIME = 4.0  # seconds after the clients' last requests until all responses have arrived
 BACKEND_MODES = {
-    Trouble.BACKEND_HANGS: Mode.HANGS,
-    Trouble.BACKEND_FAILS: Mode.FAILS,
-    Trouble.BACKEND_REJECTS: Mode.REJECTS,
-    Trouble.BACKEND_RESETS: Mode.RESETS,
+    Fault.BACKEND_HANGS: BackendMode.HANGS,
+    Fault.BACKEND_FAILS: BackendMode.FAILS,
+    Fault.BACKEND_REJECTS: BackendMode.REJECTS,
+    Fault.BACKEND_RESETS: BackendMode.RESETS,
 }
 PROXY_MODES = {
-    Trouble.PROXY_DELAYS: ProxyMode.DELAYS,
-    Trouble.PROXY_RESETS: ProxyMode.RESETS,
-    Trouble.PROXY_FREEZES: ProxyMode.FREEZES,
-    Trouble.PROXY_DRIBBLES: ProxyMode.DRIBBLES,
+    Fault.PROXY_DELAYS: ProxyMode.DELAYS,
+    Fault.PROXY_RESETS: ProxyMode.RESETS,
+    Fault.PROXY_STALLS: ProxyMode.STALLS,
+    Fault.PROXY_FRAGMENTS: ProxyMode.FRAGMENTS,
 }
 AGENT_MODES = {
-    Trouble.DISCOVERY_SILENT: ServiceMode.SILENT,
-    Trouble.DISCOVERY_DOWN: ServiceMode.DOWN,
-    Trouble.DISCOVERY_REFUSES: ServiceMode.REFUSES,
+    Fault.DISCOVERY_UNRESPONSIVE: ServiceMode.UNRESPONSIVE,
+    Fault.DISCOVERY_DOWN: ServiceMode.DOWN,
+    Fault.DISCOVERY_OVERLOADED: ServiceMode.OVERLOADED,
 }
 COUNTER_MODES = {
-    Trouble.COUNTER_SILENT: ServiceMode.SILENT,
-    Trouble.COUNTER_BUSY: ServiceMode.REFUSES,
+    Fault.COUNTER_UNRESPONSIVE: ServiceMode.UNRESPONSIVE,
+    Fault.COUNTER_BUSY: ServiceMode.OVERLOADED,
 }
 
 
-def run_settings(size: RunSize, index: int) -> dict[str, Any]:
-    """Return the settings of one gateway: the example's, with short deadlines and more quota."""
+def gateway_settings(size: RunSize, index: int) -> dict[str, Any]:
+    """Return the settings of one gateway: those of the example, with short deadlines and more quota."""
     settings = example_settings()
     settings.update(balancers=size.gateways, me=index)
     for service in settings["services"]:
@@ -67,32 +67,32 @@
 
 
 class Worker:
-    """A process of a run that plays one role, and its standard input."""
+    """A worker process with one role, which takes commands on its standard input."""
 
     def __init__(self, process: asyncio.subprocess.Process) -> None:
         self.process = process
 
     async def read_addresses(self) -> list[str]:
-        """Return the addresses that the process listens at."""
+        """Read and return the addresses on which the process listens."""
         assert self.process.stdout is not None
         addresses: list[str] = json.loads(await self.process.stdout.readline())
         return addresses
 
     def command(self, **fields: Any) -> None:
-        """Send a command."""
+        """Send a command to the process as a JSON line."""
         assert self.process.stdin is not None
         self.process.stdin.write(json.dumps(fields).encode() + b"\n")
 
     async def stop(self) -> None:
-        """End the process."""
+        """Kill the process, even if it is stopped, and wait for it."""
         if self.process.returncode is None:
             self.process.send_signal(signal.SIGCONT)
             self.process.kill()
         await self.process.wait()
 
 
-class Control:
-    """One run."""
+class RunController:
+    """Controls one run: its processes, its fake services and its faults."""
 
     def __init__(self, seed: int, size: RunSize, folder: pathlib.Path) -> None:
         self.seed = seed
@@ -101,16 +101,16 @@
         self.log = EventLog(folder / "control.jsonl")
         self.endpoints = EndpointList()
         self.counter = SoakCounter()
-        self.agents: list[list[Agent]] = []  # two for each gateway, which reloads change between
+        self.agents: list[list[Agent]] = []  # two per gateway, between which reloads switch
         self.gateways: list[Gateway] = []
         self.workers: list[Worker] = []
         self.backend_workers: list[Worker] = []
         self.proxy: Worker
-        self.addresses: list[str] = []  # of the backends, by the proxy
-        self.drained: set[int] = set()
+        self.addresses: list[str] = []  # of the proxy, one for each backend
+        self.draining: set[int] = set()
 
     async def start_worker(self, role: str, name: str, arguments: dict[str, Any]) -> Worker:
-        """Start a process that plays a role."""
+        """Start a worker process with a role."""
         path = self.folder / f"{name}.arguments"
         path.write_text(json.dumps({**arguments, "seed": self.seed}))
         process = await asyncio.create_subprocess_exec(
@@ -129,16 +129,16 @@
         return worker
 
     async def run(self) -> None:
-        """Play the run, and stop everything whatever happens."""
+        """Perform the run and stop all processes, also after an error."""
         try:
             await self.start_backends()
             await self.start_gateways()
-            await self.play()
+            await self.run_workload()
         finally:
             await self.stop()
 
     async def start_backends(self) -> None:
-        """Start the backends, the proxy before them, and list them."""
+        """Start the backends and the proxy in front of them, and add them to discovery."""
         targets: list[str] = []
         for number in range(self.size.backend_processes):
             first = number * self.size.backends_each
@@ -149,12 +149,12 @@
         self.proxy = await self.start_worker("proxy", "proxy", {"targets": targets})
         self.addresses = await self.proxy.read_addresses()
         for number in range(len(targets)):
-            entry = self.entry(number, "SERVING")
+            entry = self.endpoint_entry(number, "SERVING")
             self.endpoints.entries[entry["instanceId"]] = entry
-            self.endpoints.versions[entry["instanceId"]] = 1
+            self.endpoints.generations[entry["instanceId"]] = 1
 
-    def entry(self, number: int, lifecycle: str, started_at: float = 0.0) -> dict[str, Any]:
-        """Return a backend as discovery lists it."""
+    def endpoint_entry(self, number: int, lifecycle: str, started_at: float = 0.0) -> dict[str, Any]:
+        """Return the discovery entry of a backend; `started_at` is in seconds of the wall clock."""
         return {
             "instanceId": f"b{number}",
             "hostPort": self.addresses[number],
@@ -181,227 +181,229 @@
                 "seed": f"{self.seed * 1000 + index:x}",
                 "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 512},
                 "known": {"generation": 1, "reset": True, "instances": list(self.endpoints.entries.values())},
-                "settings": run_settings(self.size, index),
+                "settings": gateway_settings(self.size, index),
             }
             self.gateways.append(Gateway(index, self.folder, document, self.log))
         await asyncio.gather(*(gateway.start() for gateway in self.gateways))
 
-    async def play(self) -> None:
-        """Let the clients play, and carry out the troubles at their times."""
+    async def run_workload(self) -> None:
+        """Start the clients, and inject the faults at their times until the run is over."""
         gateways = [[HOST, gateway.port] for gateway in self.gateways]
         for number in range(self.size.client_processes):
             first = number * self.size.clients_each
             names = [str(first + offset + 1) for offset in range(self.size.clients_each)]
             arguments = {"names": names, "gateways": gateways, "seconds": self.size.seconds}
             await self.start_worker("clients", f"clients-{number}", arguments)
-        began_at = time.monotonic()
-        self.log.write("began")
+        started_at = time.monotonic()
+        self.log.write("run_started")
         tasks = []
-        for trouble in plan_troubles(self.seed, self.size.seconds):
-            await asyncio.sleep(max(began_at + trouble.at - time.monotonic(), 0.0))
-            tasks.append(asyncio.ensure_future(self.carry_out(trouble)))
-        await asyncio.sleep(max(began_at + self.size.seconds - time.monotonic(), 0.0))
+        for fault in plan_faults(self.seed, self.size.seconds):
+            await asyncio.sleep(max(started_at + fault.starts_at - time.monotonic(), 0.0))
+            tasks.append(asyncio.ensure_future(self.inject(fault)))
+        await asyncio.sleep(max(started_at + self.size.seconds - time.monotonic(), 0.0))
         await asyncio.gather(*tasks)
-        await asyncio.sleep(END_TIME)
+        await asyncio.sleep(SETTLE_TIME)
 
     async def stop(self) -> None:
-        """End all gateways as on a planned restart, and kill the rest."""
+        """Terminate all gateways as in a planned restart, then stop the workers and the fake services."""
         for gateway in self.gateways:
-            await asyncio.gather(*(child.end() for child in gateway.running))
-        self.log.write("over")
+            await asyncio.gather(*(child.terminate() for child in gateway.running))
+        self.log.write("run_ended")
         for worker in self.workers:
             await worker.stop()
         for server in [self.counter, *(agent for agents in self.agents for agent in agents)]:
             await server.stop()
 
-    async def carry_out(self, trouble: PlannedTrouble) -> None:
-        """Begin a trouble, and end it after its time."""
-        self.log.write("trouble", kind=trouble.kind, seconds=trouble.seconds, target=trouble.target)
-        kind = trouble.kind
+    async def inject(self, fault: PlannedFault) -> None:
+        """Inject a fault, and end it after its duration."""
+        self.log.write("fault_started", kind=fault.kind, duration=fault.duration, target=fault.target)
+        kind = fault.kind
         if kind in BACKEND_MODES:
-            await self.change_backend(trouble, BACKEND_MODES[kind])
+            await self.change_backend_mode(fault, BACKEND_MODES[kind])
         elif kind in PROXY_MODES:
-            await self.change_proxy(trouble, PROXY_MODES[kind])
+            await self.change_proxy_mode(fault, PROXY_MODES[kind])
         elif kind in AGENT_MODES:
-            await self.change_agents(trouble, AGENT_MODES[kind])
+            await self.change_agent_mode(fault, AGENT_MODES[kind])
         elif kind in COUNTER_MODES:
             self.counter.mode = COUNTER_MODES[kind]
-            await asyncio.sleep(trouble.seconds)
+            await asyncio.sleep(fault.duration)
             self.counter.mode = ServiceMode.SERVES
         else:
-            await self.handlers()[kind](trouble, self.gateways[trouble.target % len(self.gateways)])
+            await self.fault_handlers()[kind](fault, self.gateways[fault.target % len(self.gateways)])
 
-    def handlers(self) -> dict[Trouble, Callable[[PlannedTrouble, Gateway], Awaitable[None]]]:
-        """Return what carries out each of the other kinds."""
+    def fault_handlers(self) -> dict[Fault, Callable[[PlannedFault, Gateway], Awaitable[None]]]:
+        """Return the handlers of the faults that are no mode of a backend, the proxy or a service."""
         return {
-            Trouble.HOLD_UP: self.hold_up,
-            Trouble.KILL: lambda trouble, gateway: self.restart(gateway, gateway.kill),
-            Trouble.RESTART: lambda trouble, gateway: self.restart(gateway, gateway.restart),
-            Trouble.HOT_RESTART: lambda trouble, gateway: self.restart(gateway, gateway.hot_restart),
-            Trouble.NEWER_DIES: lambda trouble, gateway: self.restart(
-                gateway, lambda: gateway.lose_newer(trouble.choice)
+            Fault.PAUSE: self.pause_process,
+            Fault.KILL: lambda fault, gateway: self.restart_gateway(gateway, gateway.kill),
+            Fault.RESTART: lambda fault, gateway: self.restart_gateway(gateway, gateway.restart),
+            Fault.HOT_RESTART: lambda fault, gateway: self.restart_gateway(gateway, gateway.hot_restart),
+            Fault.NEW_PROCESS_KILLED: lambda fault, gateway: self.restart_gateway(
+                gateway, lambda: gateway.kill_new_process(fault.random_value)
             ),
-            Trouble.RELOAD: self.reload,
-            Trouble.BROKEN_RELOAD: self.reload_broken,
-            Trouble.MAINTENANCE: self.maintain,
-            Trouble.BACKEND_STOPS: self.stop_backends,
-            Trouble.BACKEND_DRAINS: self.drain_backend,
-            Trouble.BACKEND_RESTARTS: self.restart_backend,
-            Trouble.CALLS_FAIL: self.fail_calls,
-            Trouble.SHORT_CALLS: self.shorten_calls,
-            Trouble.CLOCK_STEP: self.step_clock,
-            Trouble.FOLDER_FAILS: self.fail_folder,
+            Fault.RELOAD: self.reload,
+            Fault.FAILED_RELOAD: self.fail_reload,
+            Fault.MAINTENANCE: self.run_maintenance,
+            Fault.BACKENDS_PAUSE: self.pause_backends,
+            Fault.BACKEND_DRAINS: self.drain_backend,
+            Fault.BACKEND_RESTARTS: self.restart_backend,
+            Fault.SYSTEM_CALLS_FAIL: self.fail_system_calls,
+            Fault.SHORT_IO: self.shorten_io,
+            Fault.CLOCK_STEP: self.step_clock,
+            Fault.SHARED_FOLDER_FAILS: self.fail_shared_folder,
         }
 
-    async def restart(self, gateway: Gateway, action: Callable[[], Awaitable[None]]) -> None:
-        """Do something with the processes of a gateway, one thing at a time."""
-        async with gateway.lifecycle:
+    async def restart_gateway(self, gateway: Gateway, action: Callable[[], Awaitable[None]]) -> None:
+        """Run a restart action of a gateway while no other action changes its processes."""
+        async with gateway.lifecycle_lock:
             await action()
 
-    async def hold_up(self, trouble: PlannedTrouble, gateway: Gateway) -> None:
-        """Stop the newest process for a moment."""
+    async def pause_process(self, fault: PlannedFault, gateway: Gateway) -> None:
+        """Stop the newest process of a gateway for a short time."""
         child = gateway.newest
         if child is None:
             return
-        seconds = HOLD_UPS[int(trouble.choice * len(HOLD_UPS))]
+        seconds = PAUSE_TIMES[int(fault.random_value * len(PAUSE_TIMES))]
         child.signal(signal.SIGSTOP)
         await asyncio.sleep(seconds)
         child.signal(signal.SIGCONT)
 
-    async def reload(self, trouble: PlannedTrouble, gateway: Gateway) -> None:
-        """Move discovery to the gateway's other agent."""
-        self.move_agent(gateway)
+    async def reload(self, fault: PlannedFault, gateway: Gateway) -> None:
+        """Reload a gateway with the address of its other discovery agent."""
+        self.switch_agent(gateway)
         gateway.write_config()
         self.signal_reload(gateway)
 
-    def move_agent(self, gateway: Gateway) -> None:
+    def switch_agent(self, gateway: Gateway) -> None:
+        """Replace the discovery address in the gateway's configuration by that of its other agent."""
         addresses = [agent.address for agent in self.agents[gateway.index]]
         gateway.document["discovery"] = addresses[gateway.document["discovery"] == addresses[0]]
 
     def signal_reload(self, gateway: Gateway) -> None:
-        """Send SIGHUP to the processes that are ready."""
+        """Send SIGHUP to all processes of a gateway, unless one of them is starting or ending."""
         for child in gateway.running:
-            if child in gateway.children and not gateway.lifecycle.locked():
+            if child in gateway.children and not gateway.lifecycle_lock.locked():
                 child.signal(signal.SIGHUP)
 
-    async def reload_broken(self, trouble: PlannedTrouble, gateway: Gateway) -> None:
-        """Move discovery with a file that can't be read, or is half written, at first."""
-        async with gateway.lifecycle:
-            self.move_agent(gateway)
-            if trouble.choice < 0.5:
+    async def fail_reload(self, fault: PlannedFault, gateway: Gateway) -> None:
+        """Reload a gateway with a file that is at first incomplete or cannot be opened."""
+        async with gateway.lifecycle_lock:
+            self.switch_agent(gateway)
+            if fault.random_value < 0.5:
                 gateway.config_path.write_text('{"name":')
             else:
-                gateway.faults.fail_configuration_file(FOLDER_ERRORS[0])
+                gateway.fault_injector.fail_configuration_file(FOLDER_ERRORS[0])
             for child in gateway.running:
                 child.signal(signal.SIGHUP)
-            await asyncio.sleep(HALF_FILE_TIME)
-            gateway.faults.fail_configuration_file(0)
+            await asyncio.sleep(PARTIAL_FILE_TIME)
+            gateway.fault_injector.fail_configuration_file(0)
             gateway.write_config()
 
-    async def maintain(self, trouble: PlannedTrouble, gateway: Gateway) -> None:
-        """Take a backend out of service for some time."""
-        backend = f"b{trouble.target % self.size.backends}"
-        async with gateway.lifecycle:
+    async def run_maintenance(self, fault: PlannedFault, gateway: Gateway) -> None:
+        """Take a backend out of service at one gateway for twice the duration of the fault."""
+        backend = f"b{fault.target % self.size.backends}"
+        async with gateway.lifecycle_lock:
             child = gateway.newest
-            if child is None or await child.call("POST", f"/backends/{backend}/maint") != 200:
+            if child is None or await child.call_admin_api("POST", f"/backends/{backend}/maint") != 200:
                 return
-            gateway.maintenance.add(backend)
-            self.log.write("maintenance", gateway=gateway.index, backend=backend)
-        await asyncio.sleep(2 * trouble.seconds)
-        async with gateway.lifecycle:
-            if backend not in gateway.maintenance:
+            gateway.backends_in_maintenance.add(backend)
+            self.log.write("maintenance_started", gateway=gateway.index, backend=backend)
+        await asyncio.sleep(2 * fault.duration)
+        async with gateway.lifecycle_lock:
+            if backend not in gateway.backends_in_maintenance:
                 return
-            gateway.maintenance.discard(backend)
+            gateway.backends_in_maintenance.discard(backend)
             self.log.write("maintenance_ended", gateway=gateway.index, backend=backend)
             await self.end_maintenance(gateway.newest, backend)
 
     async def end_maintenance(self, child: GatewayChild | None, backend: str) -> None:
+        """Put a backend back into service through the admin API, if a process is running."""
         if child is not None:
-            await child.call("POST", f"/backends/{backend}/ready")
+            await child.call_admin_api("POST", f"/backends/{backend}/ready")
 
-    async def change_backend(self, trouble: PlannedTrouble, mode: Mode) -> None:
-        """Have a backend behave differently for some time."""
-        number = trouble.target % self.size.backends
+    async def change_backend_mode(self, fault: PlannedFault, mode: BackendMode) -> None:
+        """Change the mode of a backend for the duration of the fault."""
+        number = fault.target % self.size.backends
         worker = self.backend_workers[number // self.size.backends_each]
         index = number % self.size.backends_each
         worker.command(backend=index, mode=mode)
-        await asyncio.sleep(trouble.seconds)
-        worker.command(backend=index, mode=Mode.SERVES)
+        await asyncio.sleep(fault.duration)
+        worker.command(backend=index, mode=BackendMode.SERVES)
 
-    async def change_proxy(self, trouble: PlannedTrouble, mode: ProxyMode) -> None:
-        """Have the connections to a backend fare differently for some time."""
-        number = trouble.target % self.size.backends
+    async def change_proxy_mode(self, fault: PlannedFault, mode: ProxyMode) -> None:
+        """Change how the proxy treats the connections to a backend for the duration of the fault."""
+        number = fault.target % self.size.backends
         self.proxy.command(route=number, mode=mode)
-        await asyncio.sleep(trouble.seconds)
-        self.proxy.command(route=number, mode=ProxyMode.PASSES)
+        await asyncio.sleep(fault.duration)
+        self.proxy.command(route=number, mode=ProxyMode.FORWARDS)
 
-    async def change_agents(self, trouble: PlannedTrouble, mode: ServiceMode) -> None:
-        """Have the agents of one gateway behave differently for some time."""
-        agents = self.agents[trouble.target % self.size.gateways]
+    async def change_agent_mode(self, fault: PlannedFault, mode: ServiceMode) -> None:
+        """Change the mode of both agents of a gateway for the duration of the fault."""
+        agents = self.agents[fault.target % self.size.gateways]
         for agent in agents:
             agent.set_mode(mode)
-        await asyncio.sleep(trouble.seconds)
+        await asyncio.sleep(fault.duration)
         for agent in agents:
             agent.set_mode(ServiceMode.SERVES)
 
-    async def stop_backends(self, trouble: PlannedTrouble, gateway: Gateway) -> None:
-        """Stop a process with some backends for a while."""
-        process = self.backend_workers[trouble.target % len(self.backend_workers)].process
+    async def pause_backends(self, fault: PlannedFault, gateway: Gateway) -> None:
+        """Stop a process that runs several backends for up to one second."""
+        process = self.backend_workers[fault.target % len(self.backend_workers)].process
         process.send_signal(signal.SIGSTOP)
-        await asyncio.sleep(min(trouble.seconds, 1.0))
+        await asyncio.sleep(min(fault.duration, 1.0))
         if process.returncode is None:
             process.send_signal(signal.SIGCONT)
 
-    async def drain_backend(self, trouble: PlannedTrouble, gateway: Gateway) -> None:
-        """Drain a backend, and start it anew some time later."""
-        number = trouble.target % self.size.backends
-        if number in self.drained or len(self.drained) >= self.size.backends // 3:
+    async def drain_backend(self, fault: PlannedFault, gateway: Gateway) -> None:
+        """Drain a backend and bring it back as restarted; at most a third of the backends drain at once."""
+        number = fault.target % self.size.backends
+        if number in self.draining or len(self.draining) >= self.size.backends // 3:
             return
-        self.drained.add(number)
-        self.log.write("drained", backend=f"b{number}")
-        await self.endpoints.publish(self.entry(number, "DRAINING"))
-        await asyncio.sleep(3.0 + trouble.seconds)
-        self.log.write("back", backend=f"b{number}")
-        await self.endpoints.publish(self.entry(number, "SERVING", time.time()))
-        self.drained.discard(number)
-
-    async def restart_backend(self, trouble: PlannedTrouble, gateway: Gateway) -> None:
-        """Reset all connections of a backend, which comes back cold."""
-        number = trouble.target % self.size.backends
-        if number in self.drained:
+        self.draining.add(number)
+        self.log.write("drain_started", backend=f"b{number}")
+        await self.endpoints.publish(self.endpoint_entry(number, "DRAINING"))
+        await asyncio.sleep(3.0 + fault.duration)
+        self.log.write("drain_ended", backend=f"b{number}")
+        await self.endpoints.publish(self.endpoint_entry(number, "SERVING", time.time()))
+        self.draining.discard(number)
+
+    async def restart_backend(self, fault: PlannedFault, gateway: Gateway) -> None:
+        """Reset all connections of a backend and list it as just started."""
+        number = fault.target % self.size.backends
+        if number in self.draining:
             return
         worker = self.backend_workers[number // self.size.backends_each]
         worker.command(backend=number % self.size.backends_each, restart=True)
-        await self.endpoints.publish(self.entry(number, "SERVING", time.time()))
-
-    async def fail_calls(self, trouble: PlannedTrouble, gateway: Gateway) -> None:
-        """Have system calls of a gateway fail for a moment each."""
-        error = SHORTAGES[int(trouble.choice * len(SHORTAGES))]
-        rate = FAILURE_RATE * trouble.choice
-        gateway.faults.fail_accepts(rate, error)
-        gateway.faults.fail_sockets(rate, SHORTAGES[0])
-        gateway.faults.fail_connects(rate, CONNECT_ERRORS[trouble.target % len(CONNECT_ERRORS)])
-        await asyncio.sleep(trouble.seconds)
-        gateway.faults.fail_accepts(0.0, 0)
-        gateway.faults.fail_sockets(0.0, 0)
-        gateway.faults.fail_connects(0.0, 0)
-
-    async def shorten_calls(self, trouble: PlannedTrouble, gateway: Gateway) -> None:
-        """Have reads and writes of a gateway be short, and its waits interrupted."""
-        gateway.faults.page.short_io_rate = 0.2
-        gateway.faults.page.interrupt_rate = 0.05
-        await asyncio.sleep(trouble.seconds)
-        gateway.faults.page.short_io_rate = 0.0
-        gateway.faults.page.interrupt_rate = 0.0
-
-    async def step_clock(self, trouble: PlannedTrouble, gateway: Gateway) -> None:
-        """Step the wall clock of a gateway, and step it back."""
-        gateway.faults.step_wall_clock(STEPS[int(trouble.choice * len(STEPS))])
-        await asyncio.sleep(2 * trouble.seconds)
-        gateway.faults.step_wall_clock(0.0)
-
-    async def fail_folder(self, trouble: PlannedTrouble, gateway: Gateway) -> None:
-        """Have the shared folder of a gateway fail for a while."""
-        gateway.faults.fail_folder(FOLDER_ERRORS[trouble.target % len(FOLDER_ERRORS)])
-        await asyncio.sleep(trouble.seconds)
-        gateway.faults.fail_folder(0)
+        await self.endpoints.publish(self.endpoint_entry(number, "SERVING", time.time()))
+
+    async def fail_system_calls(self, fault: PlannedFault, gateway: Gateway) -> None:
+        """Make a fraction of the accept, socket and connect calls of a gateway fail."""
+        error = RESOURCE_ERRORS[int(fault.random_value * len(RESOURCE_ERRORS))]
+        rate = MAX_FAILURE_RATE * fault.random_value
+        gateway.fault_injector.fail_accepts(rate, error)
+        gateway.fault_injector.fail_sockets(rate, RESOURCE_ERRORS[0])
+        gateway.fault_injector.fail_connects(rate, CONNECT_ERRORS[fault.target % len(CONNECT_ERRORS)])
+        await asyncio.sleep(fault.duration)
+        gateway.fault_injector.fail_accepts(0.0, 0)
+        gateway.fault_injector.fail_sockets(0.0, 0)
+        gateway.fault_injector.fail_connects(0.0, 0)
+
+    async def shorten_io(self, fault: PlannedFault, gateway: Gateway) -> None:
+        """Make reads and writes of a gateway short, and interrupt its epoll waits."""
+        gateway.fault_injector.page.short_io_rate = 0.2
+        gateway.fault_injector.page.interrupt_rate = 0.05
+        await asyncio.sleep(fault.duration)
+        gateway.fault_injector.page.short_io_rate = 0.0
+        gateway.fault_injector.page.interrupt_rate = 0.0
+
+    async def step_clock(self, fault: PlannedFault, gateway: Gateway) -> None:
+        """Step the wall clock of a gateway, and step it back after twice the duration of the fault."""
+        gateway.fault_injector.step_wall_clock(CLOCK_STEPS[int(fault.random_value * len(CLOCK_STEPS))])
+        await asyncio.sleep(2 * fault.duration)
+        gateway.fault_injector.step_wall_clock(0.0)
+
+    async def fail_shared_folder(self, fault: PlannedFault, gateway: Gateway) -> None:
+        """Make every use of a gateway's shared folder fail for the duration of the fault."""
+        gateway.fault_injector.fail_folder(FOLDER_ERRORS[fault.target % len(FOLDER_ERRORS)])
+        await asyncio.sleep(fault.duration)
+        gateway.fault_injector.fail_folder(0)
--- a/tests/soak/oracle.py
+++ b/tests/soak/oracle.py
@@ -1,4 +1,4 @@
-"""The oracle of a run: reads the events of all processes and finds broken invariants."""
+"""The oracle of a run: reads the event logs of all processes and reports violated invariants."""
 
 from __future__ import annotations
 
@@ -9,42 +9,43 @@
 from tests.soak.event_log import LoggedEvent, read_events, read_gateway_log
 from tests.soak.plan import RunSize
 
-ANSWER_SLACK = 0.5  # seconds after a client's time until which an answer is not lost
-START_SLACK = 0.1  # seconds after its client left in which an attempt may begin
-DEADLINE_SLACK = 0.15  # seconds by which an attempt may have more time than its client
-DRAIN_TIME = 2.0  # seconds from the notice that a backend drains to the last attempt
-LONGEST_OUTAGE = 3.0  # seconds that an agent fails, and some
-NOTICE_TIME = 6.0  # seconds from a change until it counts as told, whatever fails
-MAINTENANCE_SLACK = 0.3  # seconds from an operator's command to the last attempt
-START_TIME = 1.5  # seconds after a kill until clients of an inherited socket are accepted again
-ONCE = "extract"  # the class whose requests may run once only
+RESPONSE_SLACK = 0.5  # seconds after the client's deadline in which a response still counts as in time
+ATTEMPT_SLACK = 0.1  # seconds after a client closed its connection in which an attempt may start
+DEADLINE_SLACK = 0.15  # seconds by which an attempt's budget may exceed the time left to its client
+DRAIN_TIME = 2.0  # seconds from the report that a backend drains to the last attempt sent to it
+MAX_AGENT_OUTAGE = 3.0  # seconds for which an agent may fail: at most 2.5, plus a margin
+MAX_PROPAGATION_TIME = 6.0  # seconds until a gateway must know a change in discovery, whatever fails
+MAINTENANCE_SLACK = 0.3  # seconds from an operator's command to the last attempt sent to the backend
+RESTART_TIME = 1.5  # seconds after a kill until the clients of an inherited socket are accepted again
+RUN_ONCE_CLASS = "extract"  # the request class whose requests must not be executed twice
 
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """A broken invariant, and the story of what it struck."""
+    """A violated invariant with the events of the request or process concerned."""
 
     invariant: str
     subject: str
     detail: str
-    story: list[LoggedEvent]
+    events: list[LoggedEvent]
 
 
 @dataclass
 class History:
-    """The events of a run in their order."""
+    """The events of a run, ordered by time."""
 
     events: list[LoggedEvent]
     by_call: dict[str, list[LoggedEvent]] = field(default_factory=lambda: defaultdict(list))
-    errors: dict[str, str] = field(default_factory=dict)  # what gateways wrote besides, by process
+    # The standard error of each gateway process, without the request log.
+    errors: dict[str, str] = field(default_factory=dict)
 
     def named(self, name: str) -> list[LoggedEvent]:
-        """Return the events with a name."""
+        """Return the events with this name."""
         return [event for event in self.events if event.name == name]
 
 
 def read_history(folder: pathlib.Path) -> History:
-    """Read the events of all processes."""
+    """Read the event logs of all processes and the standard error of all gateways."""
     events: list[LoggedEvent] = []
     errors: dict[str, str] = {}
     for path in folder.glob("*.jsonl"):
@@ -64,197 +65,217 @@
 
 
 class Oracle:
-    """Checks the history of one run."""
+    """Checks the invariants over the history of one run."""
 
     def __init__(self, history: History, size: RunSize, machine_slack: float) -> None:
-        """Take a history; `machine_slack` is how long a busy machine may hold up any process, in seconds."""
+        """Initialize the oracle; `machine_slack` is how many seconds a busy machine may delay any process."""
         self.history = history
         self.size = size
         self.machine_slack = machine_slack
         self.violations: list[Violation] = []
 
-    def report(self, invariant: str, subject: str, detail: str, story: list[LoggedEvent]) -> None:
-        """Add a violation."""
-        self.violations.append(Violation(invariant, subject, detail, story))
+    def report(self, invariant: str, subject: str, detail: str, events: list[LoggedEvent]) -> None:
+        """Record a violation."""
+        self.violations.append(Violation(invariant, subject, detail, events))
 
     def check(self) -> list[Violation]:
-        """Return all violations."""
-        for call, story in self.history.by_call.items():
-            sent = next((event for event in story if event.name == "sent"), None)
+        """Check all invariants and return the violations."""
+        for call, events in self.history.by_call.items():
+            sent = next((event for event in events if event.name == "request_sent"), None)
             if sent is None:
-                self.report("no request that no client sent", call, "no client sent it", story)
+                self.report("no request that no client sent", call, "no client sent it", events)
                 continue
-            self.check_answer(call, sent, story)
-            self.check_attempts(call, sent, story)
-            self.check_runs(call, sent, story)
+            self.check_response(call, sent, events)
+            self.check_attempts(call, sent, events)
+            self.check_executions(call, sent, events)
         self.check_drains()
         self.check_maintenance()
         self.check_processes()
         return self.violations
 
-    def check_answer(self, call: str, sent: LoggedEvent, story: list[LoggedEvent]) -> None:
-        """Check that a request is answered in time, unless its client leaves or its process is killed."""
-        names = {event.name: event for event in story}
-        answer = names.get("answer")
-        ends_at = sent.at + sent.fields["budget"] + ANSWER_SLACK + self.machine_slack
-        if answer is not None:
-            if not answer.fields["right"]:
-                self.report("answers belong to their requests", call, "another body", story)
-            if answer.at > ends_at and not self.was_killed(sent, ends_at):
-                self.report("answers come in time", call, f"{answer.at - ends_at:.3f} s late", story)
+    def check_response(self, call: str, sent: LoggedEvent, events: list[LoggedEvent]) -> None:
+        """Check that a request is answered in time, unless its client closes or the gateway is killed."""
+        event_by_name = {event.name: event for event in events}
+        response = event_by_name.get("response_received")
+        deadline = sent.at + sent.fields["budget"] + RESPONSE_SLACK + self.machine_slack
+        if response is not None:
+            if not response.fields["matches_request"]:
+                self.report(
+                    "answers belong to their requests", call, "the body does not match the request", events
+                )
+            if response.at > deadline and not self.was_killed(sent, deadline):
+                self.report("answers come in time", call, f"{response.at - deadline:.3f} s late", events)
             return
-        if "left" in names or self.was_killed(sent, ends_at):
+        if "client_closed" in event_by_name or self.was_killed(sent, deadline):
             return
-        closed = names.get("closed")
-        if closed is None:
-            if "unanswered" in names:
-                self.report("every request is answered", call, "no answer", story)
+        connection_closed = event_by_name.get("connection_closed")
+        if connection_closed is None:
+            if "response_timeout" in event_by_name:
+                self.report("every request is answered", call, "no answer", events)
             return
-        was_read = any(event.name == "received" for event in story)
-        # An answer that could not be finished ends with its connection, so that the client can tell. Requests
-        # that were pipelined behind it can have no answer then (a question in docs/findings/open.md).
-        if self.was_cut_off(closed):
+        was_received = any(event.name == "received" for event in events)
+        # A gateway that cannot complete a response closes the connection, so that the client notices.
+        # Requests pipelined after it cannot be answered then (an open question, see docs/findings/open.md).
+        if self.was_cut_off(connection_closed):
             return
-        if was_read or (sent.fields["first"] and not self.was_stopping(sent)):
-            self.report("every request is answered", call, "closed without an answer", story)
+        if was_received or (sent.fields["first_on_connection"] and not self.was_terminating(sent)):
+            self.report("every request is answered", call, "closed without an answer", events)
 
-    def was_cut_off(self, closed: LoggedEvent) -> bool:
-        """Return whether a close followed an incomplete answer, to this request or to one before it."""
-        first_call = closed.fields.get("behind")
-        story = self.history.by_call.get(first_call, []) if first_call else [closed]
-        return any(event.name == "closed" and event.fields.get("partial", False) for event in story)
+    def was_cut_off(self, connection_closed: LoggedEvent) -> bool:
+        """Return whether the connection closed after an incomplete response to this or an earlier request."""
+        previous_call = connection_closed.fields.get("pipelined_after")
+        events = self.history.by_call.get(previous_call, []) if previous_call else [connection_closed]
+        return any(
+            event.name == "connection_closed" and event.fields.get("partial_response", False)
+            for event in events
+        )
 
     def was_killed(self, sent: LoggedEvent, until: float) -> bool:
-        """Return whether a process of the request's gateway was killed meanwhile."""
+        """Return whether a process of the request's gateway was killed between its sending and `until`.
+
+        A kill up to RESTART_TIME before the request counts too, as no process may accept it yet.
+        """
         prefix = f"gateway-{sent.fields['gateway']}-"
         return any(
-            event.fields["process"].startswith(prefix) and sent.at - START_TIME <= event.at <= until
-            for event in self.history.named("signal")
-            if event.fields["number"] == "SIGKILL"
+            event.fields["process"].startswith(prefix) and sent.at - RESTART_TIME <= event.at <= until
+            for event in self.history.named("signal_sent")
+            if event.fields["signal_name"] == "SIGKILL"
         )
 
-    def was_stopping(self, sent: LoggedEvent) -> bool:
-        """Return whether the gateway binds its own socket and was ending, so that its queue is closed."""
+    def was_terminating(self, sent: LoggedEvent) -> bool:
+        """Return whether the gateway was terminating and closed the accept queue of a socket of its own.
+
+        Gateways with an even index inherit their listening socket, whose queue outlives the process.
+        """
         gateway = sent.fields["gateway"]
         if gateway % 2 == 0:
             return False
         prefix = f"gateway-{gateway}-"
         return any(
             event.fields["process"].startswith(prefix) and event.at <= sent.at <= event.at + 4.0
-            for event in self.history.named("signal")
-            if event.fields["number"] == "SIGTERM"
+            for event in self.history.named("signal_sent")
+            if event.fields["signal_name"] == "SIGTERM"
         )
 
-    def check_attempts(self, call: str, sent: LoggedEvent, story: list[LoggedEvent]) -> None:
-        """Check that no attempt begins after its client left, or has more time than its client."""
-        left = next((event for event in story if event.name == "left"), None)
-        client_ends_at = sent.at + sent.fields["budget"]
-        starts = [event for event in story if event.name == "started"]
-        for event in starts:
-            if left is not None and event.at > left.at + START_SLACK + self.machine_slack:
-                late = event.at - left.at
-                self.report("no attempt begins after its client left", call, f"{late:.3f} s", story)
-        for event in story:
-            if event.name != "ran" or not starts:
+    def check_attempts(self, call: str, sent: LoggedEvent, events: list[LoggedEvent]) -> None:
+        """Check that no attempt starts after its client closed, or has a larger budget than its client."""
+        client_closed = next((event for event in events if event.name == "client_closed"), None)
+        client_deadline = sent.at + sent.fields["budget"]
+        attempt_starts = [event for event in events if event.name == "started"]
+        for event in attempt_starts:
+            if client_closed is not None and event.at > client_closed.at + ATTEMPT_SLACK + self.machine_slack:
+                delay = event.at - client_closed.at
+                self.report("no attempt begins after its client left", call, f"{delay:.3f} s", events)
+        for event in events:
+            if event.name != "request_executed" or not attempt_starts:
                 continue
-            # it was written after it was started, so that no more was left than then
-            started_at = max(start.at for start in starts if start.at <= event.at)
-            excess = event.fields["told"] - (client_ends_at - started_at)
+            # The attempt was sent after it was logged as started, when the client had the most time left.
+            started_at = max(start.at for start in attempt_starts if start.at <= event.at)
+            excess = event.fields["budget"] - (client_deadline - started_at)
             if excess > DEADLINE_SLACK + self.machine_slack:
-                self.report("endpoints are told no more than is left", call, f"{excess:.3f} s more", story)
+                self.report("endpoints are told no more than is left", call, f"{excess:.3f} s more", events)
 
-    def check_runs(self, call: str, sent: LoggedEvent, story: list[LoggedEvent]) -> None:
-        """Check that a request runs once if it may not run again."""
-        runs = [event for event in story if event.name == "ran"]
-        if sent.fields["request_class"] == ONCE and len(runs) > 1:
-            self.report("a request runs once", call, f"{len(runs)} times", story)
+    def check_executions(self, call: str, sent: LoggedEvent, events: list[LoggedEvent]) -> None:
+        """Check that a request that must not be repeated is executed at most once."""
+        executions = [event for event in events if event.name == "request_executed"]
+        if sent.fields["request_class"] == RUN_ONCE_CLASS and len(executions) > 1:
+            self.report("a request runs once", call, f"{len(executions)} times", events)
 
     def check_drains(self) -> None:
-        """Check that nothing is sent to a backend that drains, from some time after it was told."""
-        for drained in self.history.named("drained"):
-            backend = drained.fields["backend"]
-            back_at = min(
+        """Check that no attempt is sent to a draining backend after the grace time."""
+        for drain in self.history.named("drain_started"):
+            backend = drain.fields["backend"]
+            drain_ended_at = min(
                 (
-                    e.at
-                    for e in self.history.named("back")
-                    if e.fields["backend"] == backend and e.at > drained.at
+                    event.at
+                    for event in self.history.named("drain_ended")
+                    if event.fields["backend"] == backend and event.at > drain.at
                 ),
                 default=float("inf"),
             )
             for start in self.process_starts():
-                limit = self.drain_limit(drained, start)
+                grace_end = self.drain_grace_end(drain, start)
                 self.check_no_attempts(
                     "nothing is sent to a backend that drains",
                     start.fields["process"],
                     backend,
-                    limit,
-                    back_at,
+                    grace_end,
+                    drain_ended_at,
                 )
 
     def process_starts(self) -> list[LoggedEvent]:
-        """Return the starts of all gateway processes."""
+        """Return the start events of all gateway processes.
+
+        The request log has events of this name for attempts; those carry no process.
+        """
         return [event for event in self.history.named("started") if "process" in event.fields]
 
-    def drain_limit(self, drained: LoggedEvent, start: LoggedEvent) -> float:
-        """Return from when a process may send no attempt to a backend that drains.
+    def drain_grace_end(self, drain: LoggedEvent, start: LoggedEvent) -> float:
+        """Return the time from which a process must not send attempts to a draining backend.
 
-        What the agent has counts as told, also to a process that starts later; while the agent fails, it is
-        the time until a change counts as told whatever fails.
+        The grace time starts with the first report by the agent after the drain and after the start of the
+        process. If there was no report, or if the agent changed its mode around that time, the limit is the
+        latest time at which the process must know the change whatever fails.
         """
         gateway = start.fields["gateway"]
-        known_from = max(drained.at, start.at)
-        latest = known_from + LONGEST_OUTAGE + NOTICE_TIME + DRAIN_TIME + self.machine_slack
-        told = [
+        known_from = max(drain.at, start.at)
+        upper_bound = known_from + MAX_AGENT_OUTAGE + MAX_PROPAGATION_TIME + DRAIN_TIME + self.machine_slack
+        report_times = [
             event.at
-            for event in self.history.named("told")
+            for event in self.history.named("endpoint_reported")
             if event.fields["gateway"] == gateway
-            and event.fields["backend"] == drained.fields["backend"]
+            and event.fields["backend"] == drain.fields["backend"]
             and event.at >= known_from
         ]
-        if not told:
-            return latest
-        limit = told[0] + DRAIN_TIME + self.machine_slack
-        had_trouble = any(
-            event.fields["gateway"] == gateway and known_from - LONGEST_OUTAGE <= event.at <= limit
-            for event in self.history.named("agent_mode")
+        if not report_times:
+            return upper_bound
+        grace_end = report_times[0] + DRAIN_TIME + self.machine_slack
+        agent_changed_mode = any(
+            event.fields["gateway"] == gateway and known_from - MAX_AGENT_OUTAGE <= event.at <= grace_end
+            for event in self.history.named("agent_mode_changed")
         )
-        return latest if had_trouble else min(limit, latest)
+        return upper_bound if agent_changed_mode else min(grace_end, upper_bound)
 
     def check_no_attempts(
-        self, invariant: str, processes: str, backend: str, start: float, end: float
+        self, invariant: str, process_prefix: str, backend: str, start: float, end: float
     ) -> None:
-        """Report the attempts to a backend within a time, of the processes whose names begin so."""
+        """Report attempts to a backend between `start` and `end` by processes with this name prefix."""
         for event in self.history.named("started"):
-            is_attempt = event.source.startswith(processes) and event.fields.get("endpoint") == backend
+            is_attempt = event.source.startswith(process_prefix) and event.fields.get("endpoint") == backend
             if is_attempt and start < event.at < end:
                 call = event.fields["call"]
                 detail = f"{event.source} to {backend}, {event.at - start:.3f} s late"
                 self.report(invariant, call, detail, self.history.by_call[call])
 
     def check_maintenance(self) -> None:
-        """Check that a gateway sends nothing to a backend that an operator took out of service there."""
-        ended = self.history.named("maintenance_ended")
-        for began in self.history.named("maintenance"):
-            gateway, backend = began.fields["gateway"], began.fields["backend"]
-            ends_at = min(
-                (e.at for e in ended if e.fields == began.fields and e.at > began.at), default=float("inf")
+        """Check that a gateway sends no attempt to a backend that an operator took out of service there."""
+        maintenance_ends = self.history.named("maintenance_ended")
+        for maintenance in self.history.named("maintenance_started"):
+            gateway, backend = maintenance.fields["gateway"], maintenance.fields["backend"]
+            ended_at = min(
+                (
+                    event.at
+                    for event in maintenance_ends
+                    if event.fields == maintenance.fields and event.at > maintenance.at
+                ),
+                default=float("inf"),
             )
             self.check_no_attempts(
                 "nothing is sent to a backend in maintenance",
                 f"gateway-{gateway}-",
                 backend,
-                began.at + MAINTENANCE_SLACK + self.machine_slack,
-                ends_at,
+                maintenance.at + MAINTENANCE_SLACK + self.machine_slack,
+                ended_at,
             )
 
     def check_processes(self) -> None:
-        """Check that gateways start and end as they are told, and violate no invariant of their own."""
+        """Check that processes start and end in time, and that gateways log no errors of their own."""
         for event in self.history.events:
-            if event.name in ("failed_start", "not_ready", "shutdown_too_long", "client_failed"):
+            if event.name in ("start_failed", "ready_timeout", "shutdown_timeout", "client_failed"):
                 self.report("processes start and end in time", str(event.fields), event.name, [event])
             if event.name == "ended" and event.fields.get("process") and event.fields["code"] != 0:
                 self.report("processes end well", event.fields["process"], str(event.fields), [event])
-            if event.name == "bad_request_kept" and not self.was_held_up(event):
+            if event.name == "bad_request_not_closed" and not self.was_signalled(event):
                 self.report("bad requests end in 3 s", str(event.fields), event.name, [event])
             if event.name == "bad_request_served":
                 self.report("bad requests are not served", str(event.fields), event.name, [event])
@@ -269,10 +290,10 @@
                     self.report("no error is logged", process, text[-3000:], [])
                     break
 
-    def was_held_up(self, event: LoggedEvent) -> bool:
-        """Return whether the gateway was stopped, or not there, in the seconds before."""
+    def was_signalled(self, event: LoggedEvent) -> bool:
+        """Return whether a process of the gateway was paused or ended by a signal in the 5 s before."""
         prefix = f"gateway-{event.fields['gateway']}-"
         return any(
             other.fields["process"].startswith(prefix) and event.at - 5.0 <= other.at <= event.at
-            for other in self.history.named("signal")
+            for other in self.history.named("signal_sent")
         )
--- a/tests/soak/services.py
+++ b/tests/soak/services.py
@@ -1,4 +1,4 @@
-"""Discovery and the counter of a run: one agent a gateway, over one list, and faults of each."""
+"""Fake discovery agents, which share one list of endpoints, and the fake counter of a run."""
 
 from __future__ import annotations
 
@@ -17,35 +17,37 @@
     """How a service behaves."""
 
     SERVES = "serves"
-    SILENT = "silent"  # it takes calls and answers none
-    REFUSES = "refuses"  # it has no capacity
-    DOWN = "down"  # it refuses connections and resets those that are open
+    UNRESPONSIVE = "unresponsive"  # accepts calls and answers none
+    OVERLOADED = "overloaded"  # answers that it has no capacity
+    DOWN = "down"  # resets all connections, new and open ones
 
 
 @dataclass
 class EndpointList:
-    """The list of backends, with the version at which each entry changed last."""
+    """The list of endpoints, with the generation in which each entry changed last."""
 
     entries: dict[str, dict[str, Any]] = field(default_factory=dict)
-    versions: dict[str, int] = field(default_factory=dict)
+    generations: dict[str, int] = field(default_factory=dict)
     generation: int = 1
     changed: asyncio.Condition = field(default_factory=asyncio.Condition)
 
     async def publish(self, entry: dict[str, Any]) -> None:
-        """Replace one entry."""
+        """Replace an entry and wake up the calls that wait for a change."""
         async with self.changed:
             self.generation += 1
             self.entries[entry["instanceId"]] = entry
-            self.versions[entry["instanceId"]] = self.generation
+            self.generations[entry["instanceId"]] = self.generation
             self.changed.notify_all()
 
-    def since(self, generation: int) -> list[dict[str, Any]]:
-        """Return the entries that changed after a version."""
-        return [self.entries[name] for name, version in self.versions.items() if version > generation]
+    def changed_since(self, generation: int) -> list[dict[str, Any]]:
+        """Return the entries that changed after a generation."""
+        return [
+            self.entries[name] for name, changed_in in self.generations.items() if changed_in > generation
+        ]
 
 
 class Agent(FakeServer):
-    """The discovery agent of one gateway."""
+    """A discovery agent of one gateway."""
 
     def __init__(self, gateway: int, endpoints: EndpointList, log: EventLog) -> None:
         super().__init__()
@@ -55,15 +57,15 @@
         self.mode = ServiceMode.SERVES
 
     def set_mode(self, mode: ServiceMode) -> None:
-        """Behave differently from now on; calls that wait are answered by the new mode."""
+        """Change the mode, also for calls that are waiting; being down resets all open connections."""
         self.mode = mode
-        self.log.write("agent_mode", gateway=self.gateway, mode=mode)
+        self.log.write("agent_mode_changed", gateway=self.gateway, mode=mode)
         if mode is ServiceMode.DOWN:
             for writer in list(self.open_writers):
                 writer.transport.abort()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Answer polls and watches."""
+        """Answer polls and long polls on one connection."""
         if self.mode is ServiceMode.DOWN:
             writer.transport.abort()
             return
@@ -71,40 +73,47 @@
             request = await read_message(reader)
             since = re.search(r"since=(\d+)", request.start_line)
             timeout = re.search(r"timeout_ms=(\d+)", request.start_line)
-            known = int(since[1]) if since is not None else 0
+            known_generation = int(since[1]) if since is not None else 0
             if since is not None and timeout is not None:
-                await self.wait_for_change(known, int(timeout[1]) / 1000)
-            if self.mode is ServiceMode.SILENT:
+                await self.wait_for_change(known_generation, int(timeout[1]) / 1000)
+            if self.mode is ServiceMode.UNRESPONSIVE:
                 await asyncio.sleep(30.0)
                 return
-            if self.mode is ServiceMode.REFUSES:
+            if self.mode is ServiceMode.OVERLOADED:
                 writer.write(http_response(503, b"", "Retry-After: 1"))
                 continue
-            writer.write(http_response(200, self.answer(known)))
+            writer.write(http_response(200, self.changes_since(known_generation)))
 
-    async def wait_for_change(self, known: int, seconds: float) -> None:
-        """Wait until there is something newer than a version, for some time."""
+    async def wait_for_change(self, known_generation: int, seconds: float) -> None:
+        """Wait until the list is newer than a generation, but at most `seconds`."""
         endpoints = self.endpoints
         try:
             async with asyncio.timeout(seconds), endpoints.changed:
-                await endpoints.changed.wait_for(lambda: endpoints.generation > known)
+                await endpoints.changed.wait_for(lambda: endpoints.generation > known_generation)
         except TimeoutError:
             pass
 
-    def answer(self, known: int) -> bytes:
-        """Return the changes since a version, or with 0 the whole list, and log that they are told."""
+    def changes_since(self, known_generation: int) -> bytes:
+        """Return and log the entries changed since a generation; 0 gives the complete list."""
         endpoints = self.endpoints
-        entries = endpoints.since(known) if known else list(endpoints.entries.values())
+        entries = (
+            endpoints.changed_since(known_generation)
+            if known_generation
+            else list(endpoints.entries.values())
+        )
         for entry in entries:
             self.log.write(
-                "told", gateway=self.gateway, backend=entry["instanceId"], lifecycle=entry["lifecycle"]
+                "endpoint_reported",
+                gateway=self.gateway,
+                backend=entry["instanceId"],
+                lifecycle=entry["lifecycle"],
             )
-        document = {"generation": endpoints.generation, "reset": not known, "instances": entries}
+        document = {"generation": endpoints.generation, "reset": not known_generation, "instances": entries}
         return json.dumps(document).encode()
 
 
 class SoakCounter(FakeCounter):
-    """A counter that may be silent or busy."""
+    """A counter that can be unresponsive or busy."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -114,9 +123,9 @@
         """Answer the calls of one connection."""
         while True:
             increment = await self.read_increment(reader)
-            if self.mode is ServiceMode.SILENT:
+            if self.mode is ServiceMode.UNRESPONSIVE:
                 continue
-            if self.mode is ServiceMode.REFUSES:
+            if self.mode is ServiceMode.OVERLOADED:
                 writer.write(b"-BUSY\r\n")
                 continue
             total = self.totals.get(increment.key, 0.0) + increment.amount
