--- a/tests/policy_assertions.py
+++ b/tests/policy_assertions.py
@@ -1,4 +1,4 @@
-"""What tests of the policy engine look up in its actions and in its state."""
+"""Lookups in the policy engine's actions and state, shared by its tests."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 
 
 def first_attempt(actions: Iterable[Action]) -> StartAttempt:
-    """Return the first attempt that is started; the test fails if there is none."""
+    """Return the first attempt that is started, and fail the test if there is none."""
     attempts = started_attempts(actions)
     assert attempts, "no attempt was started"
     return attempts[0]
 
 
 def first_timer(actions: Iterable[Action], timer_type: type[Timer]) -> SetTimer:
-    """Return the first action that sets a timer of this type; the test fails if there is none."""
+    """Return the first action that sets a timer of this type, and fail the test if there is none."""
     set_timers = [action for action in actions if isinstance(action, SetTimer)]
     matching = [action for action in set_timers if isinstance(action.timer, timer_type)]
     assert matching, f"no {timer_type.__name__} was set"
--- a/tests/policy_harness.py
+++ b/tests/policy_harness.py
@@ -1,4 +1,4 @@
-"""Settings and events for tests of the policy engine, and a harness that checks every action it takes."""
+"""Settings and events for policy engine tests, and a harness that checks every action of the engine."""
 
 from __future__ import annotations
 
@@ -22,9 +22,9 @@
 from quota_gateway.model.settings import Idempotency, IdempotencyScope, Plan, RequestClass, Settings
 from quota_gateway.model.timers import decode_timer, encode_timer
 
-START_TIME = 100.0  # seconds; the time at which the tests' engines start
-COUNTER_LATENCY = 0.001  # seconds that a reply of the counter takes
-RESPONSE_DELAY_TOLERANCE = 0.008  # seconds past its deadline by which a request must have its response
+START_TIME = 100.0  # seconds; the time at which engines start
+COUNTER_LATENCY = 0.001  # seconds until the counter replies
+RESPONSE_DELAY_TOLERANCE = 0.008  # seconds after its deadline by which a request must be answered
 ENGINE_SEED = 1
 
 IDEMPOTENT_CLASS = RequestClass(
@@ -98,7 +98,7 @@
 def make_endpoint(
     name: str, cell: int = 0, status: EndpointStatus = EndpointStatus.SERVING, started_at: float | None = None
 ) -> Endpoint:
-    """Return an endpoint; `started_at` is when its process began, in seconds, None for unknown."""
+    """Return an endpoint; `started_at` is its process's start time in seconds, None if unknown."""
     return Endpoint(name, "z", "k", cell, status, 1.0, started_at)
 
 
@@ -118,7 +118,7 @@
     deadline: float = START_TIME + 4.0,
     quota_spread: int = 2,
 ) -> RequestReceived:
-    """Return a client's request; `quota_spread` is over how many gateways its customer's quota is spread."""
+    """Return a client's request; `quota_spread` is the number of gateways that share the customer's quota."""
     return RequestReceived(
         request_id=number,
         request_class=request_class,
@@ -141,7 +141,7 @@
     request_answered: bool | None = None,
     actual_units: float = 0.0,
 ) -> AttemptEnded:
-    """Return the end of an attempt; `request_answered`: it answered its request, by default on success."""
+    """Return the event that ends an attempt; by default only a success answers the request."""
     request_answered = outcome is Outcome.SUCCESS if request_answered is None else request_answered
     return AttemptEnded(number, attempt, endpoint_id, outcome, elapsed, request_answered, actual_units, ())
 
@@ -149,38 +149,38 @@
 def make_engine(
     now: float = START_TIME, endpoint_list: EndpointListUpdate | None = None, **changes: object
 ) -> PolicyEngine:
-    """Return an engine that knows two endpoints or those listed, with some settings changed."""
+    """Return an engine with the given endpoint list, by default `a` and `b`, and changes to the settings."""
     engine = PolicyEngine(replace(SETTINGS, **changes), ENGINE_SEED, now)  # type: ignore[arg-type]
     engine.handle(endpoint_list or endpoint_list_update(make_endpoint("a"), make_endpoint("b", 1)), now)
     return engine
 
 
 class SentAttempt(NamedTuple):
-    """Where and when an attempt was sent."""
+    """The endpoint that an attempt was sent to, and the time in seconds."""
 
     endpoint_id: str
     sent_at: float
 
 
 class SentUnits(NamedTuple):
-    """When the first attempt of a request was sent, and the request's units."""
+    """The time in seconds of a request's first attempt, and the request's units."""
 
     sent_at: float
     units: float
 
 
 class ScheduledTimer(NamedTuple):
-    """A timer as the simulator holds it, ordered by its time and then by its text on the wire."""
+    """A pending timer, ordered by due time and then by its encoded text, as in the simulator."""
 
     due_at: float
     text: str
 
 
 class EngineHarness:
-    """Plays clients, backends and timers around one engine, and asserts its invariants on each action.
+    """Simulates clients, backends and timers around one engine, and asserts invariants on each action.
 
-    `open_requests` has the requests without a response, `responses` the final actions of the others,
-    `sent` each request's attempts, and `counter_calls` the keys of counter calls without a reply.
+    `open_requests` holds the unanswered requests, `responses` the action that rejected or failed a request,
+    `sent` the attempts of each request, and `counter_calls` the names in counter calls without a reply.
     """
 
     def __init__(self, engine: PolicyEngine, settings: Settings = SETTINGS) -> None:
@@ -212,7 +212,7 @@
         ]
 
     def handle(self, event: Event) -> list[Action]:
-        """Have the engine handle an event now, and check the actions that it returns."""
+        """Pass an event to the engine at the current time; check and return the engine's actions."""
         self.record(event)
         actions = self.engine.handle(event, self.now)
         for action in actions:
@@ -220,7 +220,7 @@
         return actions
 
     def record(self, event: Event) -> None:
-        """Keep what the checks need to know of an event."""
+        """Update the endpoints, open requests and outcomes from an event."""
         match event:
             case EndpointListUpdate(kind=EndpointListKind.FAILED):
                 pass
@@ -269,7 +269,7 @@
         attempts.append(SentAttempt(action.endpoint_id, self.now))
 
     def check_idempotency(self, request_class: RequestClass, first: SentAttempt, endpoint: Endpoint) -> None:
-        """Assert that a request which may have been executed is retried only where that does no harm."""
+        """Assert that the idempotency of a possibly executed request allows another attempt."""
         assert request_class.idempotency is not Idempotency.NON_IDEMPOTENT
         if request_class.idempotency is Idempotency.IDEMPOTENCY_KEY:
             same_cell = self.endpoints[first.endpoint_id].cell == endpoint.cell
@@ -277,7 +277,7 @@
             assert self.now - first.sent_at < request_class.idempotency_window
 
     def check_response(self, action: Reject | FailRequest) -> None:
-        """Assert one response a request, in time, and that a client may safely retry what is rejected."""
+        """Assert that a request is answered once and in time, and rejected only if a retry is safe."""
         request = self.open_requests.pop(action.request_id)  # KeyError: the request has had its response
         assert self.now <= request.deadline + RESPONSE_DELAY_TOLERANCE
         request_class = self.classes[request.request_class]
@@ -289,7 +289,7 @@
         self.responses[action.request_id] = action
 
     def run_until(self, until: float) -> None:
-        """Advance the time: fire due timers, and time out attempts at their requests' deadlines."""
+        """Advance the time, firing timers and timing out attempts at their requests' deadlines."""
         never = until + 1.0
         while True:
             timer_due_at = self.timers[0].due_at if self.timers else never
@@ -310,7 +310,7 @@
         self.now = until
 
     def time_out_attempts(self, number: int) -> None:
-        """End all attempts of a request that are in flight."""
+        """Time out all attempts of a request that are in flight."""
         for index in self.in_flight(number):
             attempt = self.sent[number][index]
             elapsed = self.now - attempt.sent_at
@@ -319,7 +319,7 @@
             )
 
     def reply_to_counter_calls(self, total: float, outcome: Outcome = Outcome.SUCCESS) -> None:
-        """Reply to all counter calls that have none yet."""
+        """Reply to all counter calls without a reply."""
         names = self.counter_calls
         self.counter_calls = []
         for name in names:
--- a/tests/test_client_retries.py
+++ b/tests/test_client_retries.py
@@ -1,4 +1,4 @@
-"""Clients' retries: how old they are, which of them are admitted, and the Retry-After that clients get."""
+"""Retries by clients: their age, which of them are admitted, and the Retry-After of rejections."""
 
 from __future__ import annotations
 
@@ -16,23 +16,23 @@
 from tests.policy_assertions import first_attempt, limiter_of, started_attempts
 from tests.policy_harness import IDEMPOTENT_CLASS, make_engine, make_request
 
-DEADLINE = IDEMPOTENT_CLASS.deadline  # seconds from a client's first send
-OBJECTIVE = IDEMPOTENT_CLASS.latency_objective  # seconds from a client's first send
+DEADLINE = IDEMPOTENT_CLASS.deadline  # seconds after a client's first send
+OBJECTIVE = IDEMPOTENT_CLASS.latency_objective  # seconds after a client's first send
 
 
 def retry(number: int, client_timeout: float) -> RequestReceived:
-    """Return a retry at 100 s whose client waits so many seconds more."""
+    """Return a retry, received at 100 s, whose client waits for `client_timeout` seconds."""
     received = make_request(number, customer=f"x{number}", deadline=100.0 + client_timeout)
     return replace(received, is_retry=True, client_timeout=client_timeout)
 
 
 def retry_of_age(number: int, seconds: float) -> RequestReceived:
-    """Return a retry whose client sent the request for the first time so many seconds ago."""
+    """Return a retry whose client first sent the request `seconds` ago."""
     return retry(number, DEADLINE - seconds)
 
 
 def busy_engine(client_timeout: float = DEADLINE, **changes: Any) -> PolicyEngine:
-    """Return an engine that has seen a first send, and has no capacity to spare for a retry too late."""
+    """Return an engine that has handled a first send, and has no capacity left for late retries."""
     engine = make_engine(**changes)
     engine.handle(replace(make_request(1, customer="first"), client_timeout=client_timeout), 100.0)
     engine.admission.concurrency_limit = engine.admission.in_flight / LATE_RETRY_LIMIT_FRACTION
@@ -40,7 +40,7 @@
 
 
 def test_retry_that_is_too_late_is_rejected_and_not_charged() -> None:
-    # half of all arrivals on a busy day were retries: each took capacity and quota, and earned nothing
+    """Regression: on a busy day half of all arrivals were retries that used capacity and quota in vain."""
     engine = busy_engine()
     (rejection,) = engine.handle(retry_of_age(2, 1.5 * OBJECTIVE), 100.0)
     assert isinstance(rejection, Reject) and rejection.retry_after > 0
@@ -67,7 +67,7 @@
     engine.admission.concurrency_limit = float("inf")
     assert started_attempts(engine.handle(retry(2, 1.0), 100.0))
     limiter = limiter_of(engine, "x2")
-    limiter.balance = limiter.capacity / 4  # less than half: what is left is for new requests
+    limiter.balance = limiter.capacity / 4  # less than half, which is reserved for new requests
     second_retry = replace(retry(4, 1.0), customer="x2")
     assert [type(action) for action in engine.handle(second_retry, 100.0)] == [Reject]
 
@@ -107,8 +107,8 @@
     engine = busy_engine()
     engine.handle(retry_of_age(2, 0.4 * OBJECTIVE), 100.0)
     limiter = limiter_of(engine, "x2")
-    limiter.balance = 1.0 - 0.3 * limiter.rate  # one unit is there in 0.3 s
-    # of its objective of 1 s the retry has 0.2 s left; a new request may be queued for 0.4 s
+    limiter.balance = 1.0 - 0.3 * limiter.rate  # one unit is available in 0.3 s
+    # The retry has 0.2 s left of its objective of 1 s; a new request may be queued for 0.4 s.
     old_retry = replace(retry_of_age(3, 0.8 * OBJECTIVE), customer="x2")
     assert any(isinstance(action, Reject) for action in engine.handle(old_retry, 100.0))
     new_request = make_request(4, customer="x2")
@@ -133,13 +133,13 @@
 
 
 def retry_after(engine: PolicyEngine, received: RequestReceived) -> float:
-    """Return the Retry-After in seconds with which a request is rejected."""
+    """Return the Retry-After, in seconds, of a request's rejection."""
     rejections = [action for action in engine.handle(received, 100.0) if isinstance(action, Reject)]
     return rejections[0].retry_after
 
 
 def engine_with_empty_bucket() -> PolicyEngine:
-    """Return an engine whose token bucket, 4 units that refill by 2 a second, has just been emptied."""
+    """Return an engine whose bucket of 4 units, which refills at 2 units/s, has just been emptied."""
     engine = make_engine()
     engine.handle(make_request(1, units=4.0), 100.0)
     return engine
@@ -150,12 +150,11 @@
 
 
 def test_retry_after_is_short_where_quota_comes_too_late() -> None:
-    # with half a second or more a client came back too late to be served in time by any gateway
+    """Regression: after half a second or more, retries came too late to be served in time by any gateway."""
     engine = engine_with_empty_bucket()
     soon = 0.15 * OBJECTIVE
-    assert retry_after(engine, make_request(2, units=3.0)) == pytest.approx(
-        soon
-    )  # 1.5 s until there is quota here
+    # This gateway has enough quota only in 1.5 s.
+    assert retry_after(engine, make_request(2, units=3.0)) == pytest.approx(soon)
 
 
 def test_retry_after_is_short_while_load_is_shed() -> None:
--- a/tests/test_overload_protection.py
+++ b/tests/test_overload_protection.py
@@ -1,4 +1,4 @@
-"""Admission control and outlier detection: what overloaded, stuck and unreachable endpoints are sent."""
+"""Admission control and outlier detection with overloaded, stuck, unreachable and rejecting endpoints."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
     make_request,
 )
 
-REJECTING = {"b0", "b1", "b2"}  # endpoints that reject one request class and plan
+REJECTING = {"b0", "b1", "b2"}  # ids of endpoints that reject one combination of request class and plan
 
 
 def test_slow_responses_do_not_shed_load_for_longer_than_they_last() -> None:
-    """Found in incidents: after slow responses all was rejected for good, or for as long as they lasted."""
+    """Regression: after slow responses all requests were rejected, for good or for as long as they lasted."""
     engine = make_engine(gateway_count=1)
     admitted: list[bool] = []
     for number in range(160):
@@ -35,13 +35,13 @@
             elapsed = 0.9 if number < 60 else 0.1
             success = make_attempt_ended(number, 0, attempts[0].endpoint_id, Outcome.SUCCESS, elapsed)
             engine.handle(success, now + 0.4)
-    assert sum(admitted[40:60]) <= 10  # most are rejected, a few show when responses are fast again
+    assert sum(admitted[40:60]) <= 10  # most are rejected; a few detect when responses are fast again
     assert all(admitted[140:])
 
 
 @pytest.mark.parametrize("gateway_count", [2, 300])
 def test_overload_is_seen_alike_by_one_of_few_and_by_one_of_many_gateways(gateway_count: int) -> None:
-    """Found in incidents: each of many gateways sends an endpoint too little to see that all overload it."""
+    """Regression: each of many gateways sent an endpoint too little to detect their common overload."""
     listed = endpoint_list_update(*(make_endpoint(f"b{number}") for number in range(60)))
     engine = make_engine(gateway_count=gateway_count, endpoint_list=listed)
     admitted = 0
@@ -57,7 +57,7 @@
 
 
 def test_stuck_attempts_fill_the_concurrency_limit_of_their_endpoint_only() -> None:
-    """Found in an incident: very slow endpoints filled a limit that all endpoints shared."""
+    """Regression: very slow endpoints filled a concurrency limit that all endpoints shared."""
     engine = make_engine(
         gateway_count=1, endpoint_list=endpoint_list_update(make_endpoint("a"), make_endpoint("b"))
     )
@@ -74,11 +74,11 @@
             engine.handle(TimerFired(late.timer), now + late.delay)
         else:
             engine.handle(make_attempt_ended(number, 0, endpoint_id, Outcome.SUCCESS, 0.1), now + 0.1)
-    assert stuck <= 9  # its concurrency limit is reached
+    assert stuck <= 9  # the endpoint's concurrency limit is reached
 
 
 def test_endpoint_that_refuses_a_connection_is_ejected_at_once() -> None:
-    """Found in an incident: dead endpoints that the list still named took a third of the attempts."""
+    """Regression: failed endpoints that were still listed received a third of the attempts."""
     engine = make_engine(
         gateway_count=1,
         endpoint_list=endpoint_list_update(make_endpoint("a"), make_endpoint("b"), make_endpoint("c")),
@@ -96,7 +96,7 @@
 
 
 def count_rejections(engine: PolicyEngine) -> int:
-    """Play 200 requests of one class and plan, and return how many attempts met a rejecting endpoint."""
+    """Send 200 requests of one class and plan, and return how many attempts endpoints rejected."""
     rejections = 0
     for number in range(200):
         now = 100.0 + number / 10
@@ -117,7 +117,10 @@
 
 
 def test_rejection_is_remembered_for_its_class_and_plan_only_and_is_no_fault() -> None:
-    """Found in incident i9ba5ae: endpoints that rejected only one plan were tried again and again."""
+    """Regression (incident i9ba5ae): endpoints that rejected only one plan were tried again and again.
+
+    A rejection does not count as a failure of the endpoint, which still receives other classes and plans.
+    """
     listed = endpoint_list_update(*(make_endpoint(f"b{number}") for number in range(6)))
     engine = make_engine(gateway_count=1, endpoint_list=listed)
     assert count_rejections(engine) <= 15
--- a/tests/test_policy_engine.py
+++ b/tests/test_policy_engine.py
@@ -1,4 +1,4 @@
-"""Events and settings that the policy engine must tolerate."""
+"""Unusual events and settings that the policy engine has to tolerate."""
 
 from __future__ import annotations
 
--- a/tests/test_policy_invariants.py
+++ b/tests/test_policy_invariants.py
@@ -1,4 +1,4 @@
-"""Rules that hold for every request: under random events, and a case for each fault that was found."""
+"""Invariants of every request, checked under random events and in a test for each fault found before."""
 
 from __future__ import annotations
 
@@ -38,10 +38,10 @@
     Outcome.NOT_SENT,
     Outcome.CANCELLED,
 )
-GATEWAYS = 2  # that share each quota
-MIN_STEPS = 20  # of an example: shorter ones missed a retry that idempotency forbids
-MAX_STEPS = 60
-TOLERANCE = 1e-6  # units; of sums of floats
+GATEWAYS = 2  # gateways that share each quota
+MIN_STEPS = 20  # steps of an example; shorter examples missed a retry that idempotency forbids
+MAX_STEPS = 60  # steps of an example
+TOLERANCE = 1e-6  # units; rounding error of summed floats
 
 
 class StepKind(Enum):
@@ -57,20 +57,21 @@
 @dataclass(frozen=True, slots=True)
 class Step:
     kind: StepKind
-    pick: int  # chooses among the possibilities of the kind
-    seconds: float
+    pick: int  # selects the step's target and values
+    seconds: float  # the time to wait, or a third of what is added to a request's time until its deadline
 
 
 STEP = st.builds(
     Step,
-    kind=st.sampled_from([*StepKind, StepKind.ATTEMPT_END]),  # so that attempts end about as often as begin
+    # ATTEMPT_END is listed twice, so that attempts end about as often as they start.
+    kind=st.sampled_from([*StepKind, StepKind.ATTEMPT_END]),
     pick=st.integers(0, 10**6),
     seconds=st.floats(0.0, 1.5),
 )
 
 
 class RandomEvents:
-    """Plays steps against an engine whose harness asserts the rules on each action."""
+    """Applies steps to an engine whose harness asserts the invariants on each action."""
 
     def __init__(self) -> None:
         self.harness = EngineHarness(make_engine())
@@ -129,7 +130,10 @@
 
 
 def assert_hard_limit_held(forwarded: Sequence[tuple[float, float]]) -> None:
-    """Check the gateway's part of the hard limit over every interval of `forwarded` times and units."""
+    """Assert the gateway's share of the hard limit over every interval between two forwarded requests.
+
+    `forwarded` holds the time in seconds and the units of each request.
+    """
     burst = CAPPED_PLAN.hard_limit_burst / GATEWAYS
     rate = CAPPED_PLAN.hard_limit_rate / GATEWAYS
     for index, (start, _) in enumerate(forwarded):
@@ -146,7 +150,7 @@
         events.play(step)
     harness = events.harness
     harness.run_until(harness.now + 20)
-    assert not harness.open_requests  # every request has had its one answer
+    assert not harness.open_requests  # every request was answered, and the harness asserts only once
     for customer, forwarded in harness.first_attempts.items():
         if customer.startswith("capped"):
             assert_hard_limit_held(forwarded)
@@ -189,7 +193,7 @@
     first = first_attempt(engine.handle(make_request(1, request_class), 100.0))
     assert first.send_within == 0.0
     retry = first_attempt(engine.handle(make_attempt_ended(1, 0, first.endpoint_id, Outcome.ERROR), 100.5))
-    assert retry.send_within == pytest.approx(send_within)  # the window is 3 s; 0 is no bound
+    assert retry.send_within == pytest.approx(send_within)  # the window is 3 s; 0 means no bound
 
 
 def test_draining_endpoint_gets_no_requests() -> None:
@@ -203,9 +207,9 @@
 
 
 def test_attempt_times_out_once_its_response_has_no_value() -> None:
-    """Found on overloaded days: work whose result came too late occupied backends for seconds."""
+    """Regression: on overloaded days, work whose result came too late occupied backends for seconds."""
     attempt = first_attempt(make_engine().handle(make_request(1, deadline=104.0), 100.0))
-    assert attempt.timeout == 1.0  # the latency objective; late responses of this class have no value
+    assert attempt.timeout == 1.0  # the latency objective, as late responses of this class have no value
 
 
 def test_learned_durations_are_bounded_whatever_units_clients_name() -> None:
--- a/tests/test_rate_limiting.py
+++ b/tests/test_rate_limiting.py
@@ -1,7 +1,7 @@
-"""Hand-worked cases of the rate limiter, its queue, and a gateway's part of a quota.
+"""The rate limiter, its queue, and a gateway's share of a quota, with results calculated by hand.
 
-Unless a test says otherwise two gateways share a quota of 4 units a second and a burst of 8: each has a token
-bucket with a capacity of 4 that refills by 2 a second.
+Unless a test says otherwise, two gateways share a quota of 4 units/s with a burst of 8 units: each has a
+token bucket with a capacity of 4 units that refills at 2 units/s.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 
 
 def engine_with_empty_bucket() -> PolicyEngine:
-    """Return an engine that has forwarded a full bucket, 4 requests of one unit, at 100 s."""
+    """Return an engine whose bucket was emptied at 100 s by 4 requests of one unit."""
     engine = make_engine()
     for number in range(4):
         assert len(started_attempts(engine.handle(make_request(number), 100.0))) == 1
@@ -41,14 +41,14 @@
 
 def test_request_beyond_the_queueing_bound_is_rejected_with_the_wait_as_retry_after() -> None:
     engine = engine_with_empty_bucket()
-    # one unit refills in 0.5 s; a latency objective of 1 s allows 0.4 s in the queue
+    # One unit refills in 0.5 s; a latency objective of 1 s allows 0.4 s in the queue.
     rejection = engine.handle(make_request(4), 100.0)[-1]
     assert isinstance(rejection, Reject) and rejection.retry_after == pytest.approx(0.5)
 
 
 def test_request_within_the_queueing_bound_is_queued_and_released_exactly_in_time() -> None:
     engine = engine_with_empty_bucket()
-    # after 0.3 s 0.6 units have refilled: the rest of one unit takes 0.2 s, less than the bound of 0.4 s
+    # After 0.3 s, 0.6 units have refilled; the rest of one unit takes 0.2 s, less than the bound of 0.4 s.
     queued = engine.handle(make_request(4), 100.3)
     assert started_attempts(queued) == []
     release = first_timer(queued, ReleaseQueueTimer)
@@ -58,7 +58,7 @@
 
 def test_request_larger_than_the_bucket_is_forwarded_once_the_bucket_is_full() -> None:
     limiter: Limiter = TokenBucketLimiter("c", SMALL_PLAN, quota_spread=4, now=0.0, started_at=0.0)
-    # 1 unit a second and a capacity of 2: the bucket never holds 5 units
+    # At 1 unit/s and a capacity of 2 units, the bucket never holds 5 units.
     assert limiter.wait_time(5.0) == 0.0
     limiter.balance = 1.0
     assert limiter.wait_time(5.0) == pytest.approx(1.0)
@@ -69,21 +69,22 @@
     limiter.balance = -3.0
     limiter.queued_units = 3.0
     limiter.refill(10.0)
-    assert limiter.balance == pytest.approx(1.0)  # capacity 4 less the 3 queued units
+    assert limiter.balance == pytest.approx(1.0)  # the capacity of 4 units less the 3 queued units
 
 
 def test_settling_actual_units_may_make_the_balance_negative() -> None:
     engine = make_engine(settles_actual_units=True)
     attempt = first_attempt(engine.handle(make_request(1, units=4.0), 100.0))
     engine.handle(make_attempt_ended(1, 0, attempt.endpoint_id, Outcome.SUCCESS, actual_units=7.0), 100.0)
-    assert limiter_of(engine).balance == pytest.approx(-3.0)  # capacity 4 less the 7 units
+    assert limiter_of(engine).balance == pytest.approx(-3.0)  # the capacity of 4 less the 7 actual units
 
 
 def test_spare_quota_is_split_evenly() -> None:
     limiter: Limiter = TokenBucketLimiter("c", SMALL_PLAN, quota_spread=2, now=0.0, started_at=0.0)
     limiter.local_demand = 1.0
     make_engine().quota.apply_reading(limiter, 4.0)
-    # fleet demand is smoothed from 0 to 2 of the quota of 4: the local demand of 1, and half of the spare 2
+    # Fleet demand is smoothed from 0 to 2 of the quota of 4: the rate is the local demand of 1 unit/s and
+    # half of the unused 2 units/s.
     assert limiter.rate == pytest.approx(2.0)
 
 
@@ -92,16 +93,15 @@
     limiter.local_demand = 3.0
     limiter.fleet_demand = 2.0
     make_engine().quota.apply_reading(limiter, 14.0)
-    # fleet demand is smoothed from 2 to 8, above the quota of 4: 3/8 of that
+    # Fleet demand is smoothed from 2 to 8, above the quota of 4: the rate is 3/8 of the quota.
     assert limiter.rate == pytest.approx(1.5)
 
 
 def test_quota_is_split_evenly_again_once_the_last_reading_has_expired() -> None:
     engine = make_engine()
     engine.handle(make_request(1), 100.0)
-    engine.quota.apply_reading(
-        limiter_of(engine), 14.0
-    )  # no local demand: the minimum, a tenth of 2 a second
+    engine.quota.apply_reading(limiter_of(engine), 14.0)
+    # Without local demand the rate is the minimum, a tenth of 2 units/s.
     assert limiter_of(engine).rate == pytest.approx(0.2)
     engine.handle(TimerFired(ReportDemandTimer("c")), 103.0)  # a reading is valid for 2.5 s
     assert limiter_of(engine).rate == pytest.approx(2.0)
@@ -112,9 +112,8 @@
     limiter.local_demand = 3.0
     limiter.reported_demand = 3.0
     limiter.fleet_demand = 6.0
-    make_engine().quota.apply_reading(
-        limiter, 0.0
-    )  # less than this gateway added itself: the counter lost it
+    # The reading is less than this gateway alone added, so the counter has lost data.
+    make_engine().quota.apply_reading(limiter, 0.0)
     assert limiter.fleet_demand == 6.0
 
 
@@ -153,13 +152,13 @@
     engine.handle(make_attempt_ended(1, 0, attempt.endpoint_id, Outcome.SUCCESS), 100.1)
     for second in range(101, 106):
         engine.handle(TimerFired(ReportDemandTimer("c")), float(second))
-    for number in range(2, 5):  # each new limiter has up to two others checked
+    for number in range(2, 5):  # each new limiter causes up to two others to be checked for eviction
         engine.handle(make_request(number, customer=f"other{number}", deadline=204.0), 200.0)
     assert "c" not in engine.limiters.limiters
 
 
 def test_concurrency_limit_of_a_plan_is_split_among_the_gateways() -> None:
-    engine = make_engine()  # two attempts in flight over two gateways: one here
+    engine = make_engine()  # the plan allows two attempts in flight at two gateways, so one here
     attempt = first_attempt(engine.handle(make_request(1, plan="open"), 100.0))
     assert started_attempts(engine.handle(make_request(2, plan="open"), 100.0)) == []
     finished = engine.handle(make_attempt_ended(1, 0, attempt.endpoint_id, Outcome.SUCCESS), 100.1)
@@ -174,25 +173,25 @@
 
 
 def test_queued_request_behind_the_head_is_answered_within_its_own_deadline() -> None:
-    """Found on a day of clients with short deadlines: only the head of the queue was looked at."""
+    """Regression with short deadlines: only the head of the queue was checked."""
     harness = EngineHarness(make_engine())
     harness.handle(endpoint_list_update(make_endpoint("a"), make_endpoint("b", 1)))
     for number in range(4):
         harness.handle(make_request(number, "pay", deadline=106.0))
     harness.handle(make_request(4, "pay", deadline=106.0))  # queued for 0.5 s, of the 0.8 s that it may wait
-    harness.handle(make_request(5, "pay", deadline=101.04, units=0.01))  # behind it, may wait for 0.52 s
-    limiter_of(harness.engine).set_quota_fraction(0.001, 100.0)  # and then the quota moves elsewhere
+    harness.handle(make_request(5, "pay", deadline=101.04, units=0.01))  # behind it; may wait for 0.52 s
+    limiter_of(harness.engine).set_quota_fraction(0.001, 100.0)  # most of the quota moves to other gateways
     harness.run_until(100.9)
     assert isinstance(harness.responses[5], Reject)
     assert isinstance(harness.responses[4], Reject)
 
 
 def test_plan_paid_beyond_its_quota_is_rejected_only_while_load_is_shed() -> None:
-    # rejecting earns nothing: units beyond the quota cost nothing, and may be within it at another gateway
+    # Rejecting gains nothing: units over the quota cost nothing, and may be within it at another gateway.
     engine = make_engine(plans=(replace(SMALL_PLAN, over_quota_value=0.3, over_quota_cost=0.0),))
     for number in range(12):
         attempt = first_attempt(engine.handle(make_request(number), 100.0))
         engine.handle(make_attempt_ended(number, 0, attempt.endpoint_id, Outcome.SUCCESS), 100.0)
-    assert limiter_of(engine).balance > -EPSILON  # units beyond the quota are not charged
+    assert limiter_of(engine).balance > -EPSILON  # units over the quota are not charged
     engine.admission.admit_ratio = 0.9
     assert isinstance(engine.handle(make_request(20), 100.0)[-1], Reject)
