--- a/tests/test_client_retries.py
+++ b/tests/test_client_retries.py
@@ -26,9 +26,9 @@
     return replace(received, is_retry=True, client_timeout=client_timeout)
 
 
-def retry_of_age(number: int, seconds: float) -> RequestReceived:
-    """Return a retry whose client first sent the request `seconds` ago."""
-    return retry(number, DEADLINE - seconds)
+def retry_of_age(number: int, age: float) -> RequestReceived:
+    """Return a retry whose client first sent the request `age` seconds ago."""
+    return retry(number, DEADLINE - age)
 
 
 def busy_engine(client_timeout: float = DEADLINE, **changes: Any) -> PolicyEngine:
@@ -39,7 +39,7 @@
     return engine
 
 
-def test_retry_that_is_too_late_is_rejected_and_not_charged() -> None:
+def test_late_retry_is_rejected_uncharged() -> None:
     """Regression: on a busy day half of all arrivals were retries that used capacity and quota in vain."""
     engine = busy_engine()
     (rejection,) = engine.handle(retry_of_age(2, 1.5 * OBJECTIVE), 100.0)
@@ -48,21 +48,22 @@
     assert limiter.balance == limiter.capacity
 
 
-def test_retry_in_time_and_new_request_are_forwarded_at_a_busy_gateway() -> None:
+def test_timely_retry_and_new_request_are_forwarded() -> None:
+    """A gateway without free capacity rejects only late retries."""
     engine = busy_engine()
     engine.handle(retry_of_age(2, 1.5 * OBJECTIVE), 100.0)
     assert started_attempts(engine.handle(retry_of_age(3, 0.3 * OBJECTIVE), 100.0))
     assert started_attempts(engine.handle(make_request(4, customer="new"), 100.0))
 
 
-def test_retry_that_is_too_late_is_forwarded_where_there_is_spare_capacity() -> None:
+def test_late_retry_is_forwarded_with_free_capacity() -> None:
     engine = busy_engine()
     engine.admission.concurrency_limit = float("inf")
     for number in (2, 3):
         assert started_attempts(engine.handle(retry(number, 1.0), 100.0))
 
 
-def test_retry_that_is_too_late_is_rejected_where_little_quota_is_left() -> None:
+def test_late_retry_is_rejected_with_little_quota() -> None:
     engine = busy_engine()
     engine.admission.concurrency_limit = float("inf")
     assert started_attempts(engine.handle(retry(2, 1.0), 100.0))
@@ -80,30 +81,34 @@
         pytest.param(3.9, 1.0, True, id="no older than its timeout allows"),
     ],
 )
-def test_retry_with_the_timeout_of_a_first_send_is_as_old_as_the_longest_retry_after(
+def test_age_of_retry_with_unchanged_timeout(
     client_timeout: float, max_retry_after: float, is_forwarded: bool
 ) -> None:
+    """A retry with the timeout of a first send is considered as old as the longest Retry-After."""
     engine = busy_engine(client_timeout, max_retry_after=max_retry_after)
     attempts = started_attempts(engine.handle(retry(2, client_timeout), 100.0))
     assert bool(attempts) == is_forwarded
 
 
-def test_retry_with_the_timeout_of_a_first_send_counts_as_new_without_retry_after() -> None:
+def test_retry_with_unchanged_timeout_may_be_new() -> None:
+    """Without Retry-After, a retry with the timeout of a first send counts as new."""
     engine = busy_engine(2.0, retry_after_allowed=False)
     assert started_attempts(engine.handle(retry(2, 2.0), 100.0))
 
 
-def test_retry_is_not_too_late_where_late_responses_keep_their_value() -> None:
+def test_old_retry_is_forwarded_if_late_responses_count() -> None:
     engine = busy_engine(request_classes=(replace(IDEMPOTENT_CLASS, late_value_ratio=0.6),))
     assert started_attempts(engine.handle(retry_of_age(2, 1.5 * OBJECTIVE), 100.0))
 
 
-def test_attempt_of_a_retry_times_out_when_one_of_its_first_send_would() -> None:
+def test_retry_attempt_timeout_counts_from_first_send() -> None:
+    """An attempt of a retry times out when one of its first send would."""
     attempt = first_attempt(busy_engine().handle(retry_of_age(2, 0.4 * OBJECTIVE), 100.0))
     assert attempt.timeout == pytest.approx(0.6 * OBJECTIVE)
 
 
-def test_retry_is_queued_no_longer_than_its_first_send_would_be() -> None:
+def test_retry_queue_time_counts_from_first_send() -> None:
+    """A retry is queued no longer than its first send would be."""
     engine = busy_engine()
     engine.handle(retry_of_age(2, 0.4 * OBJECTIVE), 100.0)
     limiter = limiter_of(engine, "x2")
@@ -115,7 +120,7 @@
     assert not any(isinstance(action, Reject) for action in engine.handle(new_request, 100.0))
 
 
-async def test_engine_gets_the_timeout_that_the_client_sends(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_engine_receives_client_timeout(monkeypatch: pytest.MonkeyPatch) -> None:
     received: list[RequestReceived] = []
     handle = PolicyEngine.handle
 
@@ -145,25 +150,25 @@
     return engine
 
 
-def test_retry_after_is_the_wait_for_quota_if_that_is_in_time() -> None:
+def test_retry_after_equals_quota_wait_if_timely() -> None:
     assert retry_after(engine_with_empty_bucket(), make_request(2)) == pytest.approx(0.5)
 
 
-def test_retry_after_is_short_where_quota_comes_too_late() -> None:
+def test_retry_after_is_short_if_quota_is_late() -> None:
     """Regression: after half a second or more, retries came too late to be served in time by any gateway."""
     engine = engine_with_empty_bucket()
-    soon = 0.15 * OBJECTIVE
+    short_delay = 0.15 * OBJECTIVE
     # This gateway has enough quota only in 1.5 s.
-    assert retry_after(engine, make_request(2, units=3.0)) == pytest.approx(soon)
+    assert retry_after(engine, make_request(2, units=3.0)) == pytest.approx(short_delay)
 
 
-def test_retry_after_is_short_while_load_is_shed() -> None:
+def test_retry_after_is_short_while_shedding_load() -> None:
     engine = make_engine()
     engine.admission.concurrency_limit = -1.0
     assert retry_after(engine, make_request(3)) == pytest.approx(0.15 * OBJECTIVE)
 
 
-def test_retry_after_is_zero_where_the_settings_do_not_allow_it() -> None:
+def test_retry_after_is_zero_if_not_allowed() -> None:
     engine = make_engine(retry_after_allowed=False)
     engine.admission.concurrency_limit = -1.0
     assert retry_after(engine, make_request(4)) == 0.0
--- a/tests/test_overload_protection.py
+++ b/tests/test_overload_protection.py
@@ -17,10 +17,14 @@
     make_request,
 )
 
-REJECTING = {"b0", "b1", "b2"}  # ids of endpoints that reject one combination of request class and plan
+REJECTING_ENDPOINTS = {
+    "b0",
+    "b1",
+    "b2",
+}  # ids of endpoints that reject one combination of request class and plan
 
 
-def test_slow_responses_do_not_shed_load_for_longer_than_they_last() -> None:
+def test_load_shedding_ends_with_slow_responses() -> None:
     """Regression: after slow responses all requests were rejected, for good or for as long as they lasted."""
     engine = make_engine(gateway_count=1)
     admitted: list[bool] = []
@@ -40,7 +44,7 @@
 
 
 @pytest.mark.parametrize("gateway_count", [2, 300])
-def test_overload_is_seen_alike_by_one_of_few_and_by_one_of_many_gateways(gateway_count: int) -> None:
+def test_overload_is_detected_in_any_fleet_size(gateway_count: int) -> None:
     """Regression: each of many gateways sent an endpoint too little to detect their common overload."""
     listed = endpoint_list_update(*(make_endpoint(f"b{number}") for number in range(60)))
     engine = make_engine(gateway_count=gateway_count, endpoint_list=listed)
@@ -56,7 +60,7 @@
     assert 0 < admitted <= 10
 
 
-def test_stuck_attempts_fill_the_concurrency_limit_of_their_endpoint_only() -> None:
+def test_stuck_attempts_limit_only_their_endpoint() -> None:
     """Regression: very slow endpoints filled a concurrency limit that all endpoints shared."""
     engine = make_engine(
         gateway_count=1, endpoint_list=endpoint_list_update(make_endpoint("a"), make_endpoint("b"))
@@ -68,16 +72,16 @@
             make_request(number, customer=f"x{number}", deadline=now + 90, quota_spread=1), now
         )
         endpoint_id = first_attempt(actions).endpoint_id
-        late = first_timer(actions, LateAttemptTimer)
+        set_timer = first_timer(actions, LateAttemptTimer)
         if endpoint_id == "a":
             stuck += 1
-            engine.handle(TimerFired(late.timer), now + late.delay)
+            engine.handle(TimerFired(set_timer.timer), now + set_timer.delay)
         else:
             engine.handle(make_attempt_ended(number, 0, endpoint_id, Outcome.SUCCESS, 0.1), now + 0.1)
     assert stuck <= 9  # the endpoint's concurrency limit is reached
 
 
-def test_endpoint_that_refuses_a_connection_is_ejected_at_once() -> None:
+def test_endpoint_refusing_connections_is_ejected_at_once() -> None:
     """Regression: failed endpoints that were still listed received a third of the attempts."""
     engine = make_engine(
         gateway_count=1,
@@ -105,7 +109,7 @@
         )
         endpoint_id: str | None = first_attempt(actions).endpoint_id
         attempt_index = 0
-        while endpoint_id in REJECTING:
+        while endpoint_id in REJECTING_ENDPOINTS:
             rejections += 1
             rejected = make_attempt_ended(number, attempt_index, endpoint_id, Outcome.REJECTED)
             retries = started_attempts(engine.handle(rejected, now + 0.01))
@@ -116,7 +120,7 @@
     return rejections
 
 
-def test_rejection_is_remembered_for_its_class_and_plan_only_and_is_no_fault() -> None:
+def test_rejection_is_remembered_per_class_and_plan() -> None:
     """Regression (incident i9ba5ae): endpoints that rejected only one plan were tried again and again.
 
     A rejection does not count as a failure of the endpoint, which still receives other classes and plans.
@@ -126,4 +130,4 @@
     assert count_rejections(engine) <= 15
     assert engine.endpoints["b0"].failure_score == 0
     others = [make_request(500 + n, "pay", "capped", f"y{n}", 1.0, 190.0, 1) for n in range(9)]
-    assert REJECTING & {first_attempt(engine.handle(other, 180.0)).endpoint_id for other in others}
+    assert REJECTING_ENDPOINTS & {first_attempt(engine.handle(other, 180.0)).endpoint_id for other in others}
--- a/tests/test_policy_engine.py
+++ b/tests/test_policy_engine.py
@@ -41,17 +41,17 @@
     ],
     ids=lambda event: type(event).__name__,
 )
-def test_event_of_an_unknown_request_or_customer_is_ignored(event: Event) -> None:
+def test_unknown_request_or_customer_is_ignored(event: Event) -> None:
     assert make_engine().handle(event, 100.0) == []
 
 
-def test_request_of_an_unknown_class_is_rejected() -> None:
+def test_unknown_request_class_is_rejected() -> None:
     engine = make_engine()
     assert engine.handle(make_request(1, request_class="nonsense"), 100.0) == [Reject(1, 0.0)]
     assert engine.forwarder.requests == {}
 
 
-def test_time_does_not_go_back() -> None:
+def test_engine_time_never_decreases() -> None:
     engine = make_engine()
     engine.handle(make_request(2), 101.0)
     engine.handle(make_request(3), 50.0)
@@ -64,7 +64,7 @@
     assert make_engine().handle(make_request(1, quota_spread=quota_spread), 100.0)
 
 
-def test_events_of_a_removed_endpoint_are_accepted() -> None:
+def test_events_of_removed_endpoint_are_accepted() -> None:
     engine = make_engine()
     endpoint_id = first_attempt(engine.handle(make_request(1), 100.0)).endpoint_id
     engine.handle(EndpointListUpdate(EndpointListKind.FULL, ()), 100.1)
@@ -73,13 +73,14 @@
     assert engine.forwarder.requests == {}
 
 
-def test_request_is_rejected_while_the_endpoint_list_is_empty() -> None:
+def test_request_is_rejected_without_endpoints() -> None:
     engine = make_engine()
     engine.handle(EndpointListUpdate(EndpointListKind.FULL, ()), 100.1)
     assert isinstance(engine.handle(make_request(2), 100.4)[-1], Reject)
 
 
-def test_settings_of_zero_raise_nothing_and_set_only_timers_ahead() -> None:
+def test_zero_settings_are_accepted() -> None:
+    """Settings of zero raise no error, and every timer has a positive delay."""
     settings = replace(
         SETTINGS,
         plans=(replace(SMALL_PLAN, rate=0.0, burst=0.0), CAPPED_PLAN),
@@ -102,7 +103,7 @@
                 engine.handle(TimerFired(action.timer), now + action.delay)
 
 
-def test_unknown_load_report_is_ignored() -> None:
+def test_unknown_load_report_field_is_ignored() -> None:
     engine = make_engine(load_report_fields=("unknown field",))
     attempt = first_attempt(engine.handle(make_request(1), 100.0))
     response = make_attempt_ended(1, 0, attempt.endpoint_id, Outcome.SUCCESS)
--- a/tests/test_policy_invariants.py
+++ b/tests/test_policy_invariants.py
@@ -75,7 +75,7 @@
 
     def __init__(self) -> None:
         self.harness = EngineHarness(make_engine())
-        self.requests = 0
+        self.request_count = 0
         listed = (make_endpoint(name, index // 2) for index, name in enumerate(ENDPOINT_IDS))
         self.harness.handle(endpoint_list_update(*listed))
 
@@ -99,13 +99,13 @@
                 harness.reply_to_counter_calls(0.0, Outcome.TIMED_OUT)
 
     def send_request(self, step: Step) -> None:
-        self.requests += 1
+        self.request_count += 1
         request_class = REQUEST_CLASSES[step.pick % 3]
         plan = PLANS[step.pick // 3 % 3]
         customer = plan + str(step.pick // 9 % 2)
         units = 1.0 + step.pick % 3
         deadline = self.harness.now + 0.2 + 3 * step.seconds
-        self.harness.handle(make_request(self.requests, request_class, plan, customer, units, deadline))
+        self.harness.handle(make_request(self.request_count, request_class, plan, customer, units, deadline))
 
     def end_attempt(self, step: Step) -> None:
         harness = self.harness
@@ -162,13 +162,13 @@
     assert all(pending.in_flight for pending in harness.engine.forwarder.requests.values())
 
 
-def test_non_idempotent_request_is_rejected_if_it_was_proven_not_executed() -> None:
+def test_unexecuted_non_idempotent_request_is_rejected() -> None:
     engine = make_engine(endpoint_list=endpoint_list_update(make_endpoint("a")), max_attempts=1)
     engine.handle(make_request(1, "pay"), 100.0)
     assert isinstance(engine.handle(make_attempt_ended(1, 0, "a", Outcome.REJECTED), 100.1)[-1], Reject)
 
 
-def test_non_idempotent_request_fails_if_it_may_have_been_executed() -> None:
+def test_possibly_executed_non_idempotent_request_fails() -> None:
     engine = make_engine(endpoint_list=endpoint_list_update(make_endpoint("a")), max_attempts=1)
     engine.handle(make_request(1, "pay"), 100.2)
     assert isinstance(
@@ -176,7 +176,8 @@
     )
 
 
-def test_request_with_idempotency_key_is_retried_only_within_its_deduplication_group() -> None:
+def test_keyed_request_is_retried_only_within_cell() -> None:
+    """Only the endpoints of one cell recognize the idempotency key, so another cell may not get the retry."""
     engine = make_engine(endpoint_list=endpoint_list_update(make_endpoint("a", 0), make_endpoint("b", 1)))
     first = first_attempt(engine.handle(make_request(1, "keyed"), 100.0))
     retries = started_attempts(
@@ -186,9 +187,8 @@
 
 
 @pytest.mark.parametrize(("request_class", "send_within"), [("keyed", 2.5), ("read", 0.0)])
-def test_retry_with_idempotency_key_must_be_sent_within_the_idempotency_window(
-    request_class: str, send_within: float
-) -> None:
+def test_keyed_retry_is_bound_by_idempotency_window(request_class: str, send_within: float) -> None:
+    """A retry with an idempotency key must be sent within the window; others have no such bound."""
     engine = make_engine(endpoint_list=endpoint_list_update(make_endpoint("a", 0), make_endpoint("b", 0)))
     first = first_attempt(engine.handle(make_request(1, request_class), 100.0))
     assert first.send_within == 0.0
@@ -206,13 +206,14 @@
         assert first_attempt(engine.handle(make_request(number), 100.0)).endpoint_id == "a"
 
 
-def test_attempt_times_out_once_its_response_has_no_value() -> None:
+def test_attempt_times_out_at_latency_objective() -> None:
     """Regression: on overloaded days, work whose result came too late occupied backends for seconds."""
     attempt = first_attempt(make_engine().handle(make_request(1, deadline=104.0), 100.0))
     assert attempt.timeout == 1.0  # the latency objective, as late responses of this class have no value
 
 
-def test_learned_durations_are_bounded_whatever_units_clients_name() -> None:
+def test_number_of_learned_durations_is_bounded() -> None:
+    """Clients choose the units of a request, so the engine must not learn a duration for each value."""
     engine = make_engine()
     for number in range(200):
         units = 1.0 + number / 1000
--- a/tests/test_rate_limiting.py
+++ b/tests/test_rate_limiting.py
@@ -39,14 +39,16 @@
     return engine
 
 
-def test_request_beyond_the_queueing_bound_is_rejected_with_the_wait_as_retry_after() -> None:
+def test_request_beyond_queueing_bound_is_rejected() -> None:
+    """The Retry-After of the rejection is the wait for quota."""
     engine = engine_with_empty_bucket()
     # One unit refills in 0.5 s; a latency objective of 1 s allows 0.4 s in the queue.
     rejection = engine.handle(make_request(4), 100.0)[-1]
     assert isinstance(rejection, Reject) and rejection.retry_after == pytest.approx(0.5)
 
 
-def test_request_within_the_queueing_bound_is_queued_and_released_exactly_in_time() -> None:
+def test_request_within_queueing_bound_is_queued() -> None:
+    """The request is released exactly when its units have refilled."""
     engine = engine_with_empty_bucket()
     # After 0.3 s, 0.6 units have refilled; the rest of one unit takes 0.2 s, less than the bound of 0.4 s.
     queued = engine.handle(make_request(4), 100.3)
@@ -56,7 +58,8 @@
     assert len(started_attempts(engine.handle(TimerFired(release.timer), 100.3 + release.delay))) == 1
 
 
-def test_request_larger_than_the_bucket_is_forwarded_once_the_bucket_is_full() -> None:
+def test_oversized_request_waits_for_full_bucket() -> None:
+    """A request of more units than the bucket can hold is forwarded once the bucket is full."""
     limiter: Limiter = TokenBucketLimiter("c", SMALL_PLAN, quota_spread=4, now=0.0, started_at=0.0)
     # At 1 unit/s and a capacity of 2 units, the bucket never holds 5 units.
     assert limiter.wait_time(5.0) == 0.0
@@ -72,14 +75,14 @@
     assert limiter.balance == pytest.approx(1.0)  # the capacity of 4 units less the 3 queued units
 
 
-def test_settling_actual_units_may_make_the_balance_negative() -> None:
+def test_settled_units_may_make_balance_negative() -> None:
     engine = make_engine(settles_actual_units=True)
     attempt = first_attempt(engine.handle(make_request(1, units=4.0), 100.0))
     engine.handle(make_attempt_ended(1, 0, attempt.endpoint_id, Outcome.SUCCESS, actual_units=7.0), 100.0)
     assert limiter_of(engine).balance == pytest.approx(-3.0)  # the capacity of 4 less the 7 actual units
 
 
-def test_spare_quota_is_split_evenly() -> None:
+def test_unused_quota_is_split_evenly() -> None:
     limiter: Limiter = TokenBucketLimiter("c", SMALL_PLAN, quota_spread=2, now=0.0, started_at=0.0)
     limiter.local_demand = 1.0
     make_engine().quota.apply_reading(limiter, 4.0)
@@ -88,7 +91,7 @@
     assert limiter.rate == pytest.approx(2.0)
 
 
-def test_overbooked_quota_is_split_by_demand() -> None:
+def test_oversubscribed_quota_is_split_by_demand() -> None:
     limiter: Limiter = TokenBucketLimiter("c", SMALL_PLAN, quota_spread=2, now=0.0, started_at=0.0)
     limiter.local_demand = 3.0
     limiter.fleet_demand = 2.0
@@ -97,7 +100,7 @@
     assert limiter.rate == pytest.approx(1.5)
 
 
-def test_quota_is_split_evenly_again_once_the_last_reading_has_expired() -> None:
+def test_quota_split_is_even_after_reading_expires() -> None:
     engine = make_engine()
     engine.handle(make_request(1), 100.0)
     engine.quota.apply_reading(limiter_of(engine), 14.0)
@@ -107,7 +110,7 @@
     assert limiter_of(engine).rate == pytest.approx(2.0)
 
 
-def test_reading_below_the_reported_demand_is_ignored() -> None:
+def test_reading_below_reported_demand_is_ignored() -> None:
     limiter: Limiter = TokenBucketLimiter("c", SMALL_PLAN, quota_spread=2, now=0.0, started_at=0.0)
     limiter.local_demand = 3.0
     limiter.reported_demand = 3.0
@@ -117,7 +120,8 @@
     assert limiter.fleet_demand == 6.0
 
 
-def test_demand_is_reported_and_read_under_one_counter_name() -> None:
+def test_demand_uses_one_counter_name() -> None:
+    """Demand is reported and read under the same counter name."""
     harness = EngineHarness(make_engine())
     harness.handle(endpoint_list_update(make_endpoint("a")))
     for number in range(4):
@@ -133,19 +137,20 @@
     assert not any(isinstance(action, IncrementCounter) for action in actions)
 
 
-def test_hard_limit_grants_nothing_to_a_gateway_that_has_just_started() -> None:
+def test_new_gateway_has_empty_hard_limit_bucket() -> None:
     engine = make_engine(now=100.0)
     assert started_attempts(engine.handle(make_request(1, plan="capped"), 100.0)) == []
 
 
-def test_hard_limit_grants_what_has_refilled_since_the_start() -> None:
+def test_hard_limit_bucket_refills_from_gateway_start() -> None:
+    """The hard limit grants a new customer what has refilled since the gateway started."""
     engine = make_engine(now=50.0)
     assert len(started_attempts(engine.handle(make_request(1, plan="capped"), 100.0))) == 1
     limiter: Limiter = TokenBucketLimiter("c", CAPPED_PLAN, quota_spread=2, now=100.0, started_at=99.0)
     assert limiter.hard_limit_balance == pytest.approx(3.0)  # 1 s of half of 6 units a second
 
 
-def test_limiter_is_evicted_only_once_it_is_idle_and_full() -> None:
+def test_limiter_is_evicted_when_idle_and_full() -> None:
     engine = make_engine()
     attempt = first_attempt(engine.handle(make_request(1), 100.0))
     assert "c" in engine.limiters.limiters
@@ -157,7 +162,7 @@
     assert "c" not in engine.limiters.limiters
 
 
-def test_concurrency_limit_of_a_plan_is_split_among_the_gateways() -> None:
+def test_concurrency_limit_is_split_among_gateways() -> None:
     engine = make_engine()  # the plan allows two attempts in flight at two gateways, so one here
     attempt = first_attempt(engine.handle(make_request(1, plan="open"), 100.0))
     assert started_attempts(engine.handle(make_request(2, plan="open"), 100.0)) == []
@@ -166,13 +171,13 @@
 
 
 @pytest.mark.parametrize(("attribute", "setting"), [("rate", "units_per_s"), ("burst", "peak_units")])
-def test_negative_settings_are_named_as_in_the_file(attribute: str, setting: str) -> None:
+def test_negative_setting_is_named_in_error(attribute: str, setting: str) -> None:
     plan = replace(SMALL_PLAN, **{attribute: -1.0})  # type: ignore[arg-type]
     with pytest.raises(ValueError, match=f"^settings: {setting} of plan small is negative$"):
         PolicyEngine(replace(SETTINGS, plans=(plan,)), 1, 0.0)
 
 
-def test_queued_request_behind_the_head_is_answered_within_its_own_deadline() -> None:
+def test_request_behind_queue_head_meets_own_deadline() -> None:
     """Regression with short deadlines: only the head of the queue was checked."""
     harness = EngineHarness(make_engine())
     harness.handle(endpoint_list_update(make_endpoint("a"), make_endpoint("b", 1)))
@@ -186,7 +191,8 @@
     assert isinstance(harness.responses[4], Reject)
 
 
-def test_plan_paid_beyond_its_quota_is_rejected_only_while_load_is_shed() -> None:
+def test_over_quota_plan_is_rejected_only_when_shedding() -> None:
+    """A plan that pays for units over its quota is rejected only while load is shed."""
     # Rejecting gains nothing: units over the quota cost nothing, and may be within it at another gateway.
     engine = make_engine(plans=(replace(SMALL_PLAN, over_quota_value=0.3, over_quota_cost=0.0),))
     for number in range(12):
