--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -1,4 +1,4 @@
-"""Operators' commands on endpoints and on the gateway, as the policy engine applies them."""
+"""Maintenance of endpoints and draining of the gateway, as the policy engine applies operators' commands."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def used_endpoints(engine: PolicyEngine, numbers: Iterable[int]) -> set[str]:
-    """Send the requests of these numbers, each after the last one's end; return the endpoints used."""
+    """Send requests with these ids one after another, and return the ids of the endpoints used."""
     used: set[str] = set()
     for number in numbers:
         for attempt in started_attempts(engine.handle(make_request(number, customer=f"c{number}"), 100.0)):
@@ -59,7 +59,10 @@
 
 
 def engine_after_maintenance(list_answered_at: float = 100.0) -> PolicyEngine:
-    """Return an engine where endpoint "a" has returned; two commands to start need one to end."""
+    """Return an engine whose endpoint "a" has returned from maintenance.
+
+    Maintenance is enabled twice and ends with the first command that disables it.
+    """
     engine = make_engine(now=list_answered_at)
     for enabled in (True, True, False, False):
         engine.handle(SetMaintenance("a", enabled), 100.0)
@@ -85,7 +88,7 @@
 
 
 def test_list_that_names_a_new_start_late_has_the_endpoint_warm_up_again() -> None:
-    """Discovery answered at 100 s without that start, so that its clock can't be trusted."""
+    """Discovery responded at 100 s without the start at 99.5 s, so the endpoint's clock cannot be trusted."""
     engine = engine_after_maintenance(list_answered_at=100.0)
     engine.handle(endpoint_list_update(make_endpoint("a", started_at=99.5), make_endpoint("b")), 101.0)
     assert engine.endpoints["a"].started_at == 101.0
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -1,4 +1,4 @@
-"""The simulator's adapter, over batches as the simulator writes them."""
+"""The simulator adapter, with batches as the simulator writes them and with malformed input."""
 
 from __future__ import annotations
 
@@ -23,14 +23,14 @@
 
 
 def settings_object() -> dict[str, Any]:
-    """Return the settings that the first instance is started with."""
+    """Return the settings object with which the first instance is started."""
     _, _, text = START_LINE.split("\t", 2)
     loaded: dict[str, Any] = json.loads(text)
     return loaded
 
 
 def reply_to(text: str) -> str:
-    """Return what the adapter writes for this input."""
+    """Return the adapter's output for an input."""
     sink = io.StringIO()
     serve(io.StringIO(text), sink)
     return sink.getvalue()
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: what an endpoint that is warming up gets, by its peers and from all gateways together."""
+"""Slow start: the load of an endpoint that is warming up, from one gateway and from a fleet of gateways."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 def test_endpoint_gets_more_work_where_few_others_are_warm_and_healthy(
     outliers: int, warming_up: int
 ) -> None:
-    # with a fraction of an even share each, those warming up were idle while the few healthy ones overloaded
+    """Regression: with a fixed fraction of an even share it idled while the few healthy ones overloaded."""
     warm_endpoints = [make_endpoint(f"w{number}") for number in range(5 - warming_up)]
     new_endpoints = [make_endpoint(f"c{number}", started_at=95.0) for number in range(warming_up)]
     engine = make_engine(now=100.0, endpoint_list=endpoint_list_update(*warm_endpoints, *new_endpoints))
@@ -39,14 +39,14 @@
         engine.endpoints[f"w{number}"].failure_score = OUTLIER_THRESHOLD
     budget = engine.settings.slow_start_overload_ratio * BUDGET_FRACTION * factor
     healthy_capacity = 5 - warming_up - outliers + warming_up * factor
-    even = factor * 5 / healthy_capacity  # work in proportion to what each of the healthy ones can do
-    # never over the budget, which binds only where the others could not take the work
+    even = factor * 5 / healthy_capacity  # in proportion to the capacity of each healthy endpoint
+    # The budget is an upper bound, which is reached only where the others lack the capacity.
     assert engine.slow_start.probability(endpoint) == pytest.approx(min(even, budget))
     assert (even > budget) == (outliers > 0)
 
 
 def test_endpoint_keeps_its_work_while_the_others_are_late() -> None:
-    # reduced by each late response of the others, it was idle just when half a fleet had restarted
+    """Regression: late responses of others reduced its load, and it idled when half a fleet had restarted."""
     engine = make_engine(
         endpoint_list=endpoint_list_update(make_endpoint("a"), replace(make_endpoint("b"), started_at=98.0))
     )
@@ -59,7 +59,7 @@
 
 @pytest.mark.parametrize("gateway_count", [2, 300])
 def test_new_endpoint_gets_its_work_from_all_gateways_together(gateway_count: int) -> None:
-    """Found in incidents: each of hundreds of gateways sent a request as soon as the endpoint was listed."""
+    """Regression: each of hundreds of gateways sent a request as soon as the endpoint was listed."""
     received = 0
     warm_endpoints = [make_endpoint(f"w{number}") for number in range(5)]
     for seed in range(gateway_count):
@@ -72,7 +72,8 @@
             endpoint_id = first_attempt(actions).endpoint_id
             received += endpoint_id == WARMING_UP
             engine.handle(make_attempt_ended(number, 0, endpoint_id, Outcome.SUCCESS), 100.2)
-    assert 10 <= received <= 70  # a warm one gets over 200; this one can do a quarter of that, 50, at least
+    # A warm endpoint gets over 200 requests; this one has at least a quarter of the capacity, for 50.
+    assert 10 <= received <= 70
 
 
 def test_fleet_of_new_endpoints_only_is_used() -> None:
@@ -90,7 +91,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """One gateway of a fleet, and the attempts a second that it makes."""
+    """A gateway of a fleet, and its rate in attempts per second."""
 
     engine: PolicyEngine
     rate: float
@@ -102,12 +103,12 @@
 
     @property
     def even_rate(self) -> float:
-        """Attempts a second that the gateway sends to each endpoint of its own subset, if all are warm."""
+        """Attempts per second to each endpoint of the gateway's own subset, if all are warm."""
         return self.rate / len(self.engine.registry.assigned_subset)
 
     @property
     def draw_rate(self) -> float:
-        """Draws a second that fall on each candidate, also while the subset is widened."""
+        """Selections per second of each candidate, including those of a widened subset."""
         return self.rate / len(self.engine.registry.candidates)
 
     @property
@@ -122,7 +123,10 @@
 def member_of_fleet(
     gateway_index: int, gateway_count: int, overload_ratio: float, listed: EndpointListUpdate
 ) -> Member:
-    """Return a gateway; most of a fleet see all other endpoints as outliers, some have ten times the load."""
+    """Return a gateway of a fleet.
+
+    Two in three gateways consider all warm endpoints outliers, and one in seven has ten times the rate.
+    """
     settings = replace(
         SETTINGS,
         gateway_count=gateway_count,
@@ -145,7 +149,10 @@
 def test_budgets_of_the_gateways_add_up_to_that_of_the_fleet_whatever_each_sees(
     gateway_count: int, endpoint_count: int, overload_ratio: float
 ) -> None:
-    # gateways that saw others fail, or had widened their subsets, raised their part by what they alone saw
+    """Gateways may see different failures and have widened their subsets.
+
+    Regression: each such gateway raised its part of the budget by what it alone observed.
+    """
     warm_endpoints = [make_endpoint(f"w{number}") for number in range(endpoint_count - 1)]
     listed = endpoint_list_update(make_endpoint(WARMING_UP, started_at=99.0), *warm_endpoints)
     fleet = [member_of_fleet(index, gateway_count, overload_ratio, listed) for index in range(gateway_count)]
@@ -184,11 +191,11 @@
         for number in range(100)
         for attempt in started_attempts(engine.handle(make_request(number, customer=f"c{number}"), 100.0))
     }
-    assert used == {"a"}  # a ratio of 0 leaves no budget for the other one
+    assert used == {"a"}  # an overload ratio of 0 leaves no budget for the endpoint that warms up
 
 
 def results_by_load(gateways: int, starts: int) -> dict[tuple[str, float], list[Result]]:
-    """Play the cases of a fleet, and return their results by load and overload ratio."""
+    """Run the cases of a fleet, and return their results by load and overload ratio."""
     results: dict[tuple[str, float], list[Result]] = {}
     for case in cases(gateways, starts):
         results.setdefault((case.load, case.multiple), []).append(play(case))
@@ -205,5 +212,6 @@
             f"worst {worst:+.1f}, used {used:.2f}"
         )
         assert sum(result.exceeded_starts for result in results) == 0
-        if load == "pressed":  # 0.16 to 0.18 and 0.21 to 0.25 were used while the others were late
+        if load == "pressed":
+            # Where late responses of the others reduced the load, 0.16 to 0.18 and 0.21 to 0.25 were used.
             assert used > (0.2 if overload_ratio > 2.0 else 0.3)
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -1,6 +1,6 @@
-"""Endpoints tell when they started by their own wall clock, which may be stepped like the gateway's.
+"""Start times that endpoints report by their own wall clocks, which may be stepped, as may the gateway's.
 
-What they say is bounded by when the list first named the start, and when it last did not.
+A reported start is bounded by the time of the first list with it and that of the last list without it.
 """
 
 from __future__ import annotations
@@ -21,12 +21,12 @@
 
 
 def confirm_list(engine: PolicyEngine, now: float) -> None:
-    """Have discovery answer that nothing has changed."""
+    """Handle a response of discovery without changes."""
     engine.handle(endpoint_list_update(kind=EndpointListKind.DELTA), now)
 
 
 def engine_with_list(now: float = NOW) -> PolicyEngine:
-    """Return an engine whose list was confirmed a moment ago."""
+    """Return an engine whose endpoint list was confirmed 0.2 s before `now`."""
     engine = make_engine(now=now - 1.0, endpoint_list=endpoint_list_update(WARM))
     confirm_list(engine, now - 0.2)
     return engine
@@ -43,7 +43,7 @@
     for age in (0.0, 2.0, 0.5 * WINDOW, 0.9 * WINDOW):
         engine.context.now = NOW + age
         lowest = minimum + slope * age
-        # at most what it has if it started right after discovery last answered without it
+        # The upper bound is for a start right after discovery's last response without it.
         assert lowest - 1e-6 <= engine.slow_start.factor(cold) <= lowest + slope * 0.2 + 1e-6
         assert engine.slow_start.is_warming_up(cold)
     engine.context.now = NOW + WINDOW + 0.01
--- a/tests/test_subsetting.py
+++ b/tests/test_subsetting.py
@@ -17,7 +17,7 @@
 ZONES = ("a", "b", "c")
 GATEWAYS = 40
 ENDPOINTS = 60
-GATEWAY_INDEX = 7  # of the gateway whose subset is widened
+GATEWAY_INDEX = 7  # index of the gateway whose subset is widened
 
 
 def endpoint(number: int) -> Endpoint:
@@ -72,7 +72,7 @@
     before = subsets(endpoint_states(range(ENDPOINTS)))
     after = subsets(endpoint_states(numbers))
     changed = [len(old ^ new) for old, new in zip(before, after, strict=True)]
-    assert max(changed) <= 6  # of 15
+    assert max(changed) <= 6  # of 15 members
     assert sum(changed) / GATEWAYS <= 3
 
 
@@ -80,7 +80,8 @@
     before = subsets(endpoint_states(range(ENDPOINTS)))
     after = subsets(endpoint_states(number for number in range(ENDPOINTS) if number % 3))
     retained = [len(old & new) / len(new) for old, new in zip(before, after, strict=True)]
-    assert min(retained) >= 0.6  # a larger part of those that are left, the former members among them
+    # Each subset is a larger fraction of the endpoints left, and still has its former members.
+    assert min(retained) >= 0.6
 
 
 def test_subset_is_widened_at_once_while_too_few_of_it_are_healthy() -> None:
--- a/tests/test_timers.py
+++ b/tests/test_timers.py
@@ -1,4 +1,4 @@
-"""The codec of timers: their texts on the simulator's wire stay the same."""
+"""Encoding and decoding of timers; their texts are part of the simulator's protocol and must not change."""
 
 from __future__ import annotations
 
