--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -21,23 +21,25 @@
 )
 
 
-def used_endpoints(engine: PolicyEngine, numbers: Iterable[int]) -> set[str]:
+def used_endpoints(engine: PolicyEngine, request_ids: Iterable[int]) -> set[str]:
     """Send requests with these ids one after another, and return the ids of the endpoints used."""
     used: set[str] = set()
-    for number in numbers:
-        for attempt in started_attempts(engine.handle(make_request(number, customer=f"c{number}"), 100.0)):
+    for request_id in request_ids:
+        for attempt in started_attempts(
+            engine.handle(make_request(request_id, customer=f"c{request_id}"), 100.0)
+        ):
             used.add(attempt.endpoint_id)
-            engine.handle(make_attempt_ended(number, 0, attempt.endpoint_id, Outcome.SUCCESS), 100.0)
+            engine.handle(make_attempt_ended(request_id, 0, attempt.endpoint_id, Outcome.SUCCESS), 100.0)
     return used
 
 
-def test_maintenance_closes_idle_connections_and_ends_attempts_to_the_endpoint() -> None:
+def test_maintenance_closes_connections_and_prevents_attempts() -> None:
     engine = make_engine()
     assert engine.handle(SetMaintenance("a", True), 100.0) == [CloseIdleConnections("a")]
     assert used_endpoints(engine, range(20)) == {"b"}
 
 
-def test_maintenance_lasts_through_endpoint_lists_and_restarts() -> None:
+def test_maintenance_outlasts_removal_and_restart() -> None:
     engine = make_engine()
     engine.handle(SetMaintenance("a", True), 100.0)
     engine.handle(
@@ -50,7 +52,7 @@
     assert engine.knows_endpoint("a")
 
 
-def test_gateway_accepts_no_clients_while_every_endpoint_is_under_maintenance() -> None:
+def test_maintenance_of_all_endpoints_refuses_clients() -> None:
     engine = make_engine()
     for endpoint_id in ("a", "b"):
         engine.handle(SetMaintenance(endpoint_id, True), 100.0)
@@ -58,12 +60,12 @@
     assert used_endpoints(engine, range(3)) == set()
 
 
-def engine_after_maintenance(list_answered_at: float = 100.0) -> PolicyEngine:
+def engine_after_maintenance(listed_at: float = 100.0) -> PolicyEngine:
     """Return an engine whose endpoint "a" has returned from maintenance.
 
     Maintenance is enabled twice and ends with the first command that disables it.
     """
-    engine = make_engine(now=list_answered_at)
+    engine = make_engine(now=listed_at)
     for enabled in (True, True, False, False):
         engine.handle(SetMaintenance("a", enabled), 100.0)
     return engine
@@ -76,10 +78,11 @@
 
 
 @pytest.mark.parametrize("listed_start", [None, 99.5])
-def test_list_that_does_not_know_of_the_return_leaves_the_endpoint_as_it_is(
+def test_list_without_new_start_keeps_returned_endpoint(
     listed_start: float | None,
 ) -> None:
-    engine = engine_after_maintenance(list_answered_at=99.0)
+    """A list that reports no start after the return from maintenance leaves the endpoint as it is."""
+    engine = engine_after_maintenance(listed_at=99.0)
     state = engine.endpoints["a"]
     engine.handle(
         endpoint_list_update(make_endpoint("a", started_at=listed_start), make_endpoint("b")), 101.0
@@ -87,14 +90,14 @@
     assert engine.endpoints["a"] is state
 
 
-def test_list_that_names_a_new_start_late_has_the_endpoint_warm_up_again() -> None:
+def test_late_listed_start_begins_slow_start_again() -> None:
     """Discovery responded at 100 s without the start at 99.5 s, so the endpoint's clock cannot be trusted."""
-    engine = engine_after_maintenance(list_answered_at=100.0)
+    engine = engine_after_maintenance(listed_at=100.0)
     engine.handle(endpoint_list_update(make_endpoint("a", started_at=99.5), make_endpoint("b")), 101.0)
     assert engine.endpoints["a"].started_at == 101.0
 
 
-def test_list_that_names_a_later_start_replaces_the_time_of_the_return() -> None:
+def test_later_listed_start_replaces_return_time() -> None:
     engine = engine_after_maintenance()
     engine.handle(endpoint_list_update(make_endpoint("a", started_at=102.0), make_endpoint("b")), 103.0)
     assert engine.endpoints["a"].endpoint.started_at == engine.endpoints["a"].started_at == 102.0
@@ -107,7 +110,7 @@
     assert used_endpoints(engine, range(4))
 
 
-def test_gateway_accepts_clients_again_once_draining_is_cancelled() -> None:
+def test_cancelled_draining_accepts_clients_again() -> None:
     engine = make_engine()
     engine.handle(SetDraining(True), 100.0)
     assert engine.handle(SetDraining(False), 100.0) == [DrainClientConnections(False)]
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -31,16 +31,16 @@
 
 def reply_to(text: str) -> str:
     """Return the adapter's output for an input."""
-    sink = io.StringIO()
-    serve(io.StringIO(text), sink)
-    return sink.getvalue()
+    output = io.StringIO()
+    serve(io.StringIO(text), output)
+    return output.getvalue()
 
 
-def test_the_reply_to_recorded_batches_is_unchanged() -> None:
+def test_reply_to_recorded_batches_is_unchanged() -> None:
     assert reply_to(BATCHES) == (TESTS / "batch.reply.txt").read_text()
 
 
-def test_the_same_events_lead_to_the_same_actions() -> None:
+def test_same_events_lead_to_same_actions() -> None:
     assert reply_to(BATCHES) == reply_to(BATCHES)
 
 
@@ -58,7 +58,7 @@
         "frame\t1\nabout\t0\nup\t1\t{bad\ngo\n",
     ],
 )
-def test_malformed_input_is_an_error(text: str) -> None:
+def test_malformed_input_raises(text: str) -> None:
     with pytest.raises(SimulatorProtocolError):
         reply_to(text)
 
@@ -74,7 +74,7 @@
     assert "malformed" in completed.stderr
 
 
-def test_an_exception_of_the_decisions_is_written_as_a_crash(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_engine_exception_is_reported_as_crash(monkeypatch: pytest.MonkeyPatch) -> None:
     def fail(*_: object) -> None:
         raise RuntimeError("it broke")
 
@@ -92,7 +92,7 @@
         ("domain", "counter"),
     ],
 )
-def test_a_missing_setting_is_named(section: str | None, key: str) -> None:
+def test_missing_setting_is_named_in_error(section: str | None, key: str) -> None:
     incomplete = settings_object()
     del (incomplete[section] if section else incomplete)[key]
     with pytest.raises(SettingsError, match=key) as raised:
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -26,10 +26,11 @@
 
 
 @pytest.mark.parametrize(("outliers", "warming_up"), [(0, 1), (2, 1), (0, 3), (2, 3)])
-def test_endpoint_gets_more_work_where_few_others_are_warm_and_healthy(
-    outliers: int, warming_up: int
-) -> None:
-    """Regression: with a fixed fraction of an even share it idled while the few healthy ones overloaded."""
+def test_load_grows_if_few_endpoints_are_healthy(outliers: int, warming_up: int) -> None:
+    """An endpoint that is warming up gets more requests the fewer of the others are warm and healthy.
+
+    Regression: with a fixed fraction of an even share it idled while the few healthy ones were overloaded.
+    """
     warm_endpoints = [make_endpoint(f"w{number}") for number in range(5 - warming_up)]
     new_endpoints = [make_endpoint(f"c{number}", started_at=95.0) for number in range(warming_up)]
     engine = make_engine(now=100.0, endpoint_list=endpoint_list_update(*warm_endpoints, *new_endpoints))
@@ -39,14 +40,18 @@
         engine.endpoints[f"w{number}"].failure_score = OUTLIER_THRESHOLD
     budget = engine.settings.slow_start_overload_ratio * BUDGET_FRACTION * factor
     healthy_capacity = 5 - warming_up - outliers + warming_up * factor
-    even = factor * 5 / healthy_capacity  # in proportion to the capacity of each healthy endpoint
+    # The share is in proportion to the capacity of each healthy endpoint.
+    proportional_share = factor * 5 / healthy_capacity
     # The budget is an upper bound, which is reached only where the others lack the capacity.
-    assert engine.slow_start.probability(endpoint) == pytest.approx(min(even, budget))
-    assert (even > budget) == (outliers > 0)
+    assert engine.slow_start.probability(endpoint) == pytest.approx(min(proportional_share, budget))
+    assert (proportional_share > budget) == (outliers > 0)
+
 
+def test_load_remains_while_other_endpoints_are_late() -> None:
+    """Late responses of the others do not reduce the load of an endpoint that is warming up.
 
-def test_endpoint_keeps_its_work_while_the_others_are_late() -> None:
-    """Regression: late responses of others reduced its load, and it idled when half a fleet had restarted."""
+    Regression: each of them reduced it, and the endpoint idled just when half a fleet had restarted.
+    """
     engine = make_engine(
         endpoint_list=endpoint_list_update(make_endpoint("a"), replace(make_endpoint("b"), started_at=98.0))
     )
@@ -58,8 +63,11 @@
 
 
 @pytest.mark.parametrize("gateway_count", [2, 300])
-def test_new_endpoint_gets_its_work_from_all_gateways_together(gateway_count: int) -> None:
-    """Regression: each of hundreds of gateways sent a request as soon as the endpoint was listed."""
+def test_load_is_independent_of_gateway_count(gateway_count: int) -> None:
+    """All gateways together send a new endpoint its load, whatever their number.
+
+    Regression: each of hundreds of gateways sent a request as soon as the endpoint was listed.
+    """
     received = 0
     warm_endpoints = [make_endpoint(f"w{number}") for number in range(5)]
     for seed in range(gateway_count):
@@ -76,7 +84,7 @@
     assert 10 <= received <= 70
 
 
-def test_fleet_of_new_endpoints_only_is_used() -> None:
+def test_fleet_of_only_new_endpoints_is_used() -> None:
     engine = make_engine(
         endpoint_list=endpoint_list_update(
             make_endpoint("a", started_at=99.0), make_endpoint("b", started_at=99.0)
@@ -107,7 +115,7 @@
         return self.rate / len(self.engine.registry.assigned_subset)
 
     @property
-    def draw_rate(self) -> float:
+    def selection_rate(self) -> float:
         """Selections per second of each candidate, including those of a widened subset."""
         return self.rate / len(self.engine.registry.candidates)
 
@@ -120,7 +128,7 @@
         return self.engine.slow_start.probability(self.engine.endpoints[WARMING_UP])
 
 
-def member_of_fleet(
+def make_member(
     gateway_index: int, gateway_count: int, overload_ratio: float, listed: EndpointListUpdate
 ) -> Member:
     """Return a gateway of a fleet.
@@ -146,7 +154,7 @@
 @pytest.mark.parametrize(
     ("gateway_count", "endpoint_count"), [(1, 8), (3, 9), (20, 36), (30, 36), (200, 100), (200, 7)]
 )
-def test_budgets_of_the_gateways_add_up_to_that_of_the_fleet_whatever_each_sees(
+def test_gateway_budgets_add_up_to_fleet_budget(
     gateway_count: int, endpoint_count: int, overload_ratio: float
 ) -> None:
     """Gateways may see different failures and have widened their subsets.
@@ -155,12 +163,12 @@
     """
     warm_endpoints = [make_endpoint(f"w{number}") for number in range(endpoint_count - 1)]
     listed = endpoint_list_update(make_endpoint(WARMING_UP, started_at=99.0), *warm_endpoints)
-    fleet = [member_of_fleet(index, gateway_count, overload_ratio, listed) for index in range(gateway_count)]
+    fleet = [make_member(index, gateway_count, overload_ratio, listed) for index in range(gateway_count)]
     first = fleet[0].engine
     factor = first.slow_start.factor(first.endpoints[WARMING_UP])
     even_rate = sum(member.even_rate for member in fleet if member.is_assigned)
-    allowed_rate = sum(member.draw_rate * member.budget for member in fleet)
-    expected_rate = sum(member.draw_rate * member.probability for member in fleet)
+    allowed_rate = sum(member.selection_rate * member.budget for member in fleet)
+    expected_rate = sum(member.selection_rate * member.probability for member in fleet)
     assert allowed_rate == pytest.approx(BUDGET_FRACTION * overload_ratio * factor * even_rate)
     assert expected_rate <= allowed_rate + 1e-9
     assert all(member.probability == 0 for member in fleet if not member.is_assigned)
@@ -178,7 +186,7 @@
         pytest.param([SetMaintenance("b", True), SetMaintenance("b", False)], id="after maintenance"),
     ],
 )
-def test_endpoint_warms_up_however_it_came_back(events: list[Event]) -> None:
+def test_new_or_returning_endpoint_warms_up(events: list[Event]) -> None:
     engine = make_engine(
         now=100.0,
         endpoint_list=endpoint_list_update(make_endpoint("a"), make_endpoint("b")),
@@ -203,7 +211,8 @@
 
 
 @pytest.mark.parametrize(("gateways", "starts"), [(1, 30), (3, 30), (20, 120), (30, 60), (200, 80)])
-def test_fleet_sends_no_new_endpoint_more_than_chance_explains(gateways: int, starts: int) -> None:
+def test_fleet_respects_slow_start_limit(gateways: int, starts: int) -> None:
+    """All gateways together send no new endpoint more than chance explains."""
     for (load, overload_ratio), results in results_by_load(gateways, starts).items():
         used = sum(result.used_fraction for result in results) / len(results)
         worst = max(result.max_excess for result in results)
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -15,7 +15,7 @@
 
 HOUR = 3600.0
 NOW = 100_000.0  # seconds, on the gateway's clock
-STEPS = [-HOUR, -2.0, 0.0, 2.0, HOUR]  # seconds
+CLOCK_STEPS = [-HOUR, -2.0, 0.0, 2.0, HOUR]  # seconds
 WINDOW = SETTINGS.slow_start_window
 WARM = make_endpoint("w")
 
@@ -32,39 +32,40 @@
     return engine
 
 
-@pytest.mark.parametrize("step", STEPS)
-def test_slow_start_counts_from_when_the_start_was_first_listed(step: float) -> None:
+@pytest.mark.parametrize("step", CLOCK_STEPS)
+def test_slow_start_begins_when_start_is_listed(step: float) -> None:
     engine = engine_with_list()
     started = make_endpoint("c", started_at=NOW - 0.1 + step)
     engine.handle(endpoint_list_update(started, kind=EndpointListKind.DELTA), NOW)
-    cold = engine.endpoints["c"]
+    listed = engine.endpoints["c"]
     minimum = SETTINGS.slow_start_minimum
     slope = (1.0 - minimum) / WINDOW
     for age in (0.0, 2.0, 0.5 * WINDOW, 0.9 * WINDOW):
         engine.context.now = NOW + age
         lowest = minimum + slope * age
         # The upper bound is for a start right after discovery's last response without it.
-        assert lowest - 1e-6 <= engine.slow_start.factor(cold) <= lowest + slope * 0.2 + 1e-6
-        assert engine.slow_start.is_warming_up(cold)
+        assert lowest - 1e-6 <= engine.slow_start.factor(listed) <= lowest + slope * 0.2 + 1e-6
+        assert engine.slow_start.is_warming_up(listed)
     engine.context.now = NOW + WINDOW + 0.01
-    assert engine.slow_start.factor(cold) == 1.0 and not engine.slow_start.is_warming_up(cold)
+    assert engine.slow_start.factor(listed) == 1.0 and not engine.slow_start.is_warming_up(listed)
 
 
-@pytest.mark.parametrize("step", STEPS)
-def test_a_restart_is_a_start_whatever_the_clock_says(step: float) -> None:
+@pytest.mark.parametrize("step", CLOCK_STEPS)
+def test_restart_begins_slow_start_despite_clock_step(step: float) -> None:
     engine = engine_with_list()
     first = make_endpoint("c", started_at=NOW - 500.0)
     engine.handle(endpoint_list_update(first, kind=EndpointListKind.DELTA), NOW)
     engine.context.now = NOW + 50.0
     assert engine.slow_start.factor(engine.endpoints["c"]) == 1.0
     confirm_list(engine, NOW + 99.9)
-    again = replace(first, started_at=NOW + 99.95 + step)
-    engine.handle(endpoint_list_update(again, kind=EndpointListKind.DELTA), NOW + 100.0)
+    restarted = replace(first, started_at=NOW + 99.95 + step)
+    engine.handle(endpoint_list_update(restarted, kind=EndpointListKind.DELTA), NOW + 100.0)
     factor = engine.slow_start.factor(engine.endpoints["c"])
     assert factor == pytest.approx(SETTINGS.slow_start_minimum, abs=0.01)
 
 
-def test_a_start_of_before_the_first_list_counts_as_told_but_not_as_later_than_now() -> None:
+def test_start_before_first_list_is_used_as_reported() -> None:
+    """A start in the first list is used as reported, unless it is later than the list itself."""
     update = endpoint_list_update(
         WARM, make_endpoint("old", started_at=NOW - 5.0), make_endpoint("ahead", started_at=NOW + HOUR)
     )
@@ -75,11 +76,11 @@
     assert engine.slow_start.factor(engine.endpoints["ahead"]) == 1.0
 
 
-def test_a_start_that_was_listed_before_is_not_a_new_one() -> None:
+def test_relisted_start_is_not_new() -> None:
     engine = engine_with_list()
-    cold = make_endpoint("c", started_at=NOW - 0.1 - HOUR)
-    engine.handle(endpoint_list_update(cold, kind=EndpointListKind.DELTA), NOW)
+    listed = make_endpoint("c", started_at=NOW - 0.1 - HOUR)
+    engine.handle(endpoint_list_update(listed, kind=EndpointListKind.DELTA), NOW)
     engine.handle(endpoint_list_update(WARM), NOW + 3.0)  # a full list without it
-    engine.handle(endpoint_list_update(WARM, cold), NOW + 4.0)
+    engine.handle(endpoint_list_update(WARM, listed), NOW + 4.0)
     expected = SETTINGS.slow_start_minimum + (1 - SETTINGS.slow_start_minimum) * 4.0 / WINDOW
     assert engine.slow_start.factor(engine.endpoints["c"]) == pytest.approx(expected)
--- a/tests/test_subsetting.py
+++ b/tests/test_subsetting.py
@@ -42,19 +42,19 @@
 
 
 @pytest.mark.parametrize(("gateways", "endpoints"), [(3, 9), (4, 14), (10, 60), (1, 60)])
-def test_small_fleet_uses_every_endpoint_in_the_order_of_the_list(gateways: int, endpoints: int) -> None:
+def test_small_fleet_uses_all_endpoints_in_order(gateways: int, endpoints: int) -> None:
     states = endpoint_states(range(endpoints))
     assert SubsetRing(states, gateways - 1, gateways).select(is_healthy) == states
 
 
-def test_every_endpoint_of_a_large_fleet_is_used_by_about_as_many_gateways() -> None:
-    users = Counter(name for subset in subsets(endpoint_states(range(ENDPOINTS))) for name in subset)
-    even = GATEWAYS * subset_size(ENDPOINTS, GATEWAYS) / ENDPOINTS
-    assert len(users) == ENDPOINTS
-    assert even - 1 <= min(users.values()) <= max(users.values()) <= even + 1
+def test_gateways_are_spread_evenly_over_endpoints() -> None:
+    gateway_counts = Counter(name for subset in subsets(endpoint_states(range(ENDPOINTS))) for name in subset)
+    average = GATEWAYS * subset_size(ENDPOINTS, GATEWAYS) / ENDPOINTS
+    assert len(gateway_counts) == ENDPOINTS
+    assert average - 1 <= min(gateway_counts.values()) <= max(gateway_counts.values()) <= average + 1
 
 
-def test_every_subset_has_as_many_endpoints_of_each_zone() -> None:
+def test_subset_is_balanced_across_zones() -> None:
     for subset in subsets(endpoint_states(range(ENDPOINTS))):
         zones = Counter(int(name[1:]) % 3 for name in subset)
         assert MIN_SIZE <= len(subset) <= 18
@@ -68,7 +68,7 @@
         pytest.param([number for number in range(ENDPOINTS) if number != 31], id="one less"),
     ],
 )
-def test_one_endpoint_more_or_less_changes_few_members_of_a_subset(numbers: Iterable[int]) -> None:
+def test_fleet_change_replaces_few_subset_members(numbers: Iterable[int]) -> None:
     before = subsets(endpoint_states(range(ENDPOINTS)))
     after = subsets(endpoint_states(numbers))
     changed = [len(old ^ new) for old, new in zip(before, after, strict=True)]
@@ -76,7 +76,7 @@
     assert sum(changed) / GATEWAYS <= 3
 
 
-def test_loss_of_a_zone_leaves_the_other_zones_members_in_their_subsets() -> None:
+def test_zone_loss_keeps_members_of_other_zones() -> None:
     before = subsets(endpoint_states(range(ENDPOINTS)))
     after = subsets(endpoint_states(number for number in range(ENDPOINTS) if number % 3))
     retained = [len(old & new) / len(new) for old, new in zip(before, after, strict=True)]
@@ -84,7 +84,7 @@
     assert min(retained) >= 0.6
 
 
-def test_subset_is_widened_at_once_while_too_few_of_it_are_healthy() -> None:
+def test_unhealthy_subset_is_widened_at_once() -> None:
     states = endpoint_states(range(ENDPOINTS))
     ring = SubsetRing(states, GATEWAY_INDEX, GATEWAYS)
     subset = ids(ring.select(is_healthy))
@@ -95,14 +95,15 @@
     assert sum(map(is_healthy, widened)) >= 9
 
 
-def test_subset_is_the_whole_fleet_while_no_endpoint_is_healthy() -> None:
+def test_subset_is_fleet_without_healthy_endpoints() -> None:
     states = endpoint_states(range(ENDPOINTS))
     for state in states:
         state.failure_score = 1.0
     assert len(SubsetRing(states, GATEWAY_INDEX, GATEWAYS).select(is_healthy)) == ENDPOINTS
 
 
-def test_gateway_of_a_large_fleet_sends_to_its_subset_and_beyond_it_once_that_drains() -> None:
+def test_draining_subset_is_replaced() -> None:
+    """A gateway of a large fleet sends only to its subset, and to other endpoints once the subset drains."""
     listed = [endpoint(number) for number in range(ENDPOINTS)]
     engine = make_engine(endpoint_list=endpoint_list_update(*listed), gateway_count=GATEWAYS, gateway_index=3)
     subset = ids(engine.registry.candidates)
@@ -114,7 +115,7 @@
     }
     assert used and used <= subset
     draining = [
-        replace(each, status=EndpointStatus.DRAINING) for each in listed if each.endpoint_id in subset
+        replace(entry, status=EndpointStatus.DRAINING) for entry in listed if entry.endpoint_id in subset
     ]
     engine.handle(endpoint_list_update(*draining, kind=EndpointListKind.DELTA), 100.2)
     candidates = ids(engine.registry.candidates)
--- a/tests/test_timers.py
+++ b/tests/test_timers.py
@@ -28,12 +28,12 @@
         (ReadDemandTimer("00c1", 1700000000), "d1700000000 00c1"),
     ],
 )
-def test_each_timer_is_encoded_and_decoded(timer: Timer, text: str) -> None:
+def test_timer_is_encoded_and_decoded(timer: Timer, text: str) -> None:
     assert encode_timer(timer) == text
     assert decode_timer(text) == timer
 
 
 @pytest.mark.parametrize("text", ["", "x1", "o", "o1", "hx"])
-def test_decoding_any_other_text_is_an_error(text: str) -> None:
+def test_decoding_malformed_text_raises(text: str) -> None:
     with pytest.raises(ValueError):
         decode_timer(text)
