--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,7 +1,7 @@
-"""Runs `async def` tests on uvloop, or on a virtual clock where they have the marker `virtual_clock`.
+"""Runs `async def` tests on uvloop, or on a virtual clock if they have the marker `virtual_clock`.
 
-Tests that KNOWN-RED.txt lists are expected to fail: a listed test of which every case passes fails the run
-until it is taken off the list.
+Tests listed in KNOWN-RED.txt are expected to fail. If every case of a listed test passes, the run fails until
+the test is removed from the list.
 """
 
 from __future__ import annotations
@@ -20,18 +20,18 @@
 
 
 def pytest_configure(config: pytest.Config) -> None:
-    """Register the marker of tests that run on a virtual clock, and the check of the known failures."""
+    """Register the marker of tests that run on a virtual clock, and the check of known failures."""
     config.addinivalue_line(
         "markers",
         f"{VIRTUAL_CLOCK}(timeout): run the async test on an event loop with a virtual clock, "
-        "for at most so many of its seconds",
+        "for at most `timeout` virtual seconds",
     )
     config.pluginmanager.register(KnownFailureCheck())
 
 
 @pytest.hookimpl(tryfirst=True)
 def pytest_pyfunc_call(pyfuncitem: pytest.Function) -> bool | None:
-    """Run a test that is a coroutine function to its end; pytest runs all others itself."""
+    """Run a test that is a coroutine function to completion; pytest runs all others itself."""
     test = pyfuncitem.obj
     if not inspect.iscoroutinefunction(test):
         return None
@@ -45,9 +45,9 @@
 
 
 def known_failures() -> dict[str, str]:
-    """Return the cause of each listed failure, by the test's id without parameters; none without the file.
+    """Return the cause of each listed failure by the test's id without parameters; empty without the file.
 
-    A line of the file is `test, cause, issue`. Raises ValueError for more lines than are allowed.
+    A line of the file is `test, cause, issue`. Raises ValueError if there are more than MAX_KNOWN_FAILURES.
     """
     if not KNOWN_FAILURES.exists():
         return {}
@@ -59,7 +59,7 @@
 
 
 def listed_name(node_id: str) -> str:
-    """Return a test's id without its parameters, as the list has it."""
+    """Return a test's id without its parameters, as used in the list."""
     return node_id.partition("[")[0]
 
 
@@ -73,21 +73,21 @@
 
 
 class KnownFailureCheck:
-    """Collects the results of the listed tests, and fails the run where a whole one passes."""
+    """Collects the results of listed tests, and fails the run if all cases of one of them pass."""
 
     def __init__(self) -> None:
         self.passed: set[str] = set()
         self.failed: set[str] = set()
 
     def pytest_runtest_logreport(self, report: pytest.TestReport) -> None:
-        """Take the result of one case; only a listed test has `wasxfail`."""
+        """Record the result of one case; only the reports of listed tests have `wasxfail`."""
         if not hasattr(report, "wasxfail"):
             return
         results = self.passed if report.passed else self.failed
         results.add(listed_name(report.nodeid))
 
     def pytest_sessionfinish(self, session: pytest.Session) -> None:
-        """Fail the run for listed tests that pass."""
+        """Fail the run if a listed test passed in all its cases."""
         for name in sorted(self.passed - self.failed):
-            print(f"\n{name} passes and has to be taken off {KNOWN_FAILURES.name}")
+            print(f"\n{name} passes and has to be removed from {KNOWN_FAILURES.name}")
             session.exitstatus = pytest.ExitCode.TESTS_FAILED
--- a/tests/random_workload.py
+++ b/tests/random_workload.py
@@ -1,7 +1,7 @@
 """Random events from outside a gateway: clients, endpoint lists, operators and hot restarts.
 
-The order of the random draws is part of the recordings under tests/recorded: a further draw changes all those
-after it.
+The recordings under tests/recorded depend on the order of the random draws: an additional draw changes all
+later ones.
 """
 
 from __future__ import annotations
@@ -28,10 +28,10 @@
 
 ENDPOINTS = tuple(f"e{number}" for number in range(9))
 INITIAL_ENDPOINTS = ENDPOINTS[:6]
-STEP_DELAYS = (0.001, 0.01, 0.05, 0.3)  # seconds; each is scaled by a factor below 1
+STEP_DELAYS = (0.001, 0.01, 0.05, 0.3)  # seconds; each is scaled by a random factor below 1
 TIME_BUDGETS = (0.4, 1.0, 2.0, 4.0)  # seconds from a request's arrival to its deadline
 UPLOAD_TIME_BUDGET = 900.0  # seconds, while a request's body is incomplete
-# Values stand as often as they are to be drawn.
+# A value that is listed several times is drawn more often.
 CLASSES = ("read", "read", "keyed", "pay")
 PLANS = ("small", "small", "capped", "open", "wide", "extra")
 LIST_KINDS = (
@@ -69,7 +69,7 @@
 
 
 class RandomWorkload:
-    """Draws events one by one, and has the processes handle them."""
+    """Draws random events one at a time, and passes them to one or two processes of a gateway."""
 
     def __init__(self, seed: int) -> None:
         self.chance = random.Random(seed)
@@ -79,14 +79,14 @@
         self.processes.handle(0, EndpointListUpdate(EndpointListKind.CACHED, endpoints))
 
     def endpoint(self, name: str, status: EndpointStatus = EndpointStatus.SERVING) -> Endpoint:
-        """Return an endpoint that started at an unknown time, lately, or a minute ago."""
+        """Return an endpoint that started at an unknown time, within the last 4 s, or 60 s ago."""
         number = int(name[1:])
         now = self.processes.now
         started = self.chance.choice([None, None, now - 4.0 * self.chance.random(), now - 60.0])
         return Endpoint(name, "abc"[number % 3], f"k{number % 2}", number % 4, status, 1.0, started)
 
     def step(self) -> None:
-        """Let a random time pass, and then one event of random kind come to a random process."""
+        """Advance the time by a random delay, and pass one random event to a random process."""
         delay = self.chance.choice(STEP_DELAYS) * self.chance.random()
         self.processes.run_until(self.processes.now + delay)
         process = self.chance.randrange(len(self.processes.engines))
@@ -105,7 +105,7 @@
             self.check_health(process)
 
     def send_request(self, process: int) -> None:
-        """Have a client send a request, now and then one with a long body."""
+        """Send a client's request, whose body is still incomplete in one of 20 cases."""
         self.last_request_id += 1
         request_class = self.chance.choice(CLASSES)
         plan = self.chance.choice(PLANS)
@@ -130,14 +130,14 @@
         self.processes.handle(process, request)
 
     def end_client(self, process: int) -> None:
-        """Have the client of one of the last requests disconnect, or close its sending side."""
+        """Disconnect the client of one of the last six requests, or close its sending side."""
         request_id = max(1, self.last_request_id - self.chance.randrange(6))
         disconnects = self.chance.random() < 0.5
         event = ClientDisconnected(request_id) if disconnects else ClientHalfClosed(request_id)
         self.processes.handle(process, event)
 
     def update_endpoints(self, process: int) -> None:
-        """Have discovery answer a poll with one changed endpoint, a list, or a failure."""
+        """Deliver the result of a discovery poll: one changed endpoint, a list, or a failure."""
         kind = self.chance.choice(LIST_KINDS)
         endpoints: tuple[Endpoint, ...]
         if kind is EndpointListKind.FAILED:
@@ -150,7 +150,7 @@
         self.processes.handle(process, EndpointListUpdate(kind, endpoints))
 
     def advance_upload(self, process: int) -> None:
-        """Have one of the process's long bodies be consumed in part, or come to its end."""
+        """Report that part of an incomplete body was consumed, or that all of it was received."""
         uploads = [key for key in self.processes.uploads if key.process == process]
         if not uploads:
             return
@@ -162,9 +162,10 @@
         self.processes.handle(process, RequestBodyReceived(upload.request_id, deadline))
 
     def operate(self, process: int) -> None:
-        """Have an operator change maintenance or draining, or start a second process.
+        """Change maintenance or draining as an operator does, or start a second process.
 
-        Once there are two processes, one goes or comes back in place of that, and has the other's state.
+        With two processes, the peer is announced as present or gone instead, and the state of one process is
+        transferred to the other.
         """
         draw = self.chance.random()
         if draw < 0.55:
@@ -179,7 +180,7 @@
             self.processes.transfer_state(process, 1 - process)
 
     def check_health(self, process: int) -> None:
-        """Have a health check succeed, and record what the process says of itself."""
+        """Report a successful health check, and record the status of the process."""
         name = self.chance.choice(ENDPOINTS)
         self.processes.handle(process, HealthCheckResult(name, Outcome.SUCCESS, 0.01, ()))
         self.processes.write_status(process)
--- a/tests/recorder.py
+++ b/tests/recorder.py
@@ -1,7 +1,7 @@
 """Records every decision of the policy engine on seeded sequences of random events.
 
-The recordings under tests/recorded hold the decisions as they were before the code was renamed and split: a
-change that is meant to keep every decision reproduces them. `python -m tests.recorder` writes them anew.
+The recordings under tests/recorded were made before the code was renamed and split. A change that is meant to
+preserve every decision has to reproduce them. `python -m tests.recorder` overwrites them.
 """
 
 from __future__ import annotations
@@ -12,17 +12,17 @@
 from tests.random_workload import RandomWorkload
 
 FOLDER = pathlib.Path(__file__).parent / "recorded"
-TRANSCRIPT = FOLDER / "decisions.txt"  # of one short sequence, in full
-DIGESTS = FOLDER / "decisions.sha256"  # of long sequences: a line has a seed and the digest of its transcript
+TRANSCRIPT = FOLDER / "decisions.txt"  # the full transcript of one short sequence
+DIGESTS = FOLDER / "decisions.sha256"  # a line per long sequence: its seed and the digest of its transcript
 SHORT_SEED = 1
 SHORT_STEPS = 160
 LONG_SEEDS = range(2, 22)
 LONG_STEPS = 2500
-FINAL_TIME = 10.0  # seconds after the last event in which what was begun may end
+FINAL_TIME = 10.0  # seconds after the last event for pending requests and timers to end
 
 
 def play(seed: int, steps: int) -> list[str]:
-    """Return the transcript of one sequence."""
+    """Run one sequence, and return the lines of its transcript."""
     workload = RandomWorkload(seed)
     for _ in range(steps):
         workload.step()
--- a/tests/test_hot_restart_clock.py
+++ b/tests/test_hot_restart_clock.py
@@ -1,4 +1,4 @@
-"""A hot restart across a step of the wall clock: the state carries times of the older process's clock."""
+"""Hot restarts across a step of the wall clock: the times in the state are by the older process's clock."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def state_of(engine: PolicyEngine, by_older_version: bool, now: float = NOW) -> StateSnapshot:
-    """Return the state as another process receives it; older versions don't tell their clock's time."""
+    """Return the state as another process receives it; older versions do not include their current time."""
     state: dict[str, Any] = json.loads(json.dumps(engine.snapshot(now).state))
     if by_older_version:
         for key in ("now", "quota_time", "starts"):
@@ -35,7 +35,7 @@
 
 
 def spend(engine: PolicyEngine, plan: str, now: float, requests: int) -> int:
-    """Return how many requests of one unit are forwarded at once."""
+    """Send requests of one unit, and return how many of them are forwarded immediately."""
     actions = [
         action
         for number in range(requests)
--- a/tests/test_recorded_decisions.py
+++ b/tests/test_recorded_decisions.py
@@ -1,4 +1,4 @@
-"""The policy engine decides as it did when the recordings were made: see tests/recorder.py."""
+"""The policy engine reproduces the recorded decisions, see tests/recorder.py."""
 
 from __future__ import annotations
 
--- a/tests/test_recorded_messages.py
+++ b/tests/test_recorded_messages.py
@@ -1,4 +1,4 @@
-"""Messages between two processes are decoded and encoded as in commit 005a91a, which made the recording."""
+"""Hot restart messages stay compatible with those recorded at commit 005a91a."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 from tests.policy_harness import make_engine
 
 RECORDED = json.loads((pathlib.Path(__file__).parent / "recorded/hot_restart_messages.json").read_text())
-FROM_OLDER: list[str] = RECORDED["older"]
-FROM_NEWER: list[str] = RECORDED["newer"]
-NEW_KEYS = ["now", "quota_time", "starts"]  # that the recording's version did not save
-BALANCE, REFILLED_AT = 7, 8  # positions in a row: the balance and the time of it, which change with the clock
+FROM_OLDER: list[str] = RECORDED["older"]  # messages that the older process sent
+FROM_NEWER: list[str] = RECORDED["newer"]  # messages that the newer process sent
+NEW_KEYS = ["now", "quota_time", "starts"]  # keys of the state that the recorded version did not save
+BALANCE, REFILLED_AT = 7, 8  # positions in a limiter's row of the values that change with the clock
 
 
 class RecordingTransport:
-    """Stands in for a link's transport and records what is written."""
+    """Replaces the transport of a link and records what is written to it."""
 
     def __init__(self) -> None:
         self.data = b""
@@ -44,7 +44,7 @@
 def open_link(
     harness: GatewayHarness, folder: pathlib.Path
 ) -> tuple[HotRestartCoordinator, ProcessLink, RecordingTransport]:
-    """Return a coordinator with a link whose other end is the test."""
+    """Return a coordinator, a link to it, and the transport that records what the link sends."""
     process = harness.process
     coordinator = HotRestartCoordinator(
         str(folder), process.dispatcher, process.discovery.answered, lambda superseded: None
@@ -55,7 +55,7 @@
 
 
 def shape(value: Any) -> Any:
-    """Return the keys in their order, and the types of lists' items position by position."""
+    """Return the structure of a value: keys in their order, and the types of list items by position."""
     if isinstance(value, dict):
         return [(key, shape(inner)) for key, inner in value.items()]
     if isinstance(value, list):
@@ -65,7 +65,7 @@
 
 
 def newest_recorded_time(state: dict[str, Any]) -> float:
-    """Return the latest time of something that had happened when a state was saved."""
+    """Return the latest time in a saved state that was not in the future when it was saved."""
     refills = [row[REFILLED_AT] for row in state["throttles"]]
     decays = [row[-1] for row in state["servers"]]
     return float(max(state["born"], *state["returned"].values(), *refills, *decays))
@@ -78,13 +78,13 @@
         recorded = json.loads(FROM_OLDER[0])
         link.data_received(FROM_OLDER[0].encode() + b"\n")
         assert engine.registry.under_maintenance == {"b1"}
-        # its newest time is taken for now, and the others keep their distance from it
+        # The newest time is taken as the current time, and the others keep their distance from it.
         assert engine.context.now - engine.registry.returned_at["b0"] == pytest.approx(
             newest_recorded_time(recorded["estate"]) - recorded["estate"]["returned"]["b0"]
         )
         assert list(engine.registry.returned_at) == list(recorded["estate"]["returned"])
         assert engine.latency.machine_type_factors == recorded["estate"]["kinds"]
-        # idle throttles at their full level may be removed again, but never the latest
+        # Idle limiters with a full bucket may be evicted again, but never the latest one.
         assert set(engine.limiters.limiters) <= {row[0] for row in recorded["estate"]["throttles"]}
         assert "0000000000000005" in engine.limiters.limiters
         for line in FROM_OLDER[1:]:
@@ -108,7 +108,7 @@
         assert "000000000000001a" in engine.limiters.limiters
         sent, recorded = json.loads(transport.lines()[0]), json.loads(FROM_OLDER[0])
         assert list(sent) == list(recorded)
-        # without customers there is no row to compare; all else has the recorded keys and types
+        # Without customers some keys have no rows to compare; the others have the recorded keys and types.
         for state in (sent["estate"], recorded["estate"]):
             for row in state["servers"]:
                 row[1] = row[1] or 0.0  # an unknown start time is null
@@ -128,7 +128,7 @@
     state = json.loads(FROM_OLDER[0])["estate"]
     for row in state["throttles"]:
         row[1] = "small"
-    now = newest_recorded_time(state)  # nothing is refilled in between
+    now = newest_recorded_time(state)  # no time passes, so that nothing is refilled
     state["granted"] = [["small", *row[1:]] for row in state["granted"] if row[0] == "basis"]
     engine = make_engine(now=now)
     engine.handle(StateSnapshot(json.loads(json.dumps(state))), now)
--- a/tests/test_structure.py
+++ b/tests/test_structure.py
@@ -1,4 +1,4 @@
-"""Limits on size and shape that keep the package readable."""
+"""Limits on the sizes of files, classes and functions, and on imports, that keep the package readable."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def imported_modules(path: pathlib.Path) -> Iterator[str]:
-    """Yield the modules, and names of them, that a module imports anywhere in its text."""
+    """Yield the modules that a source file imports in any scope, and the dotted names imported from them."""
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.Import):
             yield from (alias.name for alias in node.names)
--- a/tests/transcript.py
+++ b/tests/transcript.py
@@ -1,4 +1,4 @@
-"""The text of recorded decisions, a line for each event and action, whatever their types are called."""
+"""Formats events and actions as lines of a transcript, which do not depend on the names of their types."""
 
 from __future__ import annotations
 
@@ -58,12 +58,12 @@
 
 
 def event_text(now: float, process: int, event: Event) -> str:
-    """Return the line of an event: its time, the process that handles it, and its kind."""
+    """Return the line of an event: its time, the process that handles it, and its type."""
     return f"{now!r} {process} {EVENT_NAMES[type(event)]}"
 
 
 def action_text(action: Action) -> str:
-    """Return the line of an action, with all its figures."""
+    """Return the line of an action with its values."""
     match action:
         case StartAttempt():
             return f"send {action.request_id} {action.endpoint_id} {action.timeout!r} {action.send_within!r}"
