--- a/tests/random_workload.py
+++ b/tests/random_workload.py
@@ -34,7 +34,7 @@
 # A value that is listed several times is drawn more often.
 CLASSES = ("read", "read", "keyed", "pay")
 PLANS = ("small", "small", "capped", "open", "wide", "extra")
-LIST_KINDS = (
+ENDPOINT_LIST_KINDS = (
     EndpointListKind.DELTA,
     EndpointListKind.DELTA,
     EndpointListKind.DELTA,
@@ -48,23 +48,23 @@
     EndpointStatus.DRAINING,
     EndpointStatus.REMOVED,
 )
-WIDE = replace(SMALL_PLAN, name="wide", rate=40.0, burst=80.0)
-EXTRA = replace(SMALL_PLAN, name="extra", rate=3.0, burst=6.0, over_quota_value=2.0)
+WIDE_PLAN = replace(SMALL_PLAN, name="wide", rate=40.0, burst=80.0)
+EXTRA_PLAN = replace(SMALL_PLAN, name="extra", rate=3.0, burst=6.0, over_quota_value=2.0)
 
 
-def random_settings(chance: random.Random) -> Settings:
+def random_settings(rng: random.Random) -> Settings:
     """Draw the settings that decide which branches the engine takes."""
     return replace(
         SETTINGS,
         gateway_index=1,
-        gateway_count=chance.choice([2, 2, 6, 40]),
-        plans=(SMALL_PLAN, CAPPED_PLAN, CONCURRENCY_PLAN, WIDE, EXTRA),
-        endpoint_list_pushed=chance.random() < 0.5,
-        counter_enabled=chance.random() < 0.8,
-        cancellation_allowed=chance.random() < 0.8,
-        hedging_allowed=chance.random() < 0.3,
-        retry_after_allowed=chance.random() < 0.8,
-        settles_actual_units=chance.random() < 0.5,
+        gateway_count=rng.choice([2, 2, 6, 40]),
+        plans=(SMALL_PLAN, CAPPED_PLAN, CONCURRENCY_PLAN, WIDE_PLAN, EXTRA_PLAN),
+        endpoint_list_pushed=rng.random() < 0.5,
+        counter_enabled=rng.random() < 0.8,
+        cancellation_allowed=rng.random() < 0.8,
+        hedging_allowed=rng.random() < 0.3,
+        retry_after_allowed=rng.random() < 0.8,
+        settles_actual_units=rng.random() < 0.5,
     )
 
 
@@ -72,8 +72,8 @@
     """Draws random events one at a time, and passes them to one or two processes of a gateway."""
 
     def __init__(self, seed: int) -> None:
-        self.chance = random.Random(seed)
-        self.processes = ProcessPair(random_settings(self.chance), seed, self.chance)
+        self.rng = random.Random(seed)
+        self.processes = ProcessPair(random_settings(self.rng), seed, self.rng)
         self.last_request_id = 0
         endpoints = tuple(self.endpoint(name) for name in INITIAL_ENDPOINTS)
         self.processes.handle(0, EndpointListUpdate(EndpointListKind.CACHED, endpoints))
@@ -82,15 +82,15 @@
         """Return an endpoint that started at an unknown time, within the last 4 s, or 60 s ago."""
         number = int(name[1:])
         now = self.processes.now
-        started = self.chance.choice([None, None, now - 4.0 * self.chance.random(), now - 60.0])
+        started = self.rng.choice([None, None, now - 4.0 * self.rng.random(), now - 60.0])
         return Endpoint(name, "abc"[number % 3], f"k{number % 2}", number % 4, status, 1.0, started)
 
     def step(self) -> None:
         """Advance the time by a random delay, and pass one random event to a random process."""
-        delay = self.chance.choice(STEP_DELAYS) * self.chance.random()
+        delay = self.rng.choice(STEP_DELAYS) * self.rng.random()
         self.processes.run_until(self.processes.now + delay)
-        process = self.chance.randrange(len(self.processes.engines))
-        draw = self.chance.random()
+        process = self.rng.randrange(len(self.processes.engines))
+        draw = self.rng.random()
         if draw < 0.72:
             self.send_request(process)
         elif draw < 0.80:
@@ -107,22 +107,22 @@
     def send_request(self, process: int) -> None:
         """Send a client's request, whose body is still incomplete in one of 20 cases."""
         self.last_request_id += 1
-        request_class = self.chance.choice(CLASSES)
-        plan = self.chance.choice(PLANS)
-        uploading = self.chance.random() < 0.05
-        time_budget = self.chance.choice(TIME_BUDGETS)
-        quota_spread = self.chance.choice([0, 1, 2, 6])
+        request_class = self.rng.choice(CLASSES)
+        plan = self.rng.choice(PLANS)
+        uploading = self.rng.random() < 0.05
+        time_budget = self.rng.choice(TIME_BUDGETS)
+        quota_spread = self.rng.choice([0, 1, 2, 6])
         request = RequestReceived(
             request_id=self.last_request_id,
             request_class=request_class,
             plan=plan,
-            customer=f"{plan}{self.chance.randrange(3)}",
+            customer=f"{plan}{self.rng.randrange(3)}",
             deadline=self.processes.now + (UPLOAD_TIME_BUDGET if uploading else time_budget),
-            units=self.chance.choice([0.5, 1.0, 1.0, 2.0, 3.5]),
+            units=self.rng.choice([0.5, 1.0, 1.0, 2.0, 3.5]),
             quota_spread=quota_spread,
             first_gateway=0,
-            is_retry=self.chance.random() < 0.25,
-            client_timeout=self.chance.choice([0.0, time_budget]),
+            is_retry=self.rng.random() < 0.25,
+            client_timeout=self.rng.choice([0.0, time_budget]),
             body_incomplete=uploading,
         )
         if uploading:
@@ -131,22 +131,22 @@
 
     def end_client(self, process: int) -> None:
         """Disconnect the client of one of the last six requests, or close its sending side."""
-        request_id = max(1, self.last_request_id - self.chance.randrange(6))
-        disconnects = self.chance.random() < 0.5
+        request_id = max(1, self.last_request_id - self.rng.randrange(6))
+        disconnects = self.rng.random() < 0.5
         event = ClientDisconnected(request_id) if disconnects else ClientHalfClosed(request_id)
         self.processes.handle(process, event)
 
     def update_endpoints(self, process: int) -> None:
         """Deliver the result of a discovery poll: one changed endpoint, a list, or a failure."""
-        kind = self.chance.choice(LIST_KINDS)
+        kind = self.rng.choice(ENDPOINT_LIST_KINDS)
         endpoints: tuple[Endpoint, ...]
         if kind is EndpointListKind.FAILED:
             endpoints = ()
         elif kind is EndpointListKind.DELTA:
-            status = self.chance.choice(STATUSES)
-            endpoints = (self.endpoint(self.chance.choice(ENDPOINTS), status),)
+            status = self.rng.choice(STATUSES)
+            endpoints = (self.endpoint(self.rng.choice(ENDPOINTS), status),)
         else:
-            endpoints = tuple(self.endpoint(name) for name in ENDPOINTS if self.chance.random() < 0.8)
+            endpoints = tuple(self.endpoint(name) for name in ENDPOINTS if self.rng.random() < 0.8)
         self.processes.handle(process, EndpointListUpdate(kind, endpoints))
 
     def advance_upload(self, process: int) -> None:
@@ -154,8 +154,8 @@
         uploads = [key for key in self.processes.uploads if key.process == process]
         if not uploads:
             return
-        upload = self.chance.choice(uploads)
-        if self.chance.random() < 0.5:
+        upload = self.rng.choice(uploads)
+        if self.rng.random() < 0.5:
             self.processes.handle(process, RequestBodyConsumed(upload.request_id))
             return
         deadline = self.processes.now + self.processes.uploads.pop(upload)
@@ -167,20 +167,20 @@
         With two processes, the peer is announced as present or gone instead, and the state of one process is
         transferred to the other.
         """
-        draw = self.chance.random()
+        draw = self.rng.random()
         if draw < 0.55:
-            name = self.chance.choice(ENDPOINTS)
-            self.processes.handle(process, SetMaintenance(name, self.chance.random() < 0.4))
+            name = self.rng.choice(ENDPOINTS)
+            self.processes.handle(process, SetMaintenance(name, self.rng.random() < 0.4))
         elif draw < 0.75:
-            self.processes.handle(process, SetDraining(self.chance.random() < 0.3))
+            self.processes.handle(process, SetDraining(self.rng.random() < 0.3))
         elif len(self.processes.engines) == 1:
             self.processes.start_successor()
         else:
-            self.processes.announce_peer(self.chance.random() < 0.7)
+            self.processes.announce_peer(self.rng.random() < 0.7)
             self.processes.transfer_state(process, 1 - process)
 
     def check_health(self, process: int) -> None:
         """Report a successful health check, and record the status of the process."""
-        name = self.chance.choice(ENDPOINTS)
+        name = self.rng.choice(ENDPOINTS)
         self.processes.handle(process, HealthCheckResult(name, Outcome.SUCCESS, 0.01, ()))
         self.processes.write_status(process)
--- a/tests/recorder.py
+++ b/tests/recorder.py
@@ -11,9 +11,9 @@
 
 from tests.random_workload import RandomWorkload
 
-FOLDER = pathlib.Path(__file__).parent / "recorded"
-TRANSCRIPT = FOLDER / "decisions.txt"  # the full transcript of one short sequence
-DIGESTS = FOLDER / "decisions.sha256"  # a line per long sequence: its seed and the digest of its transcript
+RECORDINGS = pathlib.Path(__file__).parent / "recorded"
+TRANSCRIPT = RECORDINGS / "decisions.txt"  # the full transcript of one short sequence
+DIGESTS = RECORDINGS / "decisions.sha256"  # a line per long sequence: its seed and its transcript's digest
 SHORT_SEED = 1
 SHORT_STEPS = 160
 LONG_SEEDS = range(2, 22)
@@ -21,7 +21,7 @@
 FINAL_TIME = 10.0  # seconds after the last event for pending requests and timers to end
 
 
-def play(seed: int, steps: int) -> list[str]:
+def run_sequence(seed: int, steps: int) -> list[str]:
     """Run one sequence, and return the lines of its transcript."""
     workload = RandomWorkload(seed)
     for _ in range(steps):
@@ -38,9 +38,9 @@
 
 def main() -> None:
     """Write all recordings."""
-    FOLDER.mkdir(exist_ok=True)
-    TRANSCRIPT.write_text("\n".join(play(SHORT_SEED, SHORT_STEPS)) + "\n")
-    rows = [f"{seed} {digest(play(seed, LONG_STEPS))}" for seed in LONG_SEEDS]
+    RECORDINGS.mkdir(exist_ok=True)
+    TRANSCRIPT.write_text("\n".join(run_sequence(SHORT_SEED, SHORT_STEPS)) + "\n")
+    rows = [f"{seed} {digest(run_sequence(seed, LONG_STEPS))}" for seed in LONG_SEEDS]
     DIGESTS.write_text("\n".join(rows) + "\n")
 
 
--- a/tests/test_hot_restart_clock.py
+++ b/tests/test_hot_restart_clock.py
@@ -25,7 +25,7 @@
 NOW = 100_000.0  # seconds, on the clock of the older process
 
 
-def state_of(engine: PolicyEngine, by_older_version: bool, now: float = NOW) -> StateSnapshot:
+def saved_state(engine: PolicyEngine, by_older_version: bool, now: float = NOW) -> StateSnapshot:
     """Return the state as another process receives it; older versions do not include their current time."""
     state: dict[str, Any] = json.loads(json.dumps(engine.snapshot(now).state))
     if by_older_version:
@@ -34,7 +34,7 @@
     return StateSnapshot(state)
 
 
-def spend(engine: PolicyEngine, plan: str, now: float, requests: int) -> int:
+def count_forwarded(engine: PolicyEngine, plan: str, now: float, requests: int) -> int:
     """Send requests of one unit, and return how many of them are forwarded immediately."""
     actions = [
         action
@@ -49,30 +49,32 @@
 @pytest.mark.parametrize("by_older_version", [False, True])
 @pytest.mark.parametrize("step", [-HOUR, -3.0, 3.0, HOUR])
 @pytest.mark.parametrize("plan", ["small", "capped"])
-def test_quotas_go_on_over_a_hot_restart_across_a_step(
-    plan: str, step: float, by_older_version: bool
-) -> None:
-    def restarted(step: float) -> tuple[int, int, int]:
+def test_quotas_survive_restart_across_clock_step(plan: str, step: float, by_older_version: bool) -> None:
+    def forwarded_around_restart(step: float) -> tuple[int, int, int]:
         old = make_engine(now=NOW)
-        spent = spend(old, plan, NOW + 5.0, 30)
+        forwarded_by_old = count_forwarded(old, plan, NOW + 5.0, 30)
         new = make_engine(now=NOW + 5.0 + step)
-        new.handle(state_of(old, by_older_version, NOW + 5.0), NOW + 5.0 + step)
-        return spent, spend(new, plan, NOW + 5.0 + step, 30), spend(new, plan, NOW + 7.0 + step, 30)
+        new.handle(saved_state(old, by_older_version, NOW + 5.0), NOW + 5.0 + step)
+        return (
+            forwarded_by_old,
+            count_forwarded(new, plan, NOW + 5.0 + step, 30),
+            count_forwarded(new, plan, NOW + 7.0 + step, 30),
+        )
 
-    assert restarted(step) == restarted(0.0)
+    assert forwarded_around_restart(step) == forwarded_around_restart(0.0)
 
 
 @pytest.mark.parametrize("by_older_version", [False, True])
 @pytest.mark.parametrize("step", [-HOUR, HOUR])
-def test_other_times_of_the_state_are_moved_with_the_clock(step: float, by_older_version: bool) -> None:
+def test_restored_times_shift_with_clock_step(step: float, by_older_version: bool) -> None:
     old = make_engine(now=NOW)
-    spend(old, "small", NOW, 8)
+    count_forwarded(old, "small", NOW, 8)
     old.handle(SetMaintenance("b", True), NOW)
     assert old.handle(SetMaintenance("b", False), NOW) != [CloseIdleConnections("b")]
     old.counter.paused_until = NOW + 2.0
     old.endpoints["a"].failure_score = 4.0
     new = make_engine(now=NOW + step)
-    new.handle(state_of(old, by_older_version), NOW + step)
+    new.handle(saved_state(old, by_older_version), NOW + step)
     assert new.slow_start.factor(new.endpoints["b"]) == pytest.approx(SETTINGS.slow_start_minimum)
     assert new.counter.paused_until == pytest.approx(NOW + step + 2.0)
     assert new.endpoints["a"].decayed_at == pytest.approx(NOW + step)
@@ -82,12 +84,12 @@
 
 
 @pytest.mark.parametrize("step", [-HOUR, -2.0, 2.0, HOUR])
-def test_a_start_that_the_older_process_saw_goes_on_across_a_step(step: float) -> None:
+def test_slow_start_continues_across_clock_step(step: float) -> None:
     old = make_engine(now=NOW - 1.0)
     started = make_endpoint("b", 1, started_at=NOW + step)  # by the endpoint's clock, which was stepped
     old.handle(endpoint_list_update(started, kind=EndpointListKind.DELTA), NOW)
     new = make_engine(now=NOW + step + 3.0, endpoint_list=endpoint_list_update(make_endpoint("a"), started))
-    new.handle(state_of(old, False, NOW + 3.0), NOW + step + 3.0)
+    new.handle(saved_state(old, False, NOW + 3.0), NOW + step + 3.0)
     expected = old.slow_start.factor(old.endpoints["b"])
     old.context.now = NOW + 3.0
     assert expected < old.slow_start.factor(old.endpoints["b"])
@@ -97,10 +99,10 @@
 
 
 @pytest.mark.parametrize("step", [-HOUR, HOUR])
-def test_the_counters_names_go_on_over_a_hot_restart_across_a_step(step: float) -> None:
+def test_counter_names_survive_restart_across_clock_step(step: float) -> None:
     settings: dict[str, Any] = {"gateway_count": 20, "plans": (replace(CAPPED_PLAN, name="small"),)}
     old, new = make_engine(now=NOW, **settings), make_engine(now=NOW + step, **settings)
-    new.handle(state_of(old, False), NOW + step)
+    new.handle(saved_state(old, False), NOW + step)
 
     def counted_name(engine: PolicyEngine, now: float) -> str:
         actions = engine.handle(make_request(1, quota_spread=20, deadline=now + 4.0), now)
@@ -109,9 +111,10 @@
     assert counted_name(new, NOW + step) == counted_name(old, NOW)
 
 
-def test_a_limiter_of_a_later_time_never_loses_units() -> None:
+def test_limiter_with_future_time_loses_no_units() -> None:
+    """A limiter that was last refilled at a later time than now keeps its balances."""
     engine = make_engine(now=NOW)
-    spend(engine, "capped", NOW, 2)
+    count_forwarded(engine, "capped", NOW, 2)
     (limiter,) = engine.limiters.limiters.values()
     before = (limiter.balance, limiter.hard_limit_balance)
     limiter.updated_at = NOW + HOUR
--- a/tests/test_recorded_decisions.py
+++ b/tests/test_recorded_decisions.py
@@ -4,19 +4,19 @@
 
 import pytest
 
-from tests.recorder import DIGESTS, LONG_STEPS, SHORT_SEED, SHORT_STEPS, TRANSCRIPT, digest, play
+from tests.recorder import DIGESTS, LONG_STEPS, SHORT_SEED, SHORT_STEPS, TRANSCRIPT, digest, run_sequence
 
 DIGESTS_BY_SEED: dict[str, str] = dict(row.split() for row in DIGESTS.read_text().splitlines())
 
 
-def test_a_short_sequence_is_decided_as_recorded_action_by_action() -> None:
+def test_short_sequence_matches_recorded_actions() -> None:
     recorded = TRANSCRIPT.read_text().splitlines()
-    played = play(SHORT_SEED, SHORT_STEPS)
-    for number, (line, recorded_line) in enumerate(zip(played, recorded, strict=False)):
+    replayed = run_sequence(SHORT_SEED, SHORT_STEPS)
+    for number, (line, recorded_line) in enumerate(zip(replayed, recorded, strict=False)):
         assert line == recorded_line, f"line {number + 1}"
-    assert len(played) == len(recorded)
+    assert len(replayed) == len(recorded)
 
 
 @pytest.mark.parametrize("seed", list(DIGESTS_BY_SEED))
-def test_a_long_sequence_is_decided_as_recorded(seed: str) -> None:
-    assert digest(play(int(seed), LONG_STEPS)) == DIGESTS_BY_SEED[seed]
+def test_long_sequence_matches_recorded_digest(seed: str) -> None:
+    assert digest(run_sequence(int(seed), LONG_STEPS)) == DIGESTS_BY_SEED[seed]
--- a/tests/test_recorded_messages.py
+++ b/tests/test_recorded_messages.py
@@ -60,8 +60,8 @@
         return [(key, shape(inner)) for key, inner in value.items()]
     if isinstance(value, list):
         return [shape(inner) for inner in value]
-    number = isinstance(value, float | int) and not isinstance(value, bool)
-    return "number" if number else type(value).__name__
+    is_number = isinstance(value, float | int) and not isinstance(value, bool)
+    return "number" if is_number else type(value).__name__
 
 
 def newest_recorded_time(state: dict[str, Any]) -> float:
@@ -71,7 +71,7 @@
     return float(max(state["born"], *state["returned"].values(), *refills, *decays))
 
 
-async def test_recorded_messages_of_an_older_process_are_applied(tmp_path: pathlib.Path) -> None:
+async def test_recorded_messages_of_older_process_are_applied(tmp_path: pathlib.Path) -> None:
     async with running_gateway(2) as harness:
         engine = harness.process.dispatcher.engine
         coordinator, link, _ = open_link(harness, tmp_path)
@@ -96,7 +96,7 @@
         coordinator.close()
 
 
-async def test_recorded_messages_of_a_newer_process_are_applied(tmp_path: pathlib.Path) -> None:
+async def test_recorded_messages_of_newer_process_are_applied(tmp_path: pathlib.Path) -> None:
     async with running_gateway(2) as harness:
         engine = harness.process.dispatcher.engine
         coordinator, link, transport = open_link(harness, tmp_path)
@@ -124,7 +124,7 @@
         coordinator.close()
 
 
-def test_a_recorded_state_is_written_as_it_was_read() -> None:
+def test_recorded_state_is_restored_and_saved_unchanged() -> None:
     state = json.loads(FROM_OLDER[0])["estate"]
     for row in state["throttles"]:
         row[1] = "small"
@@ -132,16 +132,16 @@
     state["granted"] = [["small", *row[1:]] for row in state["granted"] if row[0] == "basis"]
     engine = make_engine(now=now)
     engine.handle(StateSnapshot(json.loads(json.dumps(state))), now)
-    again = json.loads(json.dumps(engine.snapshot(now).state))
-    assert list(again) == list(state) + NEW_KEYS
-    restored = [row for row in again["granted"] if row[0] == "small"]
+    saved = json.loads(json.dumps(engine.snapshot(now).state))
+    assert list(saved) == list(state) + NEW_KEYS
+    restored = [row for row in saved["granted"] if row[0] == "small"]
     assert sorted(restored) == sorted(state["granted"])
-    assert [shape(row) for row in again["throttles"]] == [shape(row) for row in state["throttles"]]
-    for row, recorded in zip(again["throttles"], state["throttles"], strict=True):
-        for position, (value, old) in enumerate(zip(row, recorded, strict=True)):
-            assert position in (BALANCE, REFILLED_AT) or value == old, position
+    assert [shape(row) for row in saved["throttles"]] == [shape(row) for row in state["throttles"]]
+    for row, recorded in zip(saved["throttles"], state["throttles"], strict=True):
+        for position, (value, recorded_value) in enumerate(zip(row, recorded, strict=True)):
+            assert position in (BALANCE, REFILLED_AT) or value == recorded_value, position
     for key in set(state) - {"throttles", "servers", "granted"}:
-        assert again[key] == state[key], key
+        assert saved[key] == state[key], key
 
 
 CHARGED = '{"charged": ["0000000000000006", "basis", 2, 1.0]}'
@@ -171,7 +171,8 @@
         coordinator.close()
 
 
-async def test_charged_units_and_commands_are_sent_as_recorded(tmp_path: pathlib.Path) -> None:
+async def test_process_sends_recorded_messages(tmp_path: pathlib.Path) -> None:
+    """Charged units and draining commands are sent to the other process as recorded."""
     async with running_gateway(2) as harness:
         coordinator, _, transport = open_link(harness, tmp_path)
         harness.process.hot_restart = coordinator
@@ -181,7 +182,7 @@
         coordinator.close()
 
 
-def test_unknown_messages_are_ignored_and_malformed_ones_raise() -> None:
+def test_unknown_message_is_ignored_malformed_one_raises() -> None:
     assert decode_message(b'{"later": 1}') is None
     for line in (b"", b"nonsense", b"[1]", b'{"charged": ["c", "basis"]}', b'{"maintain": true}'):
         with pytest.raises(HotRestartError):
--- a/tests/test_structure.py
+++ b/tests/test_structure.py
@@ -38,7 +38,7 @@
     return ".".join(path.relative_to(ROOT).with_suffix("").parts).removesuffix(".__init__")
 
 
-def test_the_deploy_file_names_all_decision_logic() -> None:
+def test_deploy_file_lists_all_policy_files() -> None:
     assert sorted(POLICY_FILES) == [
         str(p.relative_to(ROOT)) for p in sorted((PACKAGE / "policy").glob("*.py"))
     ]
