--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -1,7 +1,7 @@
-"""Slow starts under fleets of gateways of several sizes, at four kinds of load.
+"""Runs slow starts of backends under fleets of several sizes, at four loads.
 
-`python -m tests.fleet --starts 2000` prints, for each size of fleet, in how many starts a backend in slow
-start was sent more than chance explains, and which part of what the settings allow was used.
+`python -m tests.fleet --starts 2000` prints, for each size and load, in how many starts a backend was sent
+more requests than chance explains, and which fraction of the allowed requests was used.
 """
 
 from __future__ import annotations
@@ -13,27 +13,27 @@
 
 from tests.fleet_simulation import Case, FleetSimulation, Load
 
-FLEET_SIZES = [1, 3, 20, 30, 200]  # gateways
-SMALL_FLEET_BACKENDS = {1: 8, 3: 9}  # by gateways
+FLEET_SIZES = [1, 3, 20, 30, 200]  # numbers of gateways
+SMALL_FLEET_BACKENDS = {1: 8, 3: 9}  # number of backends by number of gateways
 MEDIUM_FLEET_BACKENDS = 36
 LARGE_FLEET_BACKENDS = 100
-LARGE_FLEET = 100  # gateways from which a fleet counts as large
+LARGE_FLEET = 100  # minimum number of gateways of a large fleet
 OVERLOAD_RATIOS = (4.0, 2.0)  # values of the setting slow_start_overload_ratio
 
 
 @dataclass(frozen=True, slots=True)
 class Result:
-    """What one run showed of the backends in slow start."""
+    """The result of one run for the backends that restarted."""
 
-    starts: int
+    starts: int  # backends that restarted
     exceeded_starts: int  # starts in which some window had more requests than chance explains
-    used_fraction: float  # part of what the settings allow, over all of them
-    served: float  # part of the requests since the start
-    max_excess: float  # requests above the bound in the worst window of all, negative if below it
+    used_fraction: float  # requests sent in all starts, as a fraction of those that the settings allow
+    served: float  # fraction of the requests since FAULT_TIME
+    max_excess: float  # requests above the bound in the worst window of all starts; negative if below it
 
 
 def play(case: Case) -> Result:
-    """Run one case."""
+    """Simulate one case, and return its result."""
     simulation = FleetSimulation(case).run()
     restarted = [backend for backend in simulation.backends.values() if backend.started is not None]
     allowed = sum(backend.allowed for backend in restarted)
@@ -47,14 +47,14 @@
 
 
 def backend_count(gateways: int) -> int:
-    """Return how many backends a fleet of this size has."""
+    """Return the number of backends of a fleet of this size."""
     if gateways >= LARGE_FLEET:
         return LARGE_FLEET_BACKENDS
     return SMALL_FLEET_BACKENDS.get(gateways, MEDIUM_FLEET_BACKENDS)
 
 
 def cases(gateways: int, starts: int) -> list[Case]:
-    """Return cases of a fleet of this size with at least so many starts, few or many at a time."""
+    """Return cases of a fleet of this size with at least `starts` starts in total, few or many per case."""
     backends = backend_count(gateways)
     loads: list[Load] = list(Load)
     made: list[Case] = []
@@ -74,7 +74,7 @@
 
 
 def print_summary(gateways: int, load: Load, multiple: float, results: Sequence[Result]) -> None:
-    """Print one line on all runs of a fleet of this size at this load."""
+    """Print one line for all runs of a fleet of this size at this load and overload ratio."""
     starts = sum(result.starts for result in results)
     over = sum(result.exceeded_starts for result in results)
     used = sum(result.used_fraction * result.starts for result in results) / max(starts, 1)
@@ -88,9 +88,9 @@
 
 
 def main() -> None:
-    """Run all cases of each size of fleet in several processes, and print the summaries."""
-    parser = argparse.ArgumentParser(description="Slow starts under fleets of gateways.")
-    parser.add_argument("--starts", type=int, default=400, help="of each size of fleet")
+    """Run all cases of each fleet size in several processes, and print the summaries."""
+    parser = argparse.ArgumentParser(description="Simulate slow starts under fleets of gateways.")
+    parser.add_argument("--starts", type=int, default=400, help="minimum number of starts per fleet size")
     parser.add_argument("--processes", type=int, default=4)
     parser.add_argument("--gateways", type=int, nargs="*", default=FLEET_SIZES)
     arguments = parser.parse_args()
--- a/tests/fleet_simulation.py
+++ b/tests/fleet_simulation.py
@@ -1,6 +1,7 @@
-"""A fleet of gateways in virtual time, before backends with cores and queues of which some restart or fail.
+"""Simulates a fleet of gateways and its backends in virtual time, while some of the backends restart or fail.
 
-It counts what the gateways together send to backends in slow start, and holds it against the settings' limit.
+It counts the requests that all gateways together send to backends in slow start, and compares them with the
+limit of the settings.
 """
 
 from __future__ import annotations
@@ -29,26 +30,26 @@
 from quota_gateway.model.settings import Plan, RequestClass, Settings
 from tests.policy_harness import CONCURRENCY_PLAN, IDEMPOTENT_CLASS, SETTINGS
 
-NETWORK_DELAY = 0.001  # seconds between a gateway and a backend
+NETWORK_DELAY = 0.001  # seconds, one way, between a gateway and a backend
 CONNECT_TIMEOUT = 0.25  # seconds until a connection attempt to a failed backend ends
-FAULT_TIME = 6.0  # seconds into a run at which backends restart or fail: the gateways have learned by then
-OBSERVED_TIME = 10.0  # seconds that a run goes on after that
-SERVICE_TIME = 0.1  # seconds of one core that the mean request takes
-SERVICE_TIME_MU = -0.32  # of the lognormal distribution around it, whose mean is 1
-SERVICE_TIME_SIGMA = 0.8
-CORES = 2  # of each backend
-MAX_QUEUE_LENGTH = 24  # requests that wait at a backend; it rejects more
+FAULT_TIME = 6.0  # seconds into a run when backends restart or fail, after a learning phase of the gateways
+OBSERVED_TIME = 10.0  # seconds that a run continues after FAULT_TIME
+SERVICE_TIME = 0.1  # mean seconds of one core per request
+SERVICE_TIME_MU = -0.32  # mu of the lognormal factor on SERVICE_TIME, whose mean is 1
+SERVICE_TIME_SIGMA = 0.8  # sigma of the same factor
+CORES = 2  # cores per backend
+MAX_QUEUE_LENGTH = 24  # requests that can wait at a backend, which rejects any more
 REQUEST_TIMEOUT = 2.4  # seconds from a request's arrival to its deadline
-CLIENT_TIMEOUT = 2.5  # seconds that its client waits
-RATE_SIGMA = 0.8  # of the gateways' lognormal request rates: some see several times the mean
-SEED_STRIDE = 1000  # keeps the seeds of the engines of different runs apart
+CLIENT_TIMEOUT = 2.5  # seconds that a request's client waits
+RATE_SIGMA = 0.8  # sigma of the gateways' lognormal request rates; some get several times the mean
+SEED_STRIDE = 1000  # difference between the engine seeds of successive runs, above the number of gateways
 
 READ: RequestClass = replace(IDEMPOTENT_CLASS, latency_objective=0.75, deadline=2.5)
 UNLIMITED_PLAN: Plan = replace(CONCURRENCY_PLAN, concurrency=0)
 
 
 class Load(StrEnum):
-    """How busy a fleet is; the values are what the report prints."""
+    """The load of a fleet, with the text that the report prints."""
 
     CALM = "calm"
     HIGH = "pressed"
@@ -58,10 +59,10 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadProfile:
-    """The figures of a kind of load."""
+    """The utilization and the failures that a load stands for."""
 
-    utilization: float  # of the capacity of all backends, those that fail too
-    failed_fraction: float  # of the backends that do not restart
+    utilization: float  # fraction of the capacity of all backends, including those that fail
+    failed_fraction: float  # fraction of the backends that do not restart
 
 
 LOAD_PROFILES = {
@@ -74,19 +75,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Case:
-    """One run: at its fault time some of the backends restart, and some fail for good."""
+    """One run, in which some of the backends restart and some fail permanently at FAULT_TIME."""
 
     gateways: int
     backends: int
     restarted: int
     load: Load
-    multiple: float  # the setting slow_start_overload_ratio
-    restarted_by_operator: bool  # by maintenance at each gateway, in place of a start time in the list
+    multiple: float  # value of the setting slow_start_overload_ratio
+    restarted_by_operator: bool  # through maintenance at each gateway, not by a new start time in the list
     seed: int
 
     @property
     def failed(self) -> int:
-        """How many backends fail."""
+        """Number of backends that fail."""
         return int((self.backends - self.restarted) * LOAD_PROFILES[self.load].failed_fraction)
 
 
@@ -95,29 +96,29 @@
 
     gateway: int
     request_id: int
-    number: int  # from 0 within its request
+    number: int  # counted from 0 within the request
     backend: str
-    sent_at: float
+    sent_at: float  # seconds of simulated time
 
 
 @dataclass
 class SimulatedBackend:
-    """A backend's cores and queue, and what it was sent in slow start."""
+    """A backend's cores and queue, and the requests that it was sent in slow start."""
 
     name: str
-    started: float | None = None  # seconds; None: long ago
+    started: float | None = None  # seconds of simulated time; None if it started long before the run
     failed: bool = False
     busy_cores: int = 0
     queue: deque[Attempt] = field(default_factory=deque)
-    recent_arrivals: deque[float] = field(default_factory=deque)  # times within overload_duration
-    allowed: float = 0.0  # requests allowed since its start
-    allowed_until: float = 0.0  # the time up to which they are summed up
-    arrivals: int = 0
-    max_excess: float = -1e9  # requests above what chance explains, in the window with most
+    recent_arrivals: deque[float] = field(default_factory=deque)  # times within the last overload_duration
+    allowed: float = 0.0  # requests that the settings allow from its start to `allowed_until`
+    allowed_until: float = 0.0  # seconds of simulated time
+    arrivals: int = 0  # requests since its start
+    max_excess: float = -1e9  # requests above the bound of SlowStartLimit.count_arrival in the worst window
 
 
 class ScheduledCall(NamedTuple):
-    """A step of the simulation; `sequence` keeps those at one time in the order of their scheduling."""
+    """A scheduled function call; `sequence` orders the calls that are due at the same time."""
 
     due_at: float
     sequence: int
@@ -125,13 +126,13 @@
 
 
 class SlowStartLimit:
-    """What the settings allow to backends in slow start, and how far arrivals exceed it."""
+    """The load that the settings allow for backends in slow start, and how far arrivals exceed it."""
 
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
 
     def capacity_fraction(self, backend: SimulatedBackend, now: float) -> float:
-        """Return the part of its capacity that the settings grant a backend at least."""
+        """Return the minimum fraction of its full capacity that a backend has, according to the settings."""
         if backend.started is None or now - backend.started >= self.settings.slow_start_window:
             return 1.0
         progress = (now - backend.started) / self.settings.slow_start_window
@@ -142,9 +143,10 @@
         return self.settings.slow_start_overload_ratio * self.capacity_fraction(backend, now)
 
     def count_arrival(self, backend: SimulatedBackend, now: float) -> None:
-        """Count a request to a backend in slow start, against N + 2 sqrt(N) + 2 in the window that ends now.
+        """Count a request to a backend in slow start, and update its excess over N + 2 sqrt(N) + 2 requests.
 
-        N is what the settings allow within the window; the rest is what chance explains.
+        N is the number of requests that the settings allow in the window that ends now; the other terms allow
+        for chance.
         """
         if backend.started is None:
             return
@@ -157,7 +159,7 @@
         backend.recent_arrivals.append(now)
         while backend.recent_arrivals[0] < now - window:
             backend.recent_arrivals.popleft()
-        # the ratio at the window's start is the lowest within it
+        # The ratio at the start of the window is the lowest in it.
         lowest_ratio = self.allowed_ratio(backend, max(backend.started, now - window))
         allowed = lowest_ratio * CORES / SERVICE_TIME * window
         excess = len(backend.recent_arrivals) - (allowed + 2.0 * allowed**0.5 + 2.0)
@@ -165,7 +167,7 @@
 
 
 class FleetSimulation:
-    """Plays one case."""
+    """Simulates one case."""
 
     def __init__(self, case: Case) -> None:
         self.case = case
@@ -193,37 +195,37 @@
         update = EndpointListUpdate(EndpointListKind.FULL, endpoints)
         self.engines = [self.start_engine(index, update) for index in range(case.gateways)]
         self.in_flight: set[Attempt] = set()
-        self.attempt_counts: dict[tuple[int, int], int] = {}  # by gateway and request
-        self.requests = 0  # since the fault
-        self.served = 0
+        self.attempt_counts: dict[tuple[int, int], int] = {}  # by gateway and request id
+        self.requests = 0  # requests received since FAULT_TIME
+        self.served = 0  # successful attempts that were sent since FAULT_TIME
         self.rates = self.draw_request_rates()
 
     def draw_request_rates(self) -> list[float]:
-        """Return each gateway's requests a second; their sum is the load's part of the fleet's capacity."""
+        """Return each gateway's requests per second, which add up to the utilization of the load."""
         rates = [self.random.lognormvariate(0.0, RATE_SIGMA) for _ in self.engines]
         utilization = LOAD_PROFILES[self.case.load].utilization
         scale = utilization * self.case.backends * CORES / SERVICE_TIME / sum(rates)
         return [rate * scale for rate in rates]
 
     def start_engine(self, index: int, update: EndpointListUpdate) -> PolicyEngine:
-        """Return the engine of one gateway, which knows the endpoint list."""
+        """Return the engine of one gateway, which has handled the endpoint list."""
         settings = replace(self.settings, gateway_index=index)
         engine = PolicyEngine(settings, SEED_STRIDE * self.case.seed + index, 0.0)
         engine.handle(update, 0.0)
         return engine
 
     def endpoint(self, backend: SimulatedBackend) -> Endpoint:
-        """Return a backend as the endpoint list has it."""
+        """Return a backend's entry in the endpoint list."""
         zone = "abc"[int(backend.name[1:]) % 3]
         return Endpoint(backend.name, zone, "k", 0, EndpointStatus.SERVING, 1.0, backend.started)
 
     def schedule(self, due_at: float, function: Callable[[], None]) -> None:
-        """Have a function called at a time of the simulation."""
+        """Schedule a function call at `due_at` seconds of simulated time."""
         self.scheduled_count += 1
         heapq.heappush(self.scheduled, ScheduledCall(due_at, self.scheduled_count, function))
 
     def run(self) -> FleetSimulation:
-        """Play the case to its end."""
+        """Run the simulation to its end, and return it."""
         for gateway, rate in enumerate(self.rates):
             self.schedule(self.random.expovariate(rate), partial(self.receive_request, gateway))
         self.schedule(FAULT_TIME, self.restart_and_fail_backends)
@@ -234,7 +236,7 @@
         return self
 
     def handle(self, gateway: int, event: Event) -> None:
-        """Have one gateway's engine handle an event, and carry out its actions."""
+        """Pass an event to one gateway's engine, and execute the engine's actions."""
         for action in self.engines[gateway].handle(event, self.now):
             if isinstance(action, SetTimer):
                 fire = partial(self.handle, gateway, TimerFired(action.timer))
@@ -245,7 +247,7 @@
                 self.attempt_counts.pop((gateway, action.request_id), None)
 
     def start_attempt(self, gateway: int, action: StartAttempt) -> None:
-        """Send an attempt to its backend, and time it out later."""
+        """Send an attempt to its backend, and schedule its timeout."""
         number = self.attempt_counts.get((gateway, action.request_id), 0)
         self.attempt_counts[gateway, action.request_id] = number + 1
         attempt = Attempt(gateway, action.request_id, number, action.endpoint_id, self.now)
@@ -254,7 +256,7 @@
         self.schedule(self.now + NETWORK_DELAY, partial(self.reach_backend, attempt))
 
     def receive_request(self, gateway: int) -> None:
-        """Have a client's request arrive at a gateway, and schedule the next one."""
+        """Pass a client's request to a gateway, and schedule the next one."""
         self.last_request_id += 1
         self.requests += self.now > FAULT_TIME
         delay = self.random.expovariate(self.rates[gateway])
@@ -274,7 +276,7 @@
         self.handle(gateway, request)
 
     def reach_backend(self, attempt: Attempt) -> None:
-        """Have an attempt arrive at its backend, which begins, queues or rejects it."""
+        """Start, queue or reject an attempt that reaches its backend; a failed one accepts no connection."""
         backend = self.backends[attempt.backend]
         if backend.failed:
             end = partial(self.end_attempt, attempt, Outcome.CONNECT_FAILED)
@@ -304,17 +306,17 @@
         backend.busy_cores -= 1
         while backend.queue and backend.busy_cores < CORES:
             queued = backend.queue.popleft()
-            if queued in self.in_flight:  # one that has timed out is not begun
+            if queued in self.in_flight:  # attempts that have timed out are not started
                 self.begin_service(backend, queued)
         self.schedule(self.now + NETWORK_DELAY, partial(self.end_attempt, attempt, Outcome.SUCCESS))
 
     def time_out_attempt(self, attempt: Attempt) -> None:
-        """End an attempt at its timeout, if it has not ended before."""
+        """End an attempt at its timeout, unless it has already ended."""
         connecting = self.backends[attempt.backend].failed and self.now - attempt.sent_at < CONNECT_TIMEOUT
         self.end_attempt(attempt, Outcome.CONNECT_FAILED if connecting else Outcome.TIMED_OUT)
 
     def end_attempt(self, attempt: Attempt, outcome: Outcome) -> None:
-        """Report an attempt's end to its gateway, once."""
+        """Report an attempt's end to its gateway, unless it has already ended."""
         if attempt not in self.in_flight:
             return
         self.in_flight.discard(attempt)
--- a/tests/test_fleet_of_engines.py
+++ b/tests/test_fleet_of_engines.py
@@ -1,4 +1,4 @@
-"""Many gateways together: hard limits through restarts, one shared counter, and quotas too small to split."""
+"""Gateways that share a counter: hard limits across restarts, and quotas too small to split."""
 
 from __future__ import annotations
 
@@ -29,12 +29,12 @@
 )
 
 RETRY_DELAY = 0.3  # seconds until a rejected client sends its request again
-MAX_SENDS = 3  # of one request by its client, each to another gateway
-TOLERANCE = 1e-6  # units; of sums of floats
+MAX_SENDS = 3  # sends of one request by its client, each to another gateway
+TOLERANCE = 1e-6  # units; rounding error of summed floats
 
 
 class DueTimer(NamedTuple):
-    """A timer that an engine has set; ordered by the time when it is due."""
+    """A timer that an engine has set, ordered by its due time in seconds."""
 
     due_at: float
     gateway_index: int
@@ -42,21 +42,21 @@
 
 
 class ClientSend(NamedTuple):
-    """A client's send of a request, the first of which has the number 1; ordered by time."""
+    """A client's send of a request, counted from 1, and ordered by its time in seconds."""
 
     at: float
     send: int
 
 
 class Forwarded(NamedTuple):
-    """A request that went to an endpoint."""
+    """A request that was sent to an endpoint: the time in seconds, and its units."""
 
     at: float
     units: float
 
 
 class Fleet:
-    """Gateways with one counter, and endpoints that respond at once; records the requests forwarded."""
+    """Gateways with one counter, and endpoints that respond immediately; records the requests forwarded."""
 
     def __init__(self, gateway_count: int, plan: Plan, now: float = 100.0) -> None:
         self.settings = replace(SETTINGS, gateway_count=gateway_count, plans=(plan,))
@@ -74,7 +74,7 @@
         return engine
 
     def restart(self, index: int) -> None:
-        """Replace a gateway by one that knows nothing of what it did."""
+        """Replace a gateway by one without its state."""
         self.timers = [timer for timer in self.timers if timer.gateway_index != index]
         self.engines[index] = self.new_engine(index)
 
@@ -102,7 +102,7 @@
         self.execute(index, self.engines[index].handle(response, self.now))
 
     def run_until(self, until: float) -> None:
-        """Fire the timers that are due by then."""
+        """Advance the time, and fire the timers that are due."""
         while self.timers and min(self.timers).due_at <= until:
             timer = min(self.timers)
             self.timers.remove(timer)
@@ -112,7 +112,7 @@
         self.now = until
 
     def send(self, index: int, number: int, units: float, is_retry: bool = False) -> None:
-        """Send a request of one customer to a gateway."""
+        """Send a request of customer `c` to the gateway with this index."""
         received = RequestReceived(
             request_id=number,
             request_class="read",
@@ -128,7 +128,7 @@
 
 
 class Bucket:
-    """A token bucket of one customer's quota, as if it were in one place."""
+    """A reference token bucket of one customer's quota, not split among gateways."""
 
     def __init__(self, rate: float, burst: float, now: float) -> None:
         self.rate = rate
@@ -142,8 +142,8 @@
 
 
 class Step(NamedTuple):
-    pick: int  # chooses the gateway, its restart and the units
-    seconds: float  # until the next one
+    pick: int  # selects the gateway, whether one restarts, and the units
+    seconds: float  # the time until the next step
 
 
 STEPS = st.lists(
@@ -173,23 +173,23 @@
 @pytest.mark.parametrize(
     ("gateway_count", "rate", "min_ratio", "max_ratio"),
     [
-        (100, 2.0, 0.95, 1.0),  # half of the quota of 4 a second
+        (100, 2.0, 0.95, 1.0),  # half of the quota of 4 units/s
         (100, 16.0, 0.2, 0.35),  # four times the quota
         (300, 2.0, 0.6, 1.0),
-        (300, 16.0, 0.2, 0.5),  # a third of the requests is sampled at first, the others are estimated
+        (300, 16.0, 0.2, 0.5),  # a third of the requests is sampled at first, and the others are estimated
     ],
 )
 def test_quota_too_small_to_split_is_neither_unused_nor_overrun(
     gateway_count: int, rate: float, min_ratio: float, max_ratio: float
 ) -> None:
-    """Found at full size: buckets of 0.03 units each forwarded one request, then rejected all."""
+    """Regression: in large fleets, buckets of 0.03 units each forwarded one request, then rejected all."""
     fleet = Fleet(gateway_count, SMALL_PLAN)
     fleet.now = 120.0
     for number in range(400):
         fleet.send(number * 37 % 40, number, 1.0)
         fleet.run_until(fleet.now + 1.0 / rate)
     assert min_ratio <= len(fleet.forwarded) / 400 <= max_ratio
-    assert fleet.counter_calls <= 3 * 400  # a few a request, however many gateways
+    assert fleet.counter_calls <= 3 * 400  # a few per request, whatever the number of gateways
 
 
 def test_quota_stays_evenly_split_while_the_counter_is_silent() -> None:
@@ -205,7 +205,7 @@
 
 
 def test_corrections_of_a_counter_total_do_not_amplify_each_other() -> None:
-    """Found on a quiet day: gateways corrected one total at once, and each the others' corrections."""
+    """Regression: at low load, gateways corrected one total at once, and then each other's corrections."""
     fleet = Fleet(60, SMALL_PLAN)
     fleet.now = 115.0
     for number in range(120):
@@ -217,7 +217,7 @@
 
 
 def over_quota_units(forwarded: list[Forwarded], plan: Plan) -> float:
-    """Return the units forwarded without enough quota left; these are not charged to it."""
+    """Return the units forwarded without enough quota left, which are not charged to the quota."""
     bucket = Bucket(plan.rate, plan.burst, forwarded[0].at)
     over_quota = 0.0
     for at, units in forwarded:
@@ -230,7 +230,7 @@
 
 
 def forwarded_with_delayed_balance(arrivals: list[float], plan: Plan, delay: float) -> list[Forwarded]:
-    """Return what a policy forwards, a unit each, that sees the balance as it was `delay` seconds ago."""
+    """Return the requests of one unit that a policy forwards which sees the balance `delay` seconds late."""
     forwarded: list[Forwarded] = []
     bucket = Bucket(plan.rate, plan.burst, arrivals[0])
     history = [(0.0, plan.burst)]
@@ -245,7 +245,7 @@
 
 
 def forwarded_by_fleet(arrivals: list[float], plan: Plan) -> list[Forwarded]:
-    """Return what a hundred gateways forward that sample two in five; each rejection is retried elsewhere."""
+    """Return what 100 gateways forward that sample two in five requests; clients retry at other gateways."""
     fleet = Fleet(100, plan, arrivals[0])
     sends = [ClientSend(at, 1) for at in arrivals]
     number = 0
@@ -263,15 +263,16 @@
 
 
 def test_units_beyond_the_quotas_of_a_fleet_cost_little_on_a_quiet_day() -> None:
-    """Found on a day of 200 gateways: requests rejected by one were forwarded by others with unused quota.
+    """A policy that sees the true balance 0.5 s late may cost 0.1 of the requested units less, but no more.
 
-    The cost may be 0.1 of the requested units higher than that of a policy that sees the true balance half a
-    second late.
+    Regression: among 200 gateways at low load, requests that one rejected were forwarded by others with
+    unused quota.
     """
     extra_cost = 0.0
     requested = 0.0
     served = 0.0
-    for rate in (1.0, 1.0, 1.0, 1.0, 3.6, 3.6, 3.6, 6.0, 10.0):  # customers, most of them within a quota of 4
+    # The rates are those of customers in units/s, most of them within the quota of 4 units/s.
+    for rate in (1.0, 1.0, 1.0, 1.0, 3.6, 3.6, 3.6, 6.0, 10.0):
         arrivals = [120.0 + number / rate for number in range(int(60 * rate))]
         forwarded = forwarded_by_fleet(arrivals, SMALL_PLAN)
         over_quota = over_quota_units(forwarded, SMALL_PLAN)
