--- a/tests/fleet_simulation.py
+++ b/tests/fleet_simulation.py
@@ -81,7 +81,7 @@
     backends: int
     restarted: int
     load: Load
-    multiple: float  # value of the setting slow_start_overload_ratio
+    overload_ratio: float  # value of the setting slow_start_overload_ratio
     restarted_by_operator: bool  # through maintenance at each gateway, not by a new start time in the list
     seed: int
 
@@ -96,7 +96,7 @@
 
     gateway: int
     request_id: int
-    number: int  # counted from 0 within the request
+    index_in_request: int  # counted from 0 within the request
     backend: str
     sent_at: float  # seconds of simulated time
 
@@ -106,7 +106,7 @@
     """A backend's cores and queue, and the requests that it was sent in slow start."""
 
     name: str
-    started: float | None = None  # seconds of simulated time; None if it started long before the run
+    started_at: float | None = None  # seconds of simulated time; None if it started long before the run
     failed: bool = False
     busy_cores: int = 0
     queue: deque[Attempt] = field(default_factory=deque)
@@ -133,9 +133,9 @@
 
     def capacity_fraction(self, backend: SimulatedBackend, now: float) -> float:
         """Return the minimum fraction of its full capacity that a backend has, according to the settings."""
-        if backend.started is None or now - backend.started >= self.settings.slow_start_window:
+        if backend.started_at is None or now - backend.started_at >= self.settings.slow_start_window:
             return 1.0
-        progress = (now - backend.started) / self.settings.slow_start_window
+        progress = (now - backend.started_at) / self.settings.slow_start_window
         return self.settings.slow_start_minimum + (1.0 - self.settings.slow_start_minimum) * progress
 
     def allowed_ratio(self, backend: SimulatedBackend, now: float) -> float:
@@ -148,7 +148,7 @@
         N is the number of requests that the settings allow in the window that ends now; the other terms allow
         for chance.
         """
-        if backend.started is None:
+        if backend.started_at is None:
             return
         middle = (backend.allowed_until + now) / 2
         rate = self.allowed_ratio(backend, middle) * CORES / SERVICE_TIME
@@ -160,7 +160,7 @@
         while backend.recent_arrivals[0] < now - window:
             backend.recent_arrivals.popleft()
         # The ratio at the start of the window is the lowest in it.
-        lowest_ratio = self.allowed_ratio(backend, max(backend.started, now - window))
+        lowest_ratio = self.allowed_ratio(backend, max(backend.started_at, now - window))
         allowed = lowest_ratio * CORES / SERVICE_TIME * window
         excess = len(backend.recent_arrivals) - (allowed + 2.0 * allowed**0.5 + 2.0)
         backend.max_excess = max(backend.max_excess, excess)
@@ -180,7 +180,7 @@
             counter_enabled=False,
             slow_start_minimum=0.16,
             slow_start_window=15.0,
-            slow_start_overload_ratio=case.multiple,
+            slow_start_overload_ratio=case.overload_ratio,
             overload_duration=1.5,
             max_attempts=4,
         )
@@ -197,7 +197,7 @@
         self.in_flight: set[Attempt] = set()
         self.attempt_counts: dict[tuple[int, int], int] = {}  # by gateway and request id
         self.requests = 0  # requests received since FAULT_TIME
-        self.served = 0  # successful attempts that were sent since FAULT_TIME
+        self.served_count = 0  # successful attempts that were sent since FAULT_TIME
         self.rates = self.draw_request_rates()
 
     def draw_request_rates(self) -> list[float]:
@@ -217,7 +217,7 @@
     def endpoint(self, backend: SimulatedBackend) -> Endpoint:
         """Return a backend's entry in the endpoint list."""
         zone = "abc"[int(backend.name[1:]) % 3]
-        return Endpoint(backend.name, zone, "k", 0, EndpointStatus.SERVING, 1.0, backend.started)
+        return Endpoint(backend.name, zone, "k", 0, EndpointStatus.SERVING, 1.0, backend.started_at)
 
     def schedule(self, due_at: float, function: Callable[[], None]) -> None:
         """Schedule a function call at `due_at` seconds of simulated time."""
@@ -248,9 +248,9 @@
 
     def start_attempt(self, gateway: int, action: StartAttempt) -> None:
         """Send an attempt to its backend, and schedule its timeout."""
-        number = self.attempt_counts.get((gateway, action.request_id), 0)
-        self.attempt_counts[gateway, action.request_id] = number + 1
-        attempt = Attempt(gateway, action.request_id, number, action.endpoint_id, self.now)
+        index_in_request = self.attempt_counts.get((gateway, action.request_id), 0)
+        self.attempt_counts[gateway, action.request_id] = index_in_request + 1
+        attempt = Attempt(gateway, action.request_id, index_in_request, action.endpoint_id, self.now)
         self.in_flight.add(attempt)
         self.schedule(self.now + action.timeout, partial(self.time_out_attempt, attempt))
         self.schedule(self.now + NETWORK_DELAY, partial(self.reach_backend, attempt))
@@ -321,10 +321,10 @@
             return
         self.in_flight.discard(attempt)
         succeeded = outcome is Outcome.SUCCESS
-        self.served += succeeded and attempt.sent_at > FAULT_TIME
+        self.served_count += succeeded and attempt.sent_at > FAULT_TIME
         ended = AttemptEnded(
             request_id=attempt.request_id,
-            attempt_index=attempt.number,
+            attempt_index=attempt.index_in_request,
             endpoint_id=attempt.backend,
             outcome=outcome,
             elapsed=self.now - attempt.sent_at,
--- a/tests/test_fleet_of_engines.py
+++ b/tests/test_fleet_of_engines.py
@@ -33,7 +33,7 @@
 TOLERANCE = 1e-6  # units; rounding error of summed floats
 
 
-class DueTimer(NamedTuple):
+class ScheduledTimer(NamedTuple):
     """A timer that an engine has set, ordered by its due time in seconds."""
 
     due_at: float
@@ -42,10 +42,10 @@
 
 
 class ClientSend(NamedTuple):
-    """A client's send of a request, counted from 1, and ordered by its time in seconds."""
+    """A client's send of a request, ordered by its time in seconds; `send_number` counts from 1."""
 
     at: float
-    send: int
+    send_number: int
 
 
 class Forwarded(NamedTuple):
@@ -65,7 +65,7 @@
         self.engines = [self.new_engine(index) for index in range(gateway_count)]
         self.counter_totals: dict[str, float] = {}
         self.counter_calls = 0
-        self.timers: list[DueTimer] = []
+        self.timers: list[ScheduledTimer] = []
         self.forwarded: list[Forwarded] = []
 
     def new_engine(self, index: int) -> PolicyEngine:
@@ -82,7 +82,7 @@
         for action in actions:
             match action:
                 case SetTimer(delay, timer):
-                    self.timers.append(DueTimer(self.now + delay, index, encode_timer(timer)))
+                    self.timers.append(ScheduledTimer(self.now + delay, index, encode_timer(timer)))
                 case IncrementCounter():
                     self.increment_counter(index, action)
                 case StartAttempt():
@@ -179,7 +179,7 @@
         (300, 16.0, 0.2, 0.5),  # a third of the requests is sampled at first, and the others are estimated
     ],
 )
-def test_quota_too_small_to_split_is_neither_unused_nor_overrun(
+def test_tiny_quota_is_used_but_not_exceeded(
     gateway_count: int, rate: float, min_ratio: float, max_ratio: float
 ) -> None:
     """Regression: in large fleets, buckets of 0.03 units each forwarded one request, then rejected all."""
@@ -192,7 +192,7 @@
     assert fleet.counter_calls <= 3 * 400  # a few per request, whatever the number of gateways
 
 
-def test_quota_stays_evenly_split_while_the_counter_is_silent() -> None:
+def test_quota_split_is_even_without_counter_replies() -> None:
     engine = make_engine(gateway_count=100)
     for number in range(3):
         for action in engine.handle(make_request(number, quota_spread=100), 100.0 + number):
@@ -204,7 +204,7 @@
     assert limiter.capacity == SMALL_PLAN.burst / 100
 
 
-def test_corrections_of_a_counter_total_do_not_amplify_each_other() -> None:
+def test_counter_corrections_do_not_amplify_each_other() -> None:
     """Regression: at low load, gateways corrected one total at once, and then each other's corrections."""
     fleet = Fleet(60, SMALL_PLAN)
     fleet.now = 115.0
@@ -216,7 +216,7 @@
     )
 
 
-def over_quota_units(forwarded: list[Forwarded], plan: Plan) -> float:
+def count_over_quota_units(forwarded: list[Forwarded], plan: Plan) -> float:
     """Return the units forwarded without enough quota left, which are not charged to the quota."""
     bucket = Bucket(plan.rate, plan.burst, forwarded[0].at)
     over_quota = 0.0
@@ -250,19 +250,19 @@
     sends = [ClientSend(at, 1) for at in arrivals]
     number = 0
     while sends:
-        at, send = heapq.heappop(sends)
+        at, send_number = heapq.heappop(sends)
         fleet.run_until(at)
         number += 1
         index = number * 37 % 100
         forwarded_before = len(fleet.forwarded)
         fleet.engines[index].counter.sampling_ratio = 0.4
-        fleet.send(index, number, 1.0, is_retry=send > 1)
-        if len(fleet.forwarded) == forwarded_before and send < MAX_SENDS:
-            heapq.heappush(sends, ClientSend(at + RETRY_DELAY, send + 1))
+        fleet.send(index, number, 1.0, is_retry=send_number > 1)
+        if len(fleet.forwarded) == forwarded_before and send_number < MAX_SENDS:
+            heapq.heappush(sends, ClientSend(at + RETRY_DELAY, send_number + 1))
     return fleet.forwarded
 
 
-def test_units_beyond_the_quotas_of_a_fleet_cost_little_on_a_quiet_day() -> None:
+def test_over_quota_units_of_fleet_cost_little() -> None:
     """A policy that sees the true balance 0.5 s late may cost 0.1 of the requested units less, but no more.
 
     Regression: among 200 gateways at low load, requests that one rejected were forwarded by others with
@@ -275,8 +275,10 @@
     for rate in (1.0, 1.0, 1.0, 1.0, 3.6, 3.6, 3.6, 6.0, 10.0):
         arrivals = [120.0 + number / rate for number in range(int(60 * rate))]
         forwarded = forwarded_by_fleet(arrivals, SMALL_PLAN)
-        over_quota = over_quota_units(forwarded, SMALL_PLAN)
-        reference = over_quota_units(forwarded_with_delayed_balance(arrivals, SMALL_PLAN, 0.5), SMALL_PLAN)
+        over_quota = count_over_quota_units(forwarded, SMALL_PLAN)
+        reference = count_over_quota_units(
+            forwarded_with_delayed_balance(arrivals, SMALL_PLAN, 0.5), SMALL_PLAN
+        )
         extra_cost += SMALL_PLAN.over_quota_cost * (over_quota - reference)
         requested += min(rate * 60.0, SMALL_PLAN.rate * 60.0 + SMALL_PLAN.burst)
         served += len(forwarded) - over_quota
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -11,7 +11,7 @@
 from quota_gateway.model.outcomes import Outcome
 from quota_gateway.policy.outlier_detection import OUTLIER_THRESHOLD
 from quota_gateway.policy.slow_start import BUDGET_FRACTION
-from tests.fleet import Result, cases, play
+from tests.fleet import Result, make_cases, run_case
 from tests.policy_assertions import first_attempt, started_attempts
 from tests.policy_harness import (
     SETTINGS,
@@ -205,8 +205,8 @@
 def results_by_load(gateways: int, starts: int) -> dict[tuple[str, float], list[Result]]:
     """Run the cases of a fleet, and return their results by load and overload ratio."""
     results: dict[tuple[str, float], list[Result]] = {}
-    for case in cases(gateways, starts):
-        results.setdefault((case.load, case.multiple), []).append(play(case))
+    for case in make_cases(gateways, starts):
+        results.setdefault((case.load, case.overload_ratio), []).append(run_case(case))
     return results
 
 
