--- a/tests/fleet_simulation.py
+++ b/tests/fleet_simulation.py
@@ -59,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadProfile:
-    """The utilization and the failures that a load stands for."""
+    """The utilization and the failures at a load."""
 
     utilization: float  # fraction of the capacity of all backends, including those that fail
     failed_fraction: float  # fraction of the backends that do not restart
@@ -79,7 +79,7 @@
 
     gateways: int
     backends: int
-    restarted: int
+    restarted: int  # number of backends that restart
     load: Load
     overload_ratio: float  # value of the setting slow_start_overload_ratio
     restarted_by_operator: bool  # through maintenance at each gateway, not by a new start time in the list
--- a/tests/policy_harness.py
+++ b/tests/policy_harness.py
@@ -149,7 +149,7 @@
 def make_engine(
     now: float = START_TIME, endpoint_list: EndpointListUpdate | None = None, **changes: object
 ) -> PolicyEngine:
-    """Return an engine with the given endpoint list, by default `a` and `b`, and changes to the settings."""
+    """Return an engine with the given endpoint list, by default `a` and `b`, and with changed settings."""
     engine = PolicyEngine(replace(SETTINGS, **changes), ENGINE_SEED, now)  # type: ignore[arg-type]
     engine.handle(endpoint_list or endpoint_list_update(make_endpoint("a"), make_endpoint("b", 1)), now)
     return engine
@@ -203,7 +203,7 @@
         return [index for index in range(len(self.sent.get(number, []))) if index not in outcomes]
 
     def possibly_executed(self, number: int) -> list[int]:
-        """Return the indices of a request's attempts that a backend may have executed, or may yet."""
+        """Return the indices of a request's attempts that a backend may have executed or may yet execute."""
         outcomes = self.outcomes.get(number, {})
         return [
             index
@@ -253,7 +253,7 @@
 
     def check_attempt(self, action: StartAttempt) -> None:
         """Assert that an attempt has an open request and a serving endpoint, and that settings allow it."""
-        request = self.open_requests[action.request_id]  # KeyError: the request has had its response
+        request = self.open_requests[action.request_id]  # raises KeyError if the request was answered
         attempts = self.sent.setdefault(action.request_id, [])
         endpoint = self.endpoints[action.endpoint_id]
         assert endpoint.status is EndpointStatus.SERVING
@@ -278,7 +278,7 @@
 
     def check_response(self, action: Reject | FailRequest) -> None:
         """Assert that a request is answered once and in time, and rejected only if a retry is safe."""
-        request = self.open_requests.pop(action.request_id)  # KeyError: the request has had its response
+        request = self.open_requests.pop(action.request_id)  # raises KeyError if the request was answered
         assert self.now <= request.deadline + RESPONSE_DELAY_TOLERANCE
         request_class = self.classes[request.request_class]
         if isinstance(action, Reject) and self.possibly_executed(action.request_id):
@@ -319,7 +319,7 @@
             )
 
     def reply_to_counter_calls(self, total: float, outcome: Outcome = Outcome.SUCCESS) -> None:
-        """Reply to all counter calls without a reply."""
+        """Reply to all pending counter calls with the same total or failure."""
         names = self.counter_calls
         self.counter_calls = []
         for name in names:
--- a/tests/recorder.py
+++ b/tests/recorder.py
@@ -1,4 +1,4 @@
-"""Records every decision of the policy engine on seeded sequences of random events.
+"""Records every decision of the policy engine in seeded sequences of random events.
 
 The recordings under tests/recorded were made before the code was renamed and split. A change that is meant to
 preserve every decision has to reproduce them. `python -m tests.recorder` overwrites them.
--- a/tests/test_fleet_of_engines.py
+++ b/tests/test_fleet_of_engines.py
@@ -263,7 +263,7 @@
 
 
 def test_over_quota_units_of_fleet_cost_little() -> None:
-    """A policy that sees the true balance 0.5 s late may cost 0.1 of the requested units less, but no more.
+    """They cost at most 0.1 of the requested units more than with a policy that sees the balance 0.5 s late.
 
     Regression: among 200 gateways at low load, requests that one rejected were forwarded by others with
     unused quota.
--- a/tests/test_hot_restart_clock.py
+++ b/tests/test_hot_restart_clock.py
@@ -1,4 +1,4 @@
-"""Hot restarts across a step of the wall clock: the times in the state are by the older process's clock."""
+"""Hot restarts across a step of the wall clock; times in the state are those of the older process's clock."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     make_request,
 )
 
-HOUR = 3600.0
+HOUR = 3600.0  # seconds
 NOW = 100_000.0  # seconds, on the clock of the older process
 
 
--- a/tests/test_overload_protection.py
+++ b/tests/test_overload_protection.py
@@ -17,15 +17,11 @@
     make_request,
 )
 
-REJECTING_ENDPOINTS = {
-    "b0",
-    "b1",
-    "b2",
-}  # ids of endpoints that reject one combination of request class and plan
+REJECTING_ENDPOINTS = {"b0", "b1", "b2"}  # ids of endpoints that reject one class and plan
 
 
 def test_load_shedding_ends_with_slow_responses() -> None:
-    """Regression: after slow responses all requests were rejected, for good or for as long as they lasted."""
+    """Regression: slow responses had all requests rejected, permanently or for as long as they lasted."""
     engine = make_engine(gateway_count=1)
     admitted: list[bool] = []
     for number in range(160):
@@ -45,7 +41,7 @@
 
 @pytest.mark.parametrize("gateway_count", [2, 300])
 def test_overload_is_detected_in_any_fleet_size(gateway_count: int) -> None:
-    """Regression: each of many gateways sent an endpoint too little to detect their common overload."""
+    """Regression: each of many gateways sent an endpoint too few requests to detect their joint overload."""
     listed = endpoint_list_update(*(make_endpoint(f"b{number}") for number in range(60)))
     engine = make_engine(gateway_count=gateway_count, endpoint_list=listed)
     admitted = 0
--- a/tests/test_policy_invariants.py
+++ b/tests/test_policy_invariants.py
@@ -58,7 +58,7 @@
 class Step:
     kind: StepKind
     pick: int  # selects the step's target and values
-    seconds: float  # the time to wait, or a third of what is added to a request's time until its deadline
+    seconds: float  # sets how long to wait, or how long a request has until its deadline
 
 
 STEP = st.builds(
@@ -150,7 +150,7 @@
         events.play(step)
     harness = events.harness
     harness.run_until(harness.now + 20)
-    assert not harness.open_requests  # every request was answered, and the harness asserts only once
+    assert not harness.open_requests  # every request was answered; the harness asserts that it was only once
     for customer, forwarded in harness.first_attempts.items():
         if customer.startswith("capped"):
             assert_hard_limit_held(forwarded)
--- a/tests/test_rate_limiting.py
+++ b/tests/test_rate_limiting.py
@@ -147,7 +147,7 @@
     engine = make_engine(now=50.0)
     assert len(started_attempts(engine.handle(make_request(1, plan="capped"), 100.0))) == 1
     limiter: Limiter = TokenBucketLimiter("c", CAPPED_PLAN, quota_spread=2, now=100.0, started_at=99.0)
-    assert limiter.hard_limit_balance == pytest.approx(3.0)  # 1 s of half of 6 units a second
+    assert limiter.hard_limit_balance == pytest.approx(3.0)  # refilled for 1 s at half of 6 units/s
 
 
 def test_limiter_is_evicted_when_idle_and_full() -> None:
@@ -178,7 +178,7 @@
 
 
 def test_request_behind_queue_head_meets_own_deadline() -> None:
-    """Regression with short deadlines: only the head of the queue was checked."""
+    """Regression: requests with short deadlines missed them, as only the head of the queue was checked."""
     harness = EngineHarness(make_engine())
     harness.handle(endpoint_list_update(make_endpoint("a"), make_endpoint("b", 1)))
     for number in range(4):
@@ -192,7 +192,7 @@
 
 
 def test_over_quota_plan_is_rejected_only_when_shedding() -> None:
-    """A plan that pays for units over its quota is rejected only while load is shed."""
+    """Requests over the quota of a plan that gives them a value are rejected only while load is shed."""
     # Rejecting gains nothing: units over the quota cost nothing, and may be within it at another gateway.
     engine = make_engine(plans=(replace(SMALL_PLAN, over_quota_value=0.3, over_quota_cost=0.0),))
     for number in range(12):
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -80,7 +80,7 @@
             endpoint_id = first_attempt(actions).endpoint_id
             received += endpoint_id == WARMING_UP
             engine.handle(make_attempt_ended(number, 0, endpoint_id, Outcome.SUCCESS), 100.2)
-    # A warm endpoint gets over 200 requests; this one has at least a quarter of the capacity, for 50.
+    # A warm endpoint gets over 200 requests; the new one has the capacity for at least a quarter, 50.
     assert 10 <= received <= 70
 
 
@@ -157,9 +157,9 @@
 def test_gateway_budgets_add_up_to_fleet_budget(
     gateway_count: int, endpoint_count: int, overload_ratio: float
 ) -> None:
-    """Gateways may see different failures and have widened their subsets.
+    """The budgets add up although gateways observe different failures and some have widened their subsets.
 
-    Regression: each such gateway raised its part of the budget by what it alone observed.
+    Regression: such gateways raised their part of the budget by what each of them alone observed.
     """
     warm_endpoints = [make_endpoint(f"w{number}") for number in range(endpoint_count - 1)]
     listed = endpoint_list_update(make_endpoint(WARMING_UP, started_at=99.0), *warm_endpoints)
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -1,6 +1,6 @@
 """Start times that endpoints report by their own wall clocks, which may be stepped, as may the gateway's.
 
-A reported start is bounded by the time of the first list with it and that of the last list without it.
+A reported start time is limited to the time between the last list without the start and the first with it.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from quota_gateway.model.endpoints import EndpointListKind
 from tests.policy_harness import SETTINGS, endpoint_list_update, make_endpoint, make_engine
 
-HOUR = 3600.0
+HOUR = 3600.0  # seconds
 NOW = 100_000.0  # seconds, on the gateway's clock
 CLOCK_STEPS = [-HOUR, -2.0, 0.0, 2.0, HOUR]  # seconds
 WINDOW = SETTINGS.slow_start_window
