--- a/tests/fleet_simulation.py
+++ b/tests/fleet_simulation.py
@@ -253,7 +253,7 @@
         attempt = Attempt(gateway, action.request_id, index_in_request, action.endpoint_id, self.now)
         self.in_flight.add(attempt)
         self.schedule(self.now + action.timeout, partial(self.time_out_attempt, attempt))
-        self.schedule(self.now + NETWORK_DELAY, partial(self.reach_backend, attempt))
+        self.schedule(self.now + NETWORK_DELAY, partial(self.arrive_at_backend, attempt))
 
     def receive_request(self, gateway: int) -> None:
         """Pass a client's request to a gateway, and schedule the next one."""
@@ -275,7 +275,7 @@
         )
         self.handle(gateway, request)
 
-    def reach_backend(self, attempt: Attempt) -> None:
+    def arrive_at_backend(self, attempt: Attempt) -> None:
         """Start, queue or reject an attempt that reaches its backend; a failed one accepts no connection."""
         backend = self.backends[attempt.backend]
         if backend.failed:
@@ -284,14 +284,14 @@
             return
         self.slow_start_limit.count_arrival(backend, self.now)
         if backend.busy_cores < CORES:
-            self.begin_service(backend, attempt)
+            self.start_service(backend, attempt)
         elif len(backend.queue) < MAX_QUEUE_LENGTH:
             backend.queue.append(attempt)
         else:
             end = partial(self.end_attempt, attempt, Outcome.REJECTED)
             self.schedule(self.now + NETWORK_DELAY, end)
 
-    def begin_service(self, backend: SimulatedBackend, attempt: Attempt) -> None:
+    def start_service(self, backend: SimulatedBackend, attempt: Attempt) -> None:
         """Occupy one core with an attempt, for longer while the backend is in slow start."""
         backend.busy_cores += 1
         factor = self.random.lognormvariate(SERVICE_TIME_MU, SERVICE_TIME_SIGMA)
@@ -307,7 +307,7 @@
         while backend.queue and backend.busy_cores < CORES:
             queued = backend.queue.popleft()
             if queued in self.in_flight:  # attempts that have timed out are not started
-                self.begin_service(backend, queued)
+                self.start_service(backend, queued)
         self.schedule(self.now + NETWORK_DELAY, partial(self.end_attempt, attempt, Outcome.SUCCESS))
 
     def time_out_attempt(self, attempt: Attempt) -> None:
--- a/tests/random_workload.py
+++ b/tests/random_workload.py
@@ -32,7 +32,7 @@
 TIME_BUDGETS = (0.4, 1.0, 2.0, 4.0)  # seconds from a request's arrival to its deadline
 UPLOAD_TIME_BUDGET = 900.0  # seconds, while a request's body is incomplete
 # A value that is listed several times is drawn more often.
-CLASSES = ("read", "read", "keyed", "pay")
+REQUEST_CLASSES = ("read", "read", "keyed", "pay")
 PLANS = ("small", "small", "capped", "open", "wide", "extra")
 ENDPOINT_LIST_KINDS = (
     EndpointListKind.DELTA,
@@ -100,14 +100,14 @@
         elif draw < 0.92:
             self.advance_upload(process)
         elif draw < 0.97:
-            self.operate(process)
+            self.apply_operator_command(process)
         else:
             self.check_health(process)
 
     def send_request(self, process: int) -> None:
         """Send a client's request, whose body is still incomplete in one of 20 cases."""
         self.last_request_id += 1
-        request_class = self.rng.choice(CLASSES)
+        request_class = self.rng.choice(REQUEST_CLASSES)
         plan = self.rng.choice(PLANS)
         uploading = self.rng.random() < 0.05
         time_budget = self.rng.choice(TIME_BUDGETS)
@@ -161,7 +161,7 @@
         deadline = self.processes.now + self.processes.uploads.pop(upload)
         self.processes.handle(process, RequestBodyReceived(upload.request_id, deadline))
 
-    def operate(self, process: int) -> None:
+    def apply_operator_command(self, process: int) -> None:
         """Change maintenance or draining as an operator does, or start a second process.
 
         With two processes, the peer is announced as present or gone instead, and the state of one process is
--- a/tests/test_client_retries.py
+++ b/tests/test_client_retries.py
@@ -39,7 +39,7 @@
     return engine
 
 
-def test_late_retry_is_rejected_uncharged() -> None:
+def test_late_retry_is_rejected_and_not_charged() -> None:
     """Regression: on a busy day half of all arrivals were retries that used capacity and quota in vain."""
     engine = busy_engine()
     (rejection,) = engine.handle(retry_of_age(2, 1.5 * OBJECTIVE), 100.0)
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -34,6 +34,7 @@
 
 
 def test_maintenance_closes_connections_and_prevents_attempts() -> None:
+    """An endpoint under maintenance loses its idle connections and gets no further attempts."""
     engine = make_engine()
     assert engine.handle(SetMaintenance("a", True), 100.0) == [CloseIdleConnections("a")]
     assert used_endpoints(engine, range(20)) == {"b"}
@@ -52,7 +53,8 @@
     assert engine.knows_endpoint("a")
 
 
-def test_maintenance_of_all_endpoints_refuses_clients() -> None:
+def test_gateway_without_available_endpoints_refuses_clients() -> None:
+    """While all endpoints are under maintenance, the gateway accepts no clients and forwards no requests."""
     engine = make_engine()
     for endpoint_id in ("a", "b"):
         engine.handle(SetMaintenance(endpoint_id, True), 100.0)
@@ -110,7 +112,7 @@
     assert used_endpoints(engine, range(4))
 
 
-def test_cancelled_draining_accepts_clients_again() -> None:
+def test_gateway_accepts_clients_after_cancelled_draining() -> None:
     engine = make_engine()
     engine.handle(SetDraining(True), 100.0)
     assert engine.handle(SetDraining(False), 100.0) == [DrainClientConnections(False)]
--- a/tests/test_overload_protection.py
+++ b/tests/test_overload_protection.py
@@ -40,7 +40,7 @@
 
 
 @pytest.mark.parametrize("gateway_count", [2, 300])
-def test_overload_is_detected_in_any_fleet_size(gateway_count: int) -> None:
+def test_overload_is_detected_at_any_fleet_size(gateway_count: int) -> None:
     """Regression: each of many gateways sent an endpoint too few requests to detect their joint overload."""
     listed = endpoint_list_update(*(make_endpoint(f"b{number}") for number in range(60)))
     engine = make_engine(gateway_count=gateway_count, endpoint_list=listed)
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -98,7 +98,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Member:
+class FleetMember:
     """A gateway of a fleet, and its rate in attempts per second."""
 
     engine: PolicyEngine
@@ -128,9 +128,9 @@
         return self.engine.slow_start.probability(self.engine.endpoints[WARMING_UP])
 
 
-def make_member(
+def make_fleet_member(
     gateway_index: int, gateway_count: int, overload_ratio: float, listed: EndpointListUpdate
-) -> Member:
+) -> FleetMember:
     """Return a gateway of a fleet.
 
     Two in three gateways consider all warm endpoints outliers, and one in seven has ten times the rate.
@@ -147,7 +147,7 @@
         for endpoint in engine.registry.candidates:
             endpoint.failure_score = 0.0 if endpoint.id == WARMING_UP else OUTLIER_THRESHOLD
         engine.registry.refresh_candidates()
-    return Member(engine, rate=10.0 if gateway_index % 7 == 0 else 1.0)
+    return FleetMember(engine, rate=10.0 if gateway_index % 7 == 0 else 1.0)
 
 
 @pytest.mark.parametrize("overload_ratio", [2.0, 4.0])
@@ -163,9 +163,11 @@
     """
     warm_endpoints = [make_endpoint(f"w{number}") for number in range(endpoint_count - 1)]
     listed = endpoint_list_update(make_endpoint(WARMING_UP, started_at=99.0), *warm_endpoints)
-    fleet = [make_member(index, gateway_count, overload_ratio, listed) for index in range(gateway_count)]
-    first = fleet[0].engine
-    factor = first.slow_start.factor(first.endpoints[WARMING_UP])
+    fleet = [
+        make_fleet_member(index, gateway_count, overload_ratio, listed) for index in range(gateway_count)
+    ]
+    first_engine = fleet[0].engine
+    factor = first_engine.slow_start.factor(first_engine.endpoints[WARMING_UP])
     even_rate = sum(member.even_rate for member in fleet if member.is_assigned)
     allowed_rate = sum(member.selection_rate * member.budget for member in fleet)
     expected_rate = sum(member.selection_rate * member.probability for member in fleet)
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -70,8 +70,8 @@
         WARM, make_endpoint("old", started_at=NOW - 5.0), make_endpoint("ahead", started_at=NOW + HOUR)
     )
     engine = make_engine(now=NOW, endpoint_list=update)
-    middle = SETTINGS.slow_start_minimum + (1 - SETTINGS.slow_start_minimum) * 5.0 / WINDOW
-    assert engine.slow_start.factor(engine.endpoints["old"]) == pytest.approx(middle)
+    expected = SETTINGS.slow_start_minimum + (1 - SETTINGS.slow_start_minimum) * 5.0 / WINDOW
+    assert engine.slow_start.factor(engine.endpoints["old"]) == pytest.approx(expected)
     engine.context.now = NOW + WINDOW + 0.01
     assert engine.slow_start.factor(engine.endpoints["ahead"]) == 1.0
 
