--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -10,8 +10,8 @@
 from typing import Any, NamedTuple
 
 HOST = "127.0.0.1"
-EVENT_TIMEOUT = 10.0  # seconds that a test waits for an event before it fails; the event comes long before
-BILLED_UNITS = 2  # units that a scripted success reports as used
+EVENT_TIMEOUT = 10.0  # seconds to wait for an event before the test fails; far more than any event takes
+BILLED_UNITS = 2  # units that `send_success` reports as used
 SETTINGS_EXAMPLE = pathlib.Path(__file__).parent / "batch.txt"
 
 
@@ -24,7 +24,7 @@
 
 
 class CounterIncrement(NamedTuple):
-    """One call that the counter received."""
+    """One increment that the counter received."""
 
     key: str
     amount: float
@@ -36,7 +36,7 @@
 async def read_message(reader: asyncio.StreamReader) -> HttpMessage:
     """Read one HTTP message, whose body has a Content-Length or is chunked.
 
-    Raises asyncio.IncompleteReadError where the connection ends within it.
+    Raises asyncio.IncompleteReadError if the connection ends before the message does.
     """
     head = (await reader.readuntil(b"\r\n\r\n")).decode()
     start_line, *lines = head.rstrip().split("\r\n")
@@ -50,7 +50,7 @@
 
 
 async def read_chunked_body(reader: asyncio.StreamReader) -> bytes:
-    """Read a chunked body to its end; there are no trailers."""
+    """Read a chunked body without trailer fields to its end."""
     body = b""
     while (size := int((await reader.readuntil(b"\r\n")).partition(b";")[0], 16)) > 0:
         body += (await reader.readexactly(size + 2))[:-2]
@@ -59,19 +59,19 @@
 
 
 def http_response(status: int, body: bytes = b"", *headers: str) -> bytes:
-    """Return a response with a Content-Length; `headers` are whole lines."""
+    """Return a response with a Content-Length; `headers` are complete header lines."""
     lines = [f"HTTP/1.1 {status} X", *headers, f"Content-Length: {len(body)}", "", ""]
     return "\r\n".join(lines).encode() + body
 
 
 def send_success(writer: asyncio.StreamWriter, request: HttpMessage) -> None:
-    """Answer with success and a body that names the request's id."""
+    """Answer with status 200 and a body that contains the request's id."""
     body = b"served " + request.headers["x-call-id"].encode()
     writer.write(http_response(200, body, f"Billed-Units: {BILLED_UNITS}"))
 
 
 def send_success_after(released: asyncio.Event) -> ResponseStep:
-    """Return a step that delays the response until the event is set."""
+    """Return a step that delays a successful response until the event is set."""
 
     async def step(writer: asyncio.StreamWriter, request: HttpMessage) -> None:
         await released.wait()
@@ -83,7 +83,8 @@
 class FakeServer:
     """A listening socket on an ephemeral port; `serve` runs for each connection.
 
-    `connection_count` counts those accepted so far, and `open_writers` holds the writers of those still up.
+    `connection_count` is the number of connections accepted so far; `open_writers` has the writers of those
+    that are open.
     """
 
     def __init__(self) -> None:
@@ -93,7 +94,7 @@
         self.open_writers: set[asyncio.StreamWriter] = set()
 
     async def start(self) -> None:
-        """Listen; `address` is host:port from then on."""
+        """Start listening and set `address` to host:port."""
         self.server = await asyncio.start_server(self.handle_connection, HOST, 0)
         port = self.server.sockets[0].getsockname()[1]
         self.address = f"{HOST}:{port}"
@@ -105,17 +106,17 @@
         try:
             await self.serve(reader, writer)
         except (OSError, asyncio.IncompleteReadError, asyncio.CancelledError):
-            pass  # the gateway closed it, or the test is over
+            pass  # the gateway closed the connection, or the test is over
         finally:
             self.open_writers.discard(writer)
             writer.close()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Answer the requests of one connection; each subclass has its own protocol."""
+        """Answer the requests of one connection; subclasses implement their protocol here."""
         raise NotImplementedError
 
     async def stop(self) -> None:
-        """Stop listening and reset all connections; each handler ends with its connection."""
+        """Stop listening and abort all connections, which also ends their handlers."""
         if self.server is not None:
             self.server.close()
         for writer in list(self.open_writers):
@@ -123,9 +124,10 @@
 
 
 class FakeBackend(FakeServer):
-    """A backend that answers each request by the next step of `script`, and by `serve` once there is none.
+    """A backend that answers each request by the next step of `script`, or by `send_success` if none is left.
 
-    `requests` has the requests received so far; `closed_count` counts connections that the gateway closed.
+    `requests` has the requests received so far; `closed_count` is the number of connections that the gateway
+    closed.
     """
 
     def __init__(self) -> None:
@@ -154,7 +156,7 @@
                 await pending
 
     async def wait_until(self, condition: Callable[[], bool]) -> None:
-        """Wait until the condition holds; it is checked on each request and each closed connection.
+        """Wait until the condition holds; it is checked at each request and each close of a connection.
 
         Raises TimeoutError after EVENT_TIMEOUT seconds.
         """
@@ -163,7 +165,7 @@
 
 
 class FakeDiscovery(FakeServer):
-    """Discovery: answers a first poll with all entries, and a watch once `publish` publishes a delta.
+    """A discovery service that answers a first poll with all entries, and a watch with the next delta.
 
     `request_lines` has the request lines received so far.
     """
@@ -190,7 +192,7 @@
         }
 
     def list_body(self, full: bool, entries: list[dict[str, Any]]) -> bytes:
-        """Return the body of an answer: a full list, or a delta to the list of an earlier generation."""
+        """Return the body of a response: a full list, or a delta to an earlier generation."""
         return json.dumps({"generation": self.generation, "reset": full, "instances": entries}).encode()
 
     async def publish(self, *entries: dict[str, Any]) -> None:
@@ -218,7 +220,7 @@
             writer.write(http_response(200, body))
 
     async def watch(self, generation: int, seconds: float) -> bytes:
-        """Return the answer to a watch: the last delta, or an empty one if none comes within `seconds`."""
+        """Return the response to a watch: the last delta, or an empty one if none comes within `seconds`."""
         if self.generation <= generation:
             try:
                 async with asyncio.timeout(seconds):
@@ -228,16 +230,16 @@
         return self.list_body(False, self.last_delta)
 
     async def wait_for_requests(self, times: int) -> None:
-        """Wait until so many polls and watches have come; raises TimeoutError after EVENT_TIMEOUT seconds."""
+        """Wait until `times` polls or watches have come; raises TimeoutError after EVENT_TIMEOUT seconds."""
         async with asyncio.timeout(EVENT_TIMEOUT), self.state_changed:
             await self.state_changed.wait_for(lambda: len(self.request_lines) >= times)
 
 
 class FakeCounter(FakeServer):
-    """A counter that adds up increments by key, over the Redis protocol.
+    """A counter that adds up increments by key and speaks the Redis protocol.
 
-    No reply is written while the event `replies_enabled` is not set.
-    The replies in `scripted_replies` are sent in place of totals.
+    Replies are held back while the event `replies_enabled` is not set. The next of `scripted_replies`, if
+    there is one, is sent in place of a total.
     """
 
     def __init__(self) -> None:
@@ -261,7 +263,7 @@
             )
 
     async def read_increment(self, reader: asyncio.StreamReader) -> CounterIncrement:
-        """Read one command, an array of bulk strings: its name, the key, the amount and more."""
+        """Read one command, an array of bulk strings: its name, the key, the amount and further arguments."""
         arguments = []
         for _ in range(int((await reader.readuntil(b"\r\n"))[1:])):
             size = int((await reader.readuntil(b"\r\n"))[1:])
@@ -275,7 +277,7 @@
 
 
 def example_settings(**limits: Any) -> dict[str, Any]:
-    """Return the settings object of tests/batch.txt, with some of its limits replaced."""
+    """Return the settings object of tests/batch.txt, with these of its limits replaced."""
     lines = SETTINGS_EXAMPLE.read_text().splitlines()
     line = next(line for line in lines if line.startswith("up\t"))
     settings: dict[str, Any] = json.loads(line.split("\t", 2)[2])
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -1,4 +1,4 @@
-"""One gateway in the test's own event loop, with fake upstreams, and clients that write raw HTTP."""
+"""A gateway in the test's own event loop, with fake upstreams and clients that write raw HTTP."""
 
 from __future__ import annotations
 
@@ -27,9 +27,9 @@
 
 CUSTOMER = "00000000000000c1"
 READY_REQUEST = b"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n"
-TEST_TIMEOUT = 3 * EVENT_TIMEOUT  # seconds until a whole test fails
-SOCKET_LIMIT = 1024  # sockets that a gateway may have open, unless a test says otherwise
-RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: on, for no time at all
+TEST_TIMEOUT = 3 * EVENT_TIMEOUT  # seconds after which a test fails
+SOCKET_LIMIT = 1024  # default number of sockets that a gateway may open
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER enabled with a timeout of zero: closing sends a reset
 
 
 def run(test: Callable[[], Awaitable[None]]) -> None:
@@ -57,7 +57,7 @@
     """Return a client's request as it goes over the wire.
 
     `budget` is the time in seconds until its deadline. The header named in `omit_header` is left out.
-    `headers` are added or replace others, with underscores in place of hyphens.
+    `headers` are added or replace the defaults; an underscore in a name stands for a hyphen.
     """
     is_get = request_class == "lookup"
     fields = {
@@ -117,15 +117,15 @@
         self.writer.transport.abort()
 
     async def wait_closed(self) -> bool:
-        """Wait until the gateway closes the connection; False if it sends something more first."""
+        """Wait until the gateway closes the connection; return False if it sends more data first."""
         async with asyncio.timeout(EVENT_TIMEOUT):
             return await self.reader.read(1) == b""
 
 
 class GatewayHarness:
-    """A gateway process object between clients and fake upstreams, all in one event loop.
+    """A `GatewayProcess` between clients and fake upstreams, all in one event loop.
 
-    The fake upstreams are there from the constructor on, so that a test may change them before `start`.
+    The constructor creates the fake upstreams, so that a test may change them before `start`.
     """
 
     def __init__(self, backends: int) -> None:
@@ -153,7 +153,7 @@
         await self.start_gateway(settings, socket_limit)
 
     async def start_gateway(self, settings: dict[str, Any], socket_limit: int) -> None:
-        """Start the gateway alone, where the fake upstreams listen already."""
+        """Start the gateway only; the fake upstreams must be listening already."""
         configuration = build_configuration(self.configuration(settings, socket_limit), {})
         self.process = GatewayProcess(configuration)
         self.process.listen_address = (HOST, 0)
@@ -176,7 +176,7 @@
         }
 
     async def connect_client(self, receive_buffer: int = 0) -> Client:
-        """Connect a client; `receive_buffer` is its socket's buffer in bytes, 0 for the system's default."""
+        """Connect a client; `receive_buffer` is its socket's buffer in bytes, 0 for the default."""
         sock = socket.socket()
         if receive_buffer:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, receive_buffer)
@@ -189,9 +189,9 @@
         return Client(*await asyncio.open_connection(HOST, self.admin_port))
 
     async def call_admin(self, method: str, path: str) -> tuple[int, str]:
-        """Make one call of the admin API, after which the gateway must close the connection.
+        """Call the admin API once and return the status and text of the response.
 
-        Returns the response's status and text.
+        The gateway must close the connection afterwards.
         """
         client = await self.connect_admin()
         status, _, text = await client.exchange(f"{method} {path} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
@@ -200,7 +200,7 @@
         return status, text.decode()
 
     async def metrics(self) -> dict[str, int]:
-        """Read all metrics from the admin API; their names are without the prefix `svc.`."""
+        """Read all metrics from the admin API, by name without the prefix `svc.`."""
         status, text = await self.call_admin("GET", "/stats")
         assert status == 200
         pairs = (line.partition("=") for line in text.splitlines())
@@ -212,14 +212,14 @@
 
 
 def bound_port(listening: socket.socket | None) -> int:
-    """Return the port of a listening socket, which must be there."""
+    """Return the port of a listening socket, which must not be None."""
     assert listening is not None
     port: int = listening.getsockname()[1]
     return port
 
 
 def high_quota_settings(**limits: Any) -> dict[str, Any]:
-    """Return settings whose first plan has enough quota to forward its requests at once and uncounted."""
+    """Return settings whose first plan has enough quota to forward its requests without queue or counter."""
     settings = example_settings(**limits)
     settings["packages"][0].update(peak_units=400.0, units_per_s=100.0)
     return settings
@@ -229,7 +229,7 @@
 async def running_gateway(
     backends: int = 1, settings: dict[str, Any] | None = None, socket_limit: int = SOCKET_LIMIT
 ) -> AsyncIterator[GatewayHarness]:
-    """Run a gateway with these settings, by default `high_quota_settings`, and so many sockets at most."""
+    """Run a gateway with at most `socket_limit` sockets; `settings` default to `high_quota_settings`."""
     harness = GatewayHarness(backends)
     await harness.start(settings or high_quota_settings(), socket_limit)
     try:
@@ -237,8 +237,8 @@
     finally:
         if not harness.process.listener.stopping:
             await harness.process.stop(0.0, 0.0)
-        # The loop goes on, and with it the timers of the stopped engine: their calls would go to the port of
-        # the counter, which by then may be another server's.
+        # The event loop keeps running, and so do the timers of the stopped engine: their calls would go to
+        # the counter's port, which another server may have been given by then.
         harness.process.dispatcher.counter = None
         for upstream in harness.upstreams:
             await upstream.stop()
--- a/tests/virtual_clock.py
+++ b/tests/virtual_clock.py
@@ -1,4 +1,4 @@
-"""An event loop with a virtual clock over real sockets: time passes only while there is nothing to do."""
+"""An event loop with a virtual clock over real sockets: time advances only while no socket is ready."""
 
 from __future__ import annotations
 
@@ -8,28 +8,28 @@
 from collections.abc import Awaitable, Callable
 from typing import Any
 
-START_TIME = 1000.0  # seconds; the time of the virtual clock when a test starts
-UNIX_TIME_OFFSET = 1.7e9  # seconds from the virtual clock to the Unix time that tests give to the gateway
-TEST_TIMEOUT = 600.0  # seconds of the virtual clock until a test fails
+START_TIME = 1000.0  # seconds that the virtual clock shows when a test starts
+UNIX_TIME_OFFSET = 1.7e9  # seconds from the virtual clock to the Unix time that the gateway is given
+TEST_TIMEOUT = 600.0  # seconds of the virtual clock after which a test fails
 
-# How long, in seconds of real time, sockets are polled before the clock advances. Loopback delivers while it
-# is written to, so that a short poll finds what there is; before a long step the poll is longer, since a
-# timeout that fires too early would change a test's result.
+# Seconds of real time for which sockets are polled before the clock advances. Loopback delivers data during
+# the write, so that a short poll finds all of it; before a long step the poll is longer, since a timeout that
+# fires too early would change a test's result.
 SHORT_POLL = 0.0002
 LONG_POLL = 0.002
-LONG_STEP = 0.05  # seconds of the virtual clock from which a step counts as long
-POLL_WITHOUT_TIMER = 0.01
+LONG_STEP = 0.05  # seconds of the virtual clock; steps of this length or more are long
+POLL_WITHOUT_TIMER = 0.01  # for a loop without timers
 
 ReadyKeys = list[tuple[selectors.SelectorKey, int]]
 
 
 class VirtualClockSelector(selectors.DefaultSelector):
-    """Polls sockets for a short real time; if none is ready, advances the clock to the next timer."""
+    """Polls sockets for a short real time, and advances the clock to the next timer if none is ready."""
 
     loop: VirtualClockLoop
 
     def select(self, timeout: float | None = None) -> ReadyKeys:
-        """Return ready sockets; `timeout` is the time to the loop's next timer, None without one."""
+        """Return ready sockets; `timeout` is the time to the next timer in seconds, None without one."""
         ready: ReadyKeys = super().select(0)
         if ready or (timeout is not None and timeout <= 0):
             return ready
@@ -44,15 +44,15 @@
         """Poll once more before the clock advances by `step` seconds."""
         if step >= LONG_STEP:
             return super().select(LONG_POLL)
-        time.sleep(SHORT_POLL)  # the selector's own timeout counts whole milliseconds
+        time.sleep(SHORT_POLL)  # the selector's own timeout is rounded up to milliseconds
         return super().select(0)
 
 
 class VirtualClockLoop(asyncio.SelectorEventLoop):
     """An event loop whose timers, sleeps and timeouts go by `now`, its time in seconds.
 
-    A connection to a port in `connect_delays` takes so many seconds to come up. A test that adds to `now`
-    simulates a loop that was busy for that time.
+    `connect_delays` has the seconds that a connect takes, by port. A test that adds to `now` simulates a loop
+    that was busy for that time.
     """
 
     def __init__(self) -> None:
@@ -69,27 +69,27 @@
     async def create_connection(
         self, protocol_factory: Any, host: Any = None, port: Any = None, **options: Any
     ) -> Any:
-        """Connect like any event loop, after the delay that `connect_delays` has for the port."""
+        """Connect after the delay that `connect_delays` has for the port, if any."""
         if port in self.connect_delays:
             await asyncio.sleep(self.connect_delays[port])
         return await super().create_connection(protocol_factory, host, port, **options)
 
 
 def virtual_clock_loop() -> VirtualClockLoop:
-    """Return the running event loop, which must be one with a virtual clock."""
+    """Return the running event loop, which must be a `VirtualClockLoop`."""
     loop = asyncio.get_running_loop()
     assert isinstance(loop, VirtualClockLoop)
     return loop
 
 
 def virtual_unix_clock() -> Callable[[], float]:
-    """Return a function that gives Unix time by the running loop's clock, in place of the gateway's own."""
+    """Return a clock of Unix time that follows the running loop, to replace the gateway's own clock."""
     loop = virtual_clock_loop()
     return lambda: UNIX_TIME_OFFSET + loop.now
 
 
 def run_on_virtual_clock(test: Callable[[], Awaitable[None]], timeout: float = TEST_TIMEOUT) -> None:
-    """Run an asynchronous test on such a loop; raises TimeoutError after `timeout` seconds of its clock."""
+    """Run an asynchronous test on a virtual clock; raises TimeoutError after `timeout` of its seconds."""
 
     async def run_with_timeout() -> None:
         async with asyncio.timeout(timeout):
