--- a/tests/test_body_streaming.py
+++ b/tests/test_body_streaming.py
@@ -1,4 +1,4 @@
-"""Streaming of long request and response bodies over loopback: unchanged, and with backpressure."""
+"""Long request and response bodies over loopback: they are streamed unchanged and with backpressure."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
 
 async def until(condition: Callable[[], bool]) -> None:
     async with asyncio.timeout(EVENT_TIMEOUT):
-        while not condition():  # noqa: ASYNC110 - the gateway's state has no event to wait for
+        while not condition():  # noqa: ASYNC110 (no event marks the gateway's internal state)
             await asyncio.sleep(0)
 
 
@@ -115,7 +115,7 @@
 
 async def test_client_that_does_not_read_puts_backpressure_on_its_backend() -> None:
     async with running_gateway() as harness:
-        body = LONG_BODY * 40  # 13 MB: more than the sockets on the way can buffer
+        body = LONG_BODY * 40  # 13 MB, which is more than the sockets on the path can buffer
         harness.backends[0].script = [respond_with(http_response(200, body))]
         client = await harness.connect_client(receive_buffer=8192)
         client.writer.transport.pause_reading()  # type: ignore[attr-defined]
@@ -209,7 +209,7 @@
         assert (await client.reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 100 ")
         assert (await client.exchange(body))[0] == 200 and harness.received_requests()[0][2] == LONG_BODY
         invalid = long_request(2, Expect="100-continue", Plan="gold").partition(b"\r\n\r\n")[0]
-        assert (await client.exchange(invalid + b"\r\n\r\n"))[0] == 400  # and no 100 before it
+        assert (await client.exchange(invalid + b"\r\n\r\n"))[0] == 400  # without a 100 before it
 
 
 async def test_backend_that_does_not_read_puts_backpressure_on_its_client() -> None:
@@ -249,7 +249,7 @@
         client = await harness.connect_client()
         head, _, body = long_request(1).partition(b"\r\n\r\n")
         client.send(head + b"\r\n\r\n" + body[: 2 * MAX_BUFFERED_BYTES])
-        status, headers, _ = await client.read_response()  # while it is still sending
+        status, headers, _ = await client.read_response()  # the client is still sending
         assert status == 429 and headers["connection"] == "close"
         assert sum(backend.connection_count for backend in harness.backends) == 1
         metrics = await harness.metrics()
@@ -320,7 +320,7 @@
     assert attempt.timeout == 0.0
     assert not any(isinstance(timer, LateAttemptTimer) for timer in timers_set(actions))
     actions = engine.handle(RequestBodyReceived(1, 156.0), 150.0)
-    assert timers_set(actions) == [LateAttemptTimer(1, 0)]  # the attempt may be late from now on
+    assert timers_set(actions) == [LateAttemptTimer(1, 0)]  # only now can the attempt be late
     assert (
         engine.forwarder.requests[1].request.deadline == 156.0
         and engine.forwarder.requests[1].first_sent_at == 150.0
--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -1,4 +1,4 @@
-"""Client connections over loopback sockets: requests accepted and rejected, limits, order of responses."""
+"""Client connections over loopback: accepted and rejected requests, limits, and the order of responses."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 async def test_connections_on_both_sides_are_reused() -> None:
-    # the parser knows whether a connection persists only inside its callback
+    # The parser knows only during its callback whether the connection is persistent.
     async with running_gateway() as harness:
         client = await harness.connect_client()
         for number in range(5):
@@ -61,7 +61,7 @@
 
 
 async def test_every_request_of_a_long_pipeline_gets_a_response() -> None:
-    # reading pauses at the pipelining limit and must resume; the policy may reject some of so many requests
+    # Reading pauses at the pipelining limit and must resume. The policy may reject some of the requests.
     async with running_gateway() as harness:
         client = await harness.connect_client()
         client.send(b"".join(request(n, "report", body=b"x" * 5000) for n in range(60)))
@@ -164,12 +164,12 @@
 
 async def test_client_reset_cancels_the_attempt() -> None:
     env = high_quota_settings()
-    env["services"][0]["aim"] = env["services"][0]["deadline"] = 1e6  # no timeout ends it during the test
+    env["services"][0]["aim"] = env["services"][0]["deadline"] = 1e6  # no timeout during the test
     async with running_gateway(settings=env) as harness:
         client, forwarded = await harness.connect_client(), asyncio.Event()
         harness.backends[0].script = [lambda writer, asked: forwarded.set()]
         client.send(request(1, budget=1000.0))
-        await forwarded.wait()  # the backend sends no response
+        await forwarded.wait()  # the backend never responds
         client.reset()
         await harness.backends[0].wait_until(lambda: harness.backends[0].closed_count == 1)
         assert (
@@ -194,7 +194,7 @@
 
 
 async def test_reading_pauses_while_the_client_reads_no_responses() -> None:
-    # its responses would fill the gateway's memory
+    # Without a limit, responses that are not read would fill the gateway's memory.
     async with running_gateway() as harness:
         client = await harness.connect_client()
         large = http_response(200, b"x" * MAX_BUFFERED_BYTES)
@@ -231,7 +231,7 @@
 
 
 async def test_silent_connections_do_not_block_clients_with_requests() -> None:
-    # evicted one at a time, hundreds of silent connections took up all capacity
+    # When silent connections were evicted one at a time, hundreds of them used up the capacity.
     async with running_gateway() as harness:
         _client = await harness.connect_client()
         listener = harness.process.listener
@@ -246,7 +246,7 @@
 
 
 async def until(condition: Callable[[], bool]) -> None:
-    """Wait for the condition, one round of the loop after the other."""
+    """Wait for the condition, which is checked in each iteration of the event loop."""
     async with asyncio.timeout(EVENT_TIMEOUT):
         while not condition():  # noqa: ASYNC110 (no event marks the gateway's internal state)
             await asyncio.sleep(0)
@@ -309,7 +309,7 @@
 
 
 async def test_invalid_requests_are_followed_by_a_pause_and_then_close_the_connection() -> None:
-    # a client may repeat an invalid request as soon as it is rejected: each costs as much as a valid one
+    # An invalid request costs as much as a valid one, and a client may repeat it as soon as it is rejected.
     async with running_gateway() as harness:
         client = await harness.connect_client()
         invalid = request(1, Plan="gold")
@@ -333,7 +333,7 @@
 
 
 async def test_stopping_gateway_answers_the_pipeline_before_it_closes() -> None:
-    # "Connection: close" on the first response would leave the accepted requests behind it without theirs
+    # With "Connection: close" on the first response, accepted requests behind it would get no response.
     async with running_gateway() as harness:
         client = await harness.connect_client()
         release = asyncio.Event()
