--- a/tests/test_body_streaming.py
+++ b/tests/test_body_streaming.py
@@ -87,7 +87,8 @@
         assert dispatcher.active_requests == {} and dispatcher.engine.forwarder.requests == {}
 
 
-async def test_long_responses_keep_pipeline_order_and_reach_an_http_1_0_client() -> None:
+async def test_long_responses_keep_pipeline_order() -> None:
+    """An HTTP/1.0 client also gets the response, without the chunked coding."""
     async with running_gateway() as harness:
         first_may_answer = asyncio.Event()
 
@@ -113,7 +114,7 @@
         assert response.partition(b"\r\n\r\n")[2] == LONG_BODY and b"chunked" not in response[:200]
 
 
-async def test_client_that_does_not_read_puts_backpressure_on_its_backend() -> None:
+async def test_slow_client_puts_backpressure_on_backend() -> None:
     async with running_gateway() as harness:
         body = LONG_BODY * 40  # 13 MB, which is more than the sockets on the path can buffer
         harness.backends[0].script = [respond_with(http_response(200, body))]
@@ -139,7 +140,7 @@
     ],
     ids=["content length", "chunked"],
 )
-async def test_truncated_response_is_aborted_for_its_client_and_not_retried(framing: bytes) -> None:
+async def test_truncated_response_is_aborted_without_retry(framing: bytes) -> None:
     async with running_gateway() as harness:
 
         def truncate(writer: asyncio.StreamWriter, received: HttpMessage) -> None:
@@ -156,7 +157,7 @@
         assert metrics["concurrent"] == 0 and len(harness.received_requests()) == 1
 
 
-async def test_client_disconnect_during_a_long_response_ends_the_attempt() -> None:
+async def test_client_disconnect_ends_long_response() -> None:
     async with running_gateway() as harness:
         backend = harness.backends[0]
         backend.script = [respond_with(http_response(200, LONG_BODY * 40)[:-9])]
@@ -174,7 +175,8 @@
 
 
 @pytest.mark.parametrize("size", [1 << 20, 700, 1])
-async def test_long_request_body_is_forwarded_whatever_its_segments(size: int) -> None:
+async def test_long_request_body_is_forwarded_unchanged(size: int) -> None:
+    """The client sends segments of `size` bytes."""
     async with running_gateway() as harness:
         client = await harness.connect_client()
         data = long_request(1)
@@ -201,7 +203,8 @@
         assert harness.received_requests()[1][2] == b"short"
 
 
-async def test_expect_100_continue_is_answered_before_the_body_unless_rejected() -> None:
+async def test_expect_100_continue_is_answered_before_body() -> None:
+    """An invalid request is rejected without an interim response."""
     async with running_gateway() as harness:
         client = await harness.connect_client()
         head, _, body = long_request(1, Expect="100-continue").partition(b"\r\n\r\n")
@@ -212,7 +215,7 @@
         assert (await client.exchange(invalid + b"\r\n\r\n"))[0] == 400  # without a 100 before it
 
 
-async def test_backend_that_does_not_read_puts_backpressure_on_its_client() -> None:
+async def test_slow_backend_puts_backpressure_on_client() -> None:
     async with running_gateway() as harness:
         may_read = asyncio.Event()
 
@@ -237,7 +240,8 @@
         assert (await client.read_response())[0] == 200
 
 
-async def test_partly_sent_body_counts_as_not_executed_and_is_not_retried() -> None:
+async def test_partly_sent_body_is_not_retried() -> None:
+    """The request counts as not executed, so that the client gets the retryable status 429."""
     async with running_gateway(backends=2) as harness:
 
         async def abort_early(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -256,7 +260,7 @@
         assert metrics["overload.extract"] == 1 and metrics["dispatches"] == metrics["concurrent"] == 0
 
 
-async def test_early_response_reaches_a_client_that_is_still_sending() -> None:
+async def test_early_response_reaches_sending_client() -> None:
     async with running_gateway() as harness:
 
         async def answer_early(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -271,7 +275,7 @@
 
 
 @pytest.mark.parametrize("resets", [True, False])
-async def test_long_body_is_not_executed_after_its_client_disconnects(resets: bool) -> None:
+async def test_incomplete_body_is_not_executed_after_disconnect(resets: bool) -> None:
     async with running_gateway() as harness:
         client = await harness.connect_client()
         client.send(long_request(1)[: 2 * MAX_BUFFERED_BYTES])
@@ -313,7 +317,7 @@
     return [action.timer for action in actions if isinstance(action, SetTimer)]
 
 
-def test_time_budget_of_a_streamed_request_starts_at_its_last_byte() -> None:
+def test_streamed_request_budget_starts_at_last_byte() -> None:
     engine = make_engine()
     actions = engine.handle(replace(make_request(1, "pay", deadline=106.0), body_incomplete=True), 100.0)
     (attempt,) = started_attempts(actions)
@@ -327,7 +331,7 @@
     )
 
 
-def test_request_whose_body_was_consumed_is_not_retried() -> None:
+def test_request_with_consumed_body_is_not_retried() -> None:
     engine = make_engine()
     actions = engine.handle(replace(make_request(1), body_incomplete=True), 100.0)
     (attempt,) = started_attempts(actions)
@@ -336,7 +340,8 @@
     assert [type(action) for action in actions if isinstance(action, StartAttempt | Reject)] == [Reject]
 
 
-def test_streamed_response_is_measured_to_its_first_byte_and_no_longer_in_flight() -> None:
+def test_streamed_response_is_in_flight_until_first_byte() -> None:
+    """After it, neither the timer of a late attempt nor a broken response has an effect."""
     engine = make_engine()
     (attempt,) = started_attempts(engine.handle(make_request(1), 100.0))
     engine.handle(ResponseStreamStarted(1, 0, 0.05), 100.05)
@@ -353,7 +358,7 @@
     assert engine.admission.in_flight == 0 and not engine.forwarder.requests
 
 
-async def test_readiness_is_answered_beside_a_long_request() -> None:
+async def test_readiness_is_answered_during_long_request() -> None:
     async with running_gateway() as harness:
         may_answer = asyncio.Event()
         harness.backends[0].script = [send_success_after(may_answer)]
--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -43,15 +43,16 @@
         assert harness.backends[0].connection_count == 1
 
 
-async def test_pipelined_responses_keep_their_order_when_the_first_is_slowest() -> None:
+async def test_pipelined_responses_keep_request_order() -> None:
+    """The first request is the last to be answered by its backend."""
     async with running_gateway() as harness:
         client = await harness.connect_client()
         second_arrived = asyncio.Event()
 
-        async def answer(writer: asyncio.StreamWriter, asked: HttpMessage) -> None:
-            if asked[1]["x-call-id"].endswith("1"):
+        async def answer(writer: asyncio.StreamWriter, received: HttpMessage) -> None:
+            if received[1]["x-call-id"].endswith("1"):
                 await second_arrived.wait()
-            send_success(writer, asked)
+            send_success(writer, received)
             second_arrived.set()
 
         harness.backends[0].script = [answer, answer]
@@ -60,7 +61,7 @@
             assert (await client.read_response())[2] == f"served {number:016x}".encode()
 
 
-async def test_every_request_of_a_long_pipeline_gets_a_response() -> None:
+async def test_long_pipeline_is_fully_answered() -> None:
     # Reading pauses at the pipelining limit and must resume. The policy may reject some of the requests.
     async with running_gateway() as harness:
         client = await harness.connect_client()
@@ -163,11 +164,11 @@
 
 
 async def test_client_reset_cancels_the_attempt() -> None:
-    env = high_quota_settings()
-    env["services"][0]["aim"] = env["services"][0]["deadline"] = 1e6  # no timeout during the test
-    async with running_gateway(settings=env) as harness:
+    long_timeouts = high_quota_settings()
+    long_timeouts["services"][0]["aim"] = long_timeouts["services"][0]["deadline"] = 1e6
+    async with running_gateway(settings=long_timeouts) as harness:
         client, forwarded = await harness.connect_client(), asyncio.Event()
-        harness.backends[0].script = [lambda writer, asked: forwarded.set()]
+        harness.backends[0].script = [lambda writer, received: forwarded.set()]
         client.send(request(1, budget=1000.0))
         await forwarded.wait()  # the backend never responds
         client.reset()
@@ -193,12 +194,12 @@
         assert (await client.read_response())[0] == 200
 
 
-async def test_reading_pauses_while_the_client_reads_no_responses() -> None:
+async def test_reading_pauses_while_responses_are_unread() -> None:
     # Without a limit, responses that are not read would fill the gateway's memory.
     async with running_gateway() as harness:
         client = await harness.connect_client()
         large = http_response(200, b"x" * MAX_BUFFERED_BYTES)
-        harness.backends[0].script = [lambda writer, asked: writer.write(large)] * 1000
+        harness.backends[0].script = [lambda writer, received: writer.write(large)] * 1000
         client = await harness.connect_client(receive_buffer=8192)
         client.writer.transport.pause_reading()  # type: ignore[attr-defined]
         client.send(b"".join(request(n) for n in range(1000)))
@@ -230,7 +231,7 @@
         assert (await client.read_response())[0] == 408 and await client.wait_closed()
 
 
-async def test_silent_connections_do_not_block_clients_with_requests() -> None:
+async def test_silent_connections_do_not_block_active_clients() -> None:
     # When silent connections were evicted one at a time, hundreds of them used up the capacity.
     async with running_gateway() as harness:
         _client = await harness.connect_client()
@@ -256,9 +257,8 @@
     ("sent", "status"),
     [(b"", 0), (b"\r\n" * 5, 0), (request(1)[:40], 408), (request(1, "extract")[:-3], 408)],
 )
-async def test_incomplete_request_gets_an_error_or_a_close_within_three_seconds(
-    sent: bytes, status: int
-) -> None:
+async def test_incomplete_request_times_out_within_three_seconds(sent: bytes, status: int) -> None:
+    """A request that has begun gets status 408; a connection without one is closed."""
     async with running_gateway() as harness:
         listener, now = harness.process.listener, harness.process.listener.clock()
         listener.clock = lambda: now
@@ -278,7 +278,7 @@
         assert await client.wait_closed()
 
 
-async def test_idle_connections_are_closed_not_before_two_seconds() -> None:
+async def test_idle_connection_is_closed_after_two_seconds() -> None:
     async with running_gateway() as harness:
         client = await harness.connect_client()
         listener = harness.process.listener
@@ -294,7 +294,7 @@
         assert await client.wait_closed() and not listener.connections
 
 
-async def test_call_id_in_use_is_rejected_for_the_second_request_only() -> None:
+async def test_duplicate_call_id_is_rejected_while_in_use() -> None:
     async with running_gateway() as harness:
         client = await harness.connect_client()
         release = asyncio.Event()
@@ -308,7 +308,8 @@
         assert (await other.exchange(request(1)))[0] == 200 and not harness.process.dispatcher.open_call_ids
 
 
-async def test_invalid_requests_are_followed_by_a_pause_and_then_close_the_connection() -> None:
+async def test_repeated_invalid_requests_close_the_connection() -> None:
+    """Reading pauses after the first one."""
     # An invalid request costs as much as a valid one, and a client may repeat it as soon as it is rejected.
     async with running_gateway() as harness:
         client = await harness.connect_client()
@@ -322,7 +323,7 @@
         assert await client.wait_closed()
 
 
-async def test_error_reaches_a_client_that_keeps_sending_a_huge_body() -> None:
+async def test_oversized_body_error_reaches_sending_client() -> None:
     async with running_gateway() as harness:
         client = await harness.connect_client()
         client.send(request(1, "extract", body=b"", Content_Length="60000000"))
@@ -332,7 +333,7 @@
         assert await client.wait_closed()
 
 
-async def test_stopping_gateway_answers_the_pipeline_before_it_closes() -> None:
+async def test_stopping_gateway_answers_pipeline_before_close() -> None:
     # With "Connection: close" on the first response, accepted requests behind it would get no response.
     async with running_gateway() as harness:
         client = await harness.connect_client()
@@ -361,9 +362,10 @@
 
 
 @pytest.mark.virtual_clock
-async def test_a_body_that_stalls_after_a_slow_head_is_answered_within_three_seconds(
+async def test_stalled_body_after_slow_head_times_out(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
+    """The error comes within three seconds of the connect."""
     monkeypatch.setattr("quota_gateway.gateway_process.start_clock", virtual_unix_clock)
     async with running_gateway() as harness:
         connected_at = virtual_clock_loop().now
