--- a/tests/test_client_disconnect.py
+++ b/tests/test_client_disconnect.py
@@ -1,4 +1,4 @@
-"""Clients that disconnect while their request waits: it is not forwarded, and its units are refunded."""
+"""A request whose client disconnects while it waits is not forwarded, and its units are refunded."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from tests.fakes import HOST, HttpMessage, example_settings, http_response
 from tests.harness import Client, GatewayHarness, high_quota_settings, request, running_gateway
 
-CONDITION_TIMEOUT = 2.0  # seconds; a request is queued for up to 2.5, within its budget of 5
+CONDITION_TIMEOUT = 2.0  # seconds; less than the 2.5 s that a request is queued, and its budget of 5 s
 
 
 @pytest.fixture(autouse=True)
@@ -23,7 +23,7 @@
 
 
 async def until(condition: Callable[[], bool]) -> None:
-    """Wait for the condition, before the request's own limits could end it."""
+    """Wait for the condition, for less time than the request's own limits allow."""
     async with asyncio.timeout(CONDITION_TIMEOUT):
         while not condition():  # noqa: ASYNC110 (no event marks the gateway's internal state)
             await asyncio.sleep(0)
@@ -34,7 +34,7 @@
 
 
 class FullListener:
-    """A listening socket with a full queue: connects to it succeed only once one is accepted."""
+    """A listening socket with a full accept queue, on which connects don't complete."""
 
     def __init__(self) -> None:
         self.listener = socket.socket()
@@ -50,7 +50,7 @@
 
 
 def with_long_timeouts(env: dict[str, Any]) -> dict[str, Any]:
-    """Allow seconds for the counter and for an attempt."""
+    """Allow eight seconds for a counter reply and for an attempt."""
     env["domain"]["count_limit"] = 8000.0
     env["services"][0]["aim"] = 8000.0
     return env
@@ -58,7 +58,7 @@
 
 @asynccontextmanager
 async def waiting_request(state: str) -> AsyncIterator[tuple[GatewayHarness, Client]]:
-    """Start a gateway whose client's request 9 waits: queued, for the counter, or for a connection."""
+    """Start a gateway and a client whose request 9 waits in `state`, one of `STATES`."""
     break_attempt = asyncio.Event()
 
     async def reset_connection(writer: asyncio.StreamWriter, asked: HttpMessage) -> None:
@@ -72,7 +72,7 @@
         dispatcher, discovery = harness.process.dispatcher, harness.discovery
         if state == "queued":
             harness.backends[0].script = [serve_without_units, serve_without_units]
-            for number, units in enumerate(("8", "4")):  # the whole burst
+            for number, units in enumerate(("8", "4")):  # the entire burst
                 assert (await client.exchange(request(number, plan="pro", units=units)))[0] == 200
             client.send(request(9, plan="pro"))
             await until(lambda: bool(dispatcher.active_requests))
@@ -105,7 +105,7 @@
 @pytest.mark.parametrize("how", ["closes", "resets"])
 @pytest.mark.parametrize("state", STATES)
 async def test_request_is_not_forwarded_after_its_client_disconnected(state: str, how: str) -> None:
-    # a close reads as a half-close at first
+    # A close looks like a half-close at first.
     async with waiting_request(state) as (harness, client):
         dispatcher, seen = harness.process.dispatcher, len(harness.received_requests())
         limiter = next(iter(dispatcher.engine.limiters.limiters.values()))
@@ -139,7 +139,7 @@
 
 @pytest.mark.parametrize("how", ["closes", "resets"])
 async def test_disconnect_is_detected_while_reading_is_paused(how: str) -> None:
-    # the loop reports no disconnect on a connection that it does not read
+    # The event loop reports no disconnect on a connection from which it does not read.
     async with running_gateway(settings=with_long_timeouts(example_settings())) as harness:
         harness.counter.replies_enabled.clear()
         client, listener = await harness.connect_client(), harness.process.listener
--- a/tests/test_no_attempt_after_disconnect.py
+++ b/tests/test_no_attempt_after_disconnect.py
@@ -1,7 +1,7 @@
-"""No attempt, first or retry, starts more than 0.1 s after its client disconnected.
+"""No attempt, whether the first or a retry, starts more than 0.1 s after its client disconnected.
 
-On a virtual clock. A client disconnects in each way from each state of its request, and what the request
-waited for arrives at several times after that. On a busy core each event of the policy takes processor time.
+The tests run on a virtual clock. They combine each kind of disconnect with each state of the request and with
+several delays of the event that the request waits for. On a busy core each policy event takes CPU time.
 """
 
 from __future__ import annotations
@@ -23,8 +23,8 @@
 from tests.harness import Client, GatewayHarness, high_quota_settings, request, running_gateway
 from tests.virtual_clock import run_on_virtual_clock, virtual_clock_loop, virtual_unix_clock
 
-MAX_START_DELAY = 0.1  # seconds after the disconnect: the protocol's limit
-RELEASE_DELAYS = [0.02, 0.105, 0.125, 0.15, 0.4]  # seconds from the disconnect to what the request waits for
+MAX_START_DELAY = 0.1  # seconds after the disconnect, set by the protocol
+RELEASE_DELAYS = [0.02, 0.105, 0.125, 0.15, 0.4]  # seconds from the disconnect to the release
 DISCONNECTS = ["closes", "resets", "half-closes"]
 STATES = [
     "counter",
@@ -37,8 +37,8 @@
     "uploading",
     "queued",
 ]
-BURST_SIZE = 500  # clients
-EVENT_COST = 0.0004  # seconds of processor time for each event on a busy core
+BURST_SIZE = 500  # clients that disconnect at once
+EVENT_COST = 0.0004  # seconds of CPU time for each event on a busy core
 
 
 @pytest.fixture(autouse=True)
@@ -47,7 +47,7 @@
 
 
 class TimedRequests(list[HttpMessage]):
-    """Requests with the time at which each was complete, for short ones that of its first byte."""
+    """A list of requests that also records when each was complete."""
 
     def __init__(self, times: list[float]) -> None:
         super().__init__()
@@ -59,7 +59,7 @@
 
 
 class RecordingBackend(FakeBackend):
-    """Records the arrival of requests, and of each connection's first byte: a long body may not complete."""
+    """Records when requests arrive, and each connection's first byte, as a long body may stay incomplete."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -69,12 +69,12 @@
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         first = await reader.readexactly(1)
         self.started_at.append(virtual_clock_loop().now)
-        reader._buffer[:0] = first  # type: ignore[attr-defined]  # put back, so that the whole message is read
+        reader._buffer[:0] = first  # type: ignore[attr-defined]  # put back for `read_message`
         await super().serve(reader, writer)
 
 
 def with_long_timeouts(env: dict[str, Any]) -> dict[str, Any]:
-    """Allow seconds for the counter, a connect and an attempt."""
+    """Allow eight seconds each for a counter reply, a connect and an attempt."""
     env["domain"]["count_limit"] = 8000.0
     env["limits"]["dial_timeout"] = 8000.0
     for service in env["services"]:
@@ -83,7 +83,7 @@
 
 
 async def until(condition: Callable[[], bool]) -> None:
-    """Wait for the condition, in steps of the virtual clock."""
+    """Wait for the condition, which is checked every 0.5 ms of the virtual clock."""
     async with asyncio.timeout(10.0):
         while not condition():  # noqa: ASYNC110 (no event marks the gateway's internal state)
             await asyncio.sleep(0.0005)
@@ -95,7 +95,7 @@
 
 def disconnect(client: Client, how: str) -> None:
     if how == "closes":
-        client.writer.transport.abort()  # nothing is unread, so that this is a close without a reset
+        client.writer.transport.abort()  # a close without a reset, since no data is unread
     elif how == "resets":
         client.reset()
     else:
@@ -104,7 +104,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WaitingRequest:
-    """A gateway whose client's last request waits until `release` is called."""
+    """A gateway and a client whose last request waits until `release` is called."""
 
     harness: GatewayHarness
     client: Client
@@ -131,7 +131,7 @@
 def answer_after(
     event: asyncio.Event, state: str
 ) -> Callable[[asyncio.StreamWriter, HttpMessage], Awaitable[None]]:
-    """Make a backend that rejects its request, or resets the connection, at the event."""
+    """Return a step that rejects the request or aborts the connection when the event is set."""
 
     async def answer(writer: asyncio.StreamWriter, asked: HttpMessage) -> None:
         await event.wait()
@@ -144,7 +144,7 @@
 
 
 async def wait_for_counter(harness: GatewayHarness, client: Client, state: str) -> Callable[[], None]:
-    """Send requests that wait for the counter, up to a number at which reading pauses."""
+    """Send requests that wait for the counter; in state "paused", enough of them to pause reading."""
     harness.counter.replies_enabled.clear()
     number = {"counter": 1, "pipelined": 2, "paused": 8 * MAX_PIPELINED_REQUESTS}[state]
     client.send(b"".join(request(n) for n in range(number)))
@@ -156,11 +156,11 @@
 
 
 async def wait_in_queue(harness: GatewayHarness, client: Client) -> Callable[[], None]:
-    """Send a request that is queued, as its customer's burst is used up."""
+    """Send a request that is queued because its customer's burst is used up."""
     dispatcher = harness.process.dispatcher
     for backend in harness.backends:
         backend.script = [serve_without_units, serve_without_units]
-    for number, units in enumerate(("8", "4")):  # the whole burst
+    for number, units in enumerate(("8", "4")):  # the entire burst
         assert (await client.exchange(request(number, plan="pro", units=units)))[0] == 200
     client.send(request(9, plan="pro"))
     (limiter,) = dispatcher.engine.limiters.limiters.values()
@@ -186,7 +186,7 @@
 async def wait_for_backend(
     harness: GatewayHarness, client: Client, state: str, connect_time: float
 ) -> Callable[[], None]:
-    """Send a request whose first attempt fails at the release, or has failed and is being retried."""
+    """Send a request whose first attempt fails at the release; if "reconnecting", its retry connects."""
     event = asyncio.Event()
     for backend in harness.backends:
         backend.script = [answer_after(event, state)]
@@ -203,13 +203,13 @@
 async def waiting_request(state: str, connect_time: float) -> AsyncIterator[WaitingRequest]:
     """Start a gateway and bring a request into a state.
 
-    `connect_time`: seconds until a connection to a backend is made, in the states that wait for one. The
-    client disconnects a moment after this yields, so that it counts from there.
+    In the states that wait for a connection, a connect to a backend takes `connect_time` seconds. The client
+    disconnects right after this yields, so that the time counts from the disconnect.
     """
     counted = state in ("counter", "queued", "pipelined", "paused")
     async with recording(2, example_settings() if counted else high_quota_settings()) as harness:
         client = await harness.connect_client()
-        release: Callable[[], None] = asyncio.Event().set  # with no effect: the connect time passes by itself
+        release: Callable[[], None] = asyncio.Event().set  # no effect: the connect completes by itself
         match state:
             case "counter" | "pipelined" | "paused":
                 release = await wait_for_counter(harness, client, state)
@@ -259,7 +259,7 @@
     for state in ("counter", "connecting"):
         async with waiting_request(state, 0.2) as case:
             (limiter,) = case.harness.process.dispatcher.engine.limiters.limiters.values()
-            limiter.rate = 0.0  # no refill over time
+            limiter.rate = 0.0  # no refill
             before = limiter.balance + (1.0 if state == "connecting" else limiter.queued_units)
             disconnect(case.client, how)
             await asyncio.sleep(0.15)
@@ -269,9 +269,7 @@
             if state == "connecting":
                 assert limiter.balance == pytest.approx(before)
             counted = sum(amount for _, amount in case.harness.counter.increments)
-            assert counted + limiter.unreported_units == pytest.approx(
-                0.0
-            )  # reported, and yet to be reported
+            assert counted + limiter.unreported_units == pytest.approx(0.0)  # reported and unreported units
         virtual_clock_loop().connect_delays = {}
 
 
@@ -281,7 +279,7 @@
 async def test_burst_of_disconnects_on_a_busy_core_starts_no_late_attempt(
     state: str, how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The last of the disconnects is read 0.2 s after it happened, when the requests have been released."""
+    """The last disconnect is read 0.2 s after it happened, when the requests have been released."""
     busy = False
     detected_at: list[float] = []
     handle, begin_grace_period = RequestDispatcher.handle, HalfClose.begin
