--- a/tests/test_client_disconnect.py
+++ b/tests/test_client_disconnect.py
@@ -29,7 +29,7 @@
             await asyncio.sleep(0)
 
 
-def serve_without_units(writer: asyncio.StreamWriter, asked: HttpMessage) -> None:
+def serve_without_units(writer: asyncio.StreamWriter, received: HttpMessage) -> None:
     writer.write(http_response(200))  # without Billed-Units the estimate stays
 
 
@@ -49,11 +49,11 @@
         self.listener.close()
 
 
-def with_long_timeouts(env: dict[str, Any]) -> dict[str, Any]:
+def with_long_timeouts(settings: dict[str, Any]) -> dict[str, Any]:
     """Allow eight seconds for a counter reply and for an attempt."""
-    env["domain"]["count_limit"] = 8000.0
-    env["services"][0]["aim"] = 8000.0
-    return env
+    settings["domain"]["count_limit"] = 8000.0
+    settings["services"][0]["aim"] = 8000.0
+    return settings
 
 
 @asynccontextmanager
@@ -61,13 +61,15 @@
     """Start a gateway and a client whose request 9 waits in `state`, one of `STATES`."""
     break_attempt = asyncio.Event()
 
-    async def reset_connection(writer: asyncio.StreamWriter, asked: HttpMessage) -> None:
+    async def reset_connection(writer: asyncio.StreamWriter, received: HttpMessage) -> None:
         await break_attempt.wait()
         writer.transport.abort()
 
     full_listener = FullListener()
-    env = example_settings() if state in ("queued", "counter") else high_quota_settings(dial_timeout=8000.0)
-    async with running_gateway(settings=with_long_timeouts(env)) as harness:
+    base_settings = (
+        example_settings() if state in ("queued", "counter") else high_quota_settings(dial_timeout=8000.0)
+    )
+    async with running_gateway(settings=with_long_timeouts(base_settings)) as harness:
         client = await harness.connect_client()
         dispatcher, discovery = harness.process.dispatcher, harness.discovery
         if state == "queued":
@@ -102,15 +104,15 @@
 STATES = ["queued", "counter", "connecting", "retry"]
 
 
-@pytest.mark.parametrize("how", ["closes", "resets"])
+@pytest.mark.parametrize("disconnect_kind", ["closes", "resets"])
 @pytest.mark.parametrize("state", STATES)
-async def test_request_is_not_forwarded_after_its_client_disconnected(state: str, how: str) -> None:
+async def test_request_is_not_forwarded_after_disconnect(state: str, disconnect_kind: str) -> None:
     # A close looks like a half-close at first.
     async with waiting_request(state) as (harness, client):
-        dispatcher, seen = harness.process.dispatcher, len(harness.received_requests())
+        dispatcher, received_before = harness.process.dispatcher, len(harness.received_requests())
         limiter = next(iter(dispatcher.engine.limiters.limiters.values()))
-        before = limiter.balance
-        if how == "closes":
+        balance_before = limiter.balance
+        if disconnect_kind == "closes":
             client.writer.close()
         else:
             client.reset()
@@ -118,27 +120,29 @@
         harness.counter.replies_enabled.set()
         await until(lambda: not limiter.awaiting_reading)
         assert (
-            len(harness.received_requests()) == seen
+            len(harness.received_requests()) == received_before
             and not dispatcher.engine.forwarder.requests
             and not limiter.queue
         )
         if state != "retry":  # the first attempt of a retried request used its units
             limiter.refill(dispatcher.clock())
-            assert limiter.balance >= min(before + 1.0, limiter.capacity) and limiter.queued_units == 0
+            assert (
+                limiter.balance >= min(balance_before + 1.0, limiter.capacity) and limiter.queued_units == 0
+            )
 
 
 @pytest.mark.parametrize("state", STATES)
-async def test_half_closed_client_is_rejected_with_a_retryable_status(state: str) -> None:
+async def test_half_closed_client_gets_retryable_status(state: str) -> None:
     async with waiting_request(state) as (harness, client):
-        seen = len(harness.received_requests())
+        received_before = len(harness.received_requests())
         client.writer.write_eof()
         assert (await client.read_response())[0] == 429
         assert await client.wait_closed()
-        assert len(harness.received_requests()) == seen
+        assert len(harness.received_requests()) == received_before
 
 
-@pytest.mark.parametrize("how", ["closes", "resets"])
-async def test_disconnect_is_detected_while_reading_is_paused(how: str) -> None:
+@pytest.mark.parametrize("disconnect_kind", ["closes", "resets"])
+async def test_disconnect_is_detected_while_reading_is_paused(disconnect_kind: str) -> None:
     # The event loop reports no disconnect on a connection from which it does not read.
     async with running_gateway(settings=with_long_timeouts(example_settings())) as harness:
         harness.counter.replies_enabled.clear()
@@ -146,7 +150,7 @@
         client.send(b"".join(request(number) for number in range(8 * MAX_PIPELINED_REQUESTS)))
         await until(lambda: any(c.read_paused for c in listener.connections))
         assert len(harness.process.dispatcher.active_requests) >= MAX_PIPELINED_REQUESTS
-        if how == "closes":
+        if disconnect_kind == "closes":
             client.writer.close()
         else:
             client.reset()
@@ -156,10 +160,10 @@
         assert not harness.received_requests() and not harness.process.dispatcher.engine.forwarder.requests
 
 
-async def test_failed_attempt_is_not_retried_after_its_client_closed() -> None:
+async def test_failed_attempt_is_not_retried_after_half_close() -> None:
     break_attempts = asyncio.Event()
 
-    async def reset_connection(writer: asyncio.StreamWriter, asked: HttpMessage) -> None:
+    async def reset_connection(writer: asyncio.StreamWriter, received: HttpMessage) -> None:
         await break_attempts.wait()
         writer.transport.abort()
 
@@ -170,8 +174,8 @@
         client.send(request(1))
         await until(lambda: bool(harness.received_requests()))
         client.writer.write_eof()
-        (job,) = harness.process.dispatcher.engine.forwarder.requests.values()
-        await until(lambda: job.not_resendable)
+        (forwarded,) = harness.process.dispatcher.engine.forwarder.requests.values()
+        await until(lambda: forwarded.not_resendable)
         break_attempts.set()
         assert (await client.read_response())[0] == 429  # retryable: the request is idempotent
         assert len(harness.received_requests()) == 1
--- a/tests/test_no_attempt_after_disconnect.py
+++ b/tests/test_no_attempt_after_disconnect.py
@@ -53,9 +53,9 @@
         super().__init__()
         self.times = times
 
-    def append(self, asked: HttpMessage) -> None:
+    def append(self, received: HttpMessage) -> None:
         self.times.append(virtual_clock_loop().now)
-        super().append(asked)
+        super().append(received)
 
 
 class RecordingBackend(FakeBackend):
@@ -73,13 +73,13 @@
         await super().serve(reader, writer)
 
 
-def with_long_timeouts(env: dict[str, Any]) -> dict[str, Any]:
+def with_long_timeouts(settings: dict[str, Any]) -> dict[str, Any]:
     """Allow eight seconds each for a counter reply, a connect and an attempt."""
-    env["domain"]["count_limit"] = 8000.0
-    env["limits"]["dial_timeout"] = 8000.0
-    for service in env["services"]:
+    settings["domain"]["count_limit"] = 8000.0
+    settings["limits"]["dial_timeout"] = 8000.0
+    for service in settings["services"]:
         service["aim"] = 8000.0
-    return env
+    return settings
 
 
 async def until(condition: Callable[[], bool]) -> None:
@@ -89,14 +89,14 @@
             await asyncio.sleep(0.0005)
 
 
-def serve_without_units(writer: asyncio.StreamWriter, asked: HttpMessage) -> None:
+def serve_without_units(writer: asyncio.StreamWriter, received: HttpMessage) -> None:
     writer.write(http_response(200))  # without Billed-Units the estimate stays
 
 
-def disconnect(client: Client, how: str) -> None:
-    if how == "closes":
+def disconnect(client: Client, disconnect_kind: str) -> None:
+    if disconnect_kind == "closes":
         client.writer.transport.abort()  # a close without a reset, since no data is unread
-    elif how == "resets":
+    elif disconnect_kind == "resets":
         client.reset()
     else:
         client.writer.write_eof()
@@ -117,10 +117,10 @@
 
 
 @asynccontextmanager
-async def recording(backends: int, env: dict[str, Any]) -> AsyncIterator[GatewayHarness]:
+async def recording(backends: int, settings: dict[str, Any]) -> AsyncIterator[GatewayHarness]:
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr("tests.harness.FakeBackend", RecordingBackend)
-        async with running_gateway(backends, with_long_timeouts(env)) as harness:
+        async with running_gateway(backends, with_long_timeouts(settings)) as harness:
             yield harness
 
 
@@ -133,7 +133,7 @@
 ) -> Callable[[asyncio.StreamWriter, HttpMessage], Awaitable[None]]:
     """Return a step that rejects the request or aborts the connection when the event is set."""
 
-    async def answer(writer: asyncio.StreamWriter, asked: HttpMessage) -> None:
+    async def answer(writer: asyncio.StreamWriter, received: HttpMessage) -> None:
         await event.wait()
         if state == "rejected":
             writer.write(http_response(503, b"", "X-Rejected: 1"))
@@ -206,8 +206,8 @@
     In the states that wait for a connection, a connect to a backend takes `connect_time` seconds. The client
     disconnects right after this yields, so that the time counts from the disconnect.
     """
-    counted = state in ("counter", "queued", "pipelined", "paused")
-    async with recording(2, example_settings() if counted else high_quota_settings()) as harness:
+    uses_counter = state in ("counter", "queued", "pipelined", "paused")
+    async with recording(2, example_settings() if uses_counter else high_quota_settings()) as harness:
         client = await harness.connect_client()
         release: Callable[[], None] = asyncio.Event().set  # no effect: the connect completes by itself
         match state:
@@ -227,16 +227,16 @@
         yield WaitingRequest(harness, client, release)
 
 
-@pytest.mark.parametrize("how", DISCONNECTS)
+@pytest.mark.parametrize("disconnect_kind", DISCONNECTS)
 @pytest.mark.parametrize("state", STATES)
-def test_no_attempt_starts_after_the_client_disconnected(state: str, how: str) -> None:
+def test_no_attempt_starts_after_disconnect(state: str, disconnect_kind: str) -> None:
     delays: list[float] = []
 
     async def test() -> None:
         for release_delay in RELEASE_DELAYS:
             async with waiting_request(state, release_delay) as case:
                 disconnected_at = virtual_clock_loop().now
-                disconnect(case.client, how)
+                disconnect(case.client, disconnect_kind)
                 await asyncio.sleep(release_delay)
                 case.release()
                 await asyncio.sleep(3.0)
@@ -249,37 +249,39 @@
             virtual_clock_loop().connect_delays = {}
 
     run_on_virtual_clock(test)
-    print(f"{state}, {how}: latest attempt {max(delays, default=-1.0):.3f} s after the disconnect")
+    print(
+        f"{state}, {disconnect_kind}: latest attempt {max(delays, default=-1.0):.3f} s after the disconnect"
+    )
     assert max(delays, default=0.0) <= MAX_START_DELAY
 
 
-@pytest.mark.parametrize("how", DISCONNECTS)
+@pytest.mark.parametrize("disconnect_kind", DISCONNECTS)
 @pytest.mark.virtual_clock
-async def test_units_of_a_disconnected_client_are_refunded_exactly_once(how: str) -> None:
+async def test_disconnected_clients_units_are_refunded_once(disconnect_kind: str) -> None:
     for state in ("counter", "connecting"):
         async with waiting_request(state, 0.2) as case:
             (limiter,) = case.harness.process.dispatcher.engine.limiters.limiters.values()
             limiter.rate = 0.0  # no refill
-            before = limiter.balance + (1.0 if state == "connecting" else limiter.queued_units)
-            disconnect(case.client, how)
+            balance_before = limiter.balance + (1.0 if state == "connecting" else limiter.queued_units)
+            disconnect(case.client, disconnect_kind)
             await asyncio.sleep(0.15)
             case.release()
             await asyncio.sleep(1.0)
             limiter.rate = 0.0
             if state == "connecting":
-                assert limiter.balance == pytest.approx(before)
-            counted = sum(amount for _, amount in case.harness.counter.increments)
-            assert counted + limiter.unreported_units == pytest.approx(0.0)  # reported and unreported units
+                assert limiter.balance == pytest.approx(balance_before)
+            reported = sum(amount for _, amount in case.harness.counter.increments)
+            assert reported + limiter.unreported_units == pytest.approx(0.0)
         virtual_clock_loop().connect_delays = {}
 
 
-@pytest.mark.parametrize("how", DISCONNECTS)
+@pytest.mark.parametrize("disconnect_kind", DISCONNECTS)
 @pytest.mark.parametrize("state", ["counter", "connecting"])
 @pytest.mark.virtual_clock
-async def test_burst_of_disconnects_on_a_busy_core_starts_no_late_attempt(
-    state: str, how: str, monkeypatch: pytest.MonkeyPatch
+async def test_disconnect_burst_starts_no_late_attempt(
+    state: str, disconnect_kind: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The last disconnect is read 0.2 s after it happened, when the requests have been released."""
+    """On a busy core the last disconnect is read 0.2 s late, when the requests have been released."""
     busy = False
     detected_at: list[float] = []
     handle, begin_grace_period = RequestDispatcher.handle, HalfClose.begin
@@ -311,15 +313,15 @@
         await until(lambda: len(dispatcher.active_requests) >= 0.6 * BURST_SIZE)
         waiting, disconnected_at, busy = len(dispatcher.active_requests), loop.now, True
         for client in clients:
-            disconnect(client, how)
+            disconnect(client, disconnect_kind)
         if state == "counter":
             harness.counter.replies_enabled.set()
         await asyncio.sleep(2.0)
         busy = False
         delays = [t - disconnected_at for t in attempt_starts(harness)]
         print(
-            f"burst, {state}, {how}: {waiting} requests waited, the last disconnect was detected after "
-            f"{max(detected_at, default=disconnected_at) - disconnected_at:.3f} s, "
+            f"burst, {state}, {disconnect_kind}: {waiting} requests waited, the last disconnect was detected "
+            f"after {max(detected_at, default=disconnected_at) - disconnected_at:.3f} s, "
             f"latest attempt {max(delays, default=-1.0):.3f} s after it"
         )
         assert max(delays, default=0.0) <= MAX_START_DELAY
