--- a/tests/test_arrival_bound.py
+++ b/tests/test_arrival_bound.py
@@ -1,4 +1,4 @@
-"""When input came that is read late, where the kernel does not tell it."""
+"""Bounds on when input arrived that is read late, if the kernel does not report its arrival."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from tests.harness import Client, GatewayHarness, request, running_gateway
 from tests.virtual_clock import virtual_clock_loop, virtual_unix_clock
 
-HOLD_UP = 0.4  # seconds
+HOLD_UP = 0.4  # seconds for which the event loop is stalled
 
 
 @pytest.fixture(autouse=True)
@@ -21,12 +21,12 @@
 
 @pytest.fixture
 def silent_kernel(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Have the kernel not tell when bytes came."""
+    """Make the kernel not report when data arrived."""
     monkeypatch.setattr(FlowControlledConnection, "seconds_since_last_data", lambda connection: None)
 
 
 async def told_time(harness: GatewayHarness, client: Client, text: bytes) -> float:
-    """Send a request and return the time in seconds that its backend is told."""
+    """Send a request and return the time budget in seconds that its backend receives."""
     assert (await client.exchange(text))[0] == 200
     return float(harness.backends[0].requests[-1].headers["x-budget"])
 
@@ -42,7 +42,7 @@
     held_up_at = loop.now
     loop.now += HOLD_UP
     assert bound.earliest() <= held_up_at
-    await asyncio.sleep(0)  # the turn that reports what came in the hold-up
+    await asyncio.sleep(0)  # the iteration that reports input from the stall
     assert bound.earliest() <= held_up_at
     await asyncio.sleep(3 * TURN_INTERVAL)
     assert bound.earliest() >= held_up_at + HOLD_UP
@@ -98,7 +98,7 @@
         await asyncio.sleep(0.2)
         listener.pause_accepting()
         assert listener.accept_timer is not None
-        listener.accept_timer.cancel()  # the pause goes on
+        listener.accept_timer.cancel()  # the pause continues
         client = await harness.connect_client()
         client.send(request(1, budget=0.9))
         await asyncio.sleep(HOLD_UP)
--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -152,9 +152,8 @@
         response_status, _, body = await client.exchange(text)
         assert response_status == status and len(body.splitlines()) <= 1
         assert harness.process.dispatcher.submitted_count == 0 and not harness.received_requests()
-        assert (await (await harness.connect_client()).exchange(request(2)))[
-            0
-        ] == 200  # the process still serves
+        # The process still serves other clients.
+        assert (await (await harness.connect_client()).exchange(request(2)))[0] == 200
 
 
 async def test_largest_buffered_body_is_forwarded() -> None:
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown: requests on any connection that is still open have their responses in time."""
+"""Graceful shutdown: every request on an open connection gets its response in time."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 async def begin_shutdown(harness: GatewayHarness) -> asyncio.Task[None]:
-    """Begin the shutdown of the gateway, and return its task once idle connections were closed first."""
+    """Start the shutdown and return its task after the first close of idle connections."""
     listener = harness.process.listener
     close_idle = listener.close_idle
     idle_closed = asyncio.Event()
@@ -65,7 +65,7 @@
 
 @pytest.mark.parametrize("deadline", [0.8, 1.5, 2.5, 3.0, 8.0])
 async def test_every_request_has_its_response_before_the_earliest_sigkill(deadline: float) -> None:
-    # SIGKILL comes 0.7 s past the longest deadline, which counts as 3 s at most
+    # SIGKILL follows 0.7 s after the longest deadline, which counts as 3 s at most.
     settings = high_quota_settings()
     for request_class in settings["services"]:
         request_class.update(deadline=1000.0 * deadline, aim=300.0)
@@ -80,7 +80,7 @@
 
 @pytest.mark.parametrize("received", [20, len(request(1)) - 1])
 async def test_a_request_partly_read_when_idle_connections_close_is_served(received: int) -> None:
-    # with no other request in flight the process used to end at once, and reset the connection
+    # Without another request in flight, the process exited at once and reset the connection.
     async with running_gateway() as harness:
         client = await harness.connect_client()
         client.send(request(1)[:received])
@@ -105,14 +105,14 @@
 
 
 async def test_a_pipelined_request_that_is_unread_as_the_response_before_it_ends_is_served() -> None:
-    """It lies in the kernel when the response before it is sent, which must not announce the close then."""
+    """The previous response must not announce the close while a request is unread in the kernel's buffer."""
     backend_released = asyncio.Event()
     async with running_gateway() as harness:
         client = await client_whose_backend_hangs(harness, backend_released)
         shutdown = await begin_shutdown(harness)
         (connection,) = harness.process.listener.connections
         assert connection.transport is not None
-        connection.transport.pause_reading()  # as in a turn of the loop that has yet to read it
+        connection.transport.pause_reading()  # as if the event loop had not read the request yet
         client.send(request(2))
         await until(connection.has_unread_input)
         backend_released.set()
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -1,4 +1,4 @@
-"""What operators see: violations of invariants, why requests were rejected, and the log of requests."""
+"""Violations of invariants, reasons of rejections, and the request log, as operators see them."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class RequestState:
-    """A request as the rules on attempts see it."""
+    """A request with the attributes that the rules on attempts read."""
 
     def __init__(self, **changes: object) -> None:
         self.answered = False
@@ -46,7 +46,7 @@
         ({"attempt_start_limit": 101.0}, None, 100.9, None),
         ({"attempt_start_limit": 101.0}, None, 101.0, Refusal.CLIENT_GONE),
         ({"is_gone": True}, None, 100.02, Refusal.CLIENT_GONE),
-        ({"is_gone": True}, None, 100.005, None),  # the bytes came just now
+        ({"is_gone": True}, None, 100.005, None),  # the request arrived just now
     ],
 )
 def test_an_attempt_is_refused_for_one_reason(
@@ -56,7 +56,7 @@
 
 
 class IdleConnection:
-    """A client's connection as the rules on closing see it."""
+    """A client connection with the methods that the rules on closing call."""
 
     def __init__(self, idle: bool = True, unread: bool = False) -> None:
         self.idle, self.unread = idle, unread
@@ -99,7 +99,7 @@
         client.send(request(2))
         await harness.backends[0].wait_until(lambda: len(harness.received_requests()) == 2)
         (connection,) = harness.process.listener.connections
-        connection.drop()  # as no code should
+        connection.drop()  # a fault that the invariant has to report
         assert (await violations(harness))[Invariant.CLOSED_ANSWERED] == 1
         assert "invariant closed_answered is violated" in caplog.text
         released.set()
--- a/tests/test_request_dispatcher.py
+++ b/tests/test_request_dispatcher.py
@@ -1,4 +1,4 @@
-"""The dispatcher: one final response a request, the engine's actions carried out, and the watchdog."""
+"""The request dispatcher: one final response per request, the engine's actions, and the watchdog."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def script_first_attempt(harness: GatewayHarness, step: ResponseStep) -> None:
-    """Answer the first attempt by `step`, whichever backend the engine picks, and serve the later ones."""
+    """Answer the first attempt by `step`, whichever backend the engine picks, and later ones with success."""
     is_first = True
 
     def answer(writer: asyncio.StreamWriter, received: HttpMessage) -> None:
@@ -125,7 +125,7 @@
         client = await harness.connect_client()
         monkeypatch.setattr(PolicyEngine, "handle", handle)
         assert (await client.exchange(request(1)))[0] == 502
-        assert (await client.exchange(request(2)))[0] == 502  # its own response, not the first one's second
+        assert (await client.exchange(request(2)))[0] == 502  # not the second response to request 1
         assert not harness.received_requests()
 
 
--- a/tests/test_response_order.py
+++ b/tests/test_response_order.py
@@ -1,4 +1,4 @@
-"""Responses of pipelined requests: each in the form of its own request, also when the connection ends."""
+"""Pipelined requests: each response is framed for its own request, and a lost connection ends all of them."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 async def test_requests_of_a_lost_connection_are_all_ended_while_the_gateway_drains(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    """The end of one request has the next one in the queue answered, whose connection is lost too."""
+    """Ending one request answers the next one in the queue, whose connection is lost too."""
     async with running_gateway() as harness:
         dispatcher = harness.process.dispatcher
         backend = harness.backends[0]
@@ -53,10 +53,10 @@
         client.send(request(2, plan="pro", units="4.6") + request(3, plan="pro", units="0.4"))
         (limiter,) = dispatcher.engine.limiters.limiters.values()
         async with asyncio.timeout(1.0):
-            while len(limiter.queue) < 2:  # noqa: ASYNC110 (no event marks it)
+            while len(limiter.queue) < 2:  # noqa: ASYNC110 (no event marks the gateway's internal state)
                 await asyncio.sleep(0)
         for endpoint in dispatcher.engine.endpoints.values():
-            endpoint.concurrency_limit = 0.0  # the request that leaves the queue is rejected
+            endpoint.concurrency_limit = 0.0  # a request that leaves the queue is rejected
         dispatcher.set_draining(True)
         client.reset()
         async with asyncio.timeout(1.0):
--- a/tests/test_slow_readers.py
+++ b/tests/test_slow_readers.py
@@ -1,4 +1,4 @@
-"""Clients that read their last responses slowly have them whole, also while the gateway shuts down."""
+"""Clients that read their last responses slowly get them completely, also during a shutdown."""
 
 from __future__ import annotations
 
@@ -22,10 +22,10 @@
 from tests.virtual_clock import virtual_unix_clock
 
 BODY = b"x" * MAX_BUFFERED_BYTES
-PIPELINED = 12  # requests, whose responses are more than the sockets on the way can buffer
-MIN_SERVED = 4  # of them that an endpoint is sent at once
-RECEIVE_BUFFER = 4096  # bytes, of the client's socket
-SEND_BUFFER = 4096  # bytes, of the gateway's
+PIPELINED = 12  # pipelined requests; the sockets on the path can't buffer all their responses
+MIN_SERVED = 4  # pipelined requests that reach the backends while no response is read
+RECEIVE_BUFFER = 4096  # size of the client's receive buffer in bytes
+SEND_BUFFER = 4096  # size of the gateway's send buffer in bytes
 
 
 def respond_at_length(writer: asyncio.StreamWriter, asked: HttpMessage) -> None:
@@ -33,13 +33,13 @@
 
 
 def limit_send_buffer(listener: socket.socket | None) -> None:
-    """Have accepted sockets hold little, so that the process keeps what it has yet to send."""
+    """Limit the send buffers of accepted sockets, so that unsent responses stay in the process."""
     assert listener is not None
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER)
 
 
 async def client_that_does_not_read(harness: GatewayHarness, budget: float) -> Client:
-    """Send requests, of which the last one closes the connection, and read nothing until all are answered."""
+    """Send requests, the last one with "Connection: close", and return the client, which has read nothing."""
     for backend in harness.backends:
         backend.script = [respond_at_length] * PIPELINED
     client = await harness.connect_client(receive_buffer=RECEIVE_BUFFER)
@@ -47,7 +47,7 @@
     last = request(PIPELINED, budget=budget, Connection="close")
     client.send(b"".join(request(number, budget=budget) for number in range(1, PIPELINED)) + last)
     async with asyncio.timeout(EVENT_TIMEOUT):
-        while len(harness.received_requests()) < MIN_SERVED:  # noqa: ASYNC110 (of any backend)
+        while len(harness.received_requests()) < MIN_SERVED:  # noqa: ASYNC110 (no event covers all backends)
             await asyncio.sleep(0.01)
     await asyncio.sleep(0.3)
     return client
@@ -56,7 +56,7 @@
 async def assert_all_responses_are_whole(client: Client) -> None:
     client.writer.transport.resume_reading()  # type: ignore[attr-defined]
     responses = [await client.read_response() for _ in range(PIPELINED)]
-    for status, _, body in responses:  # an endpoint that is busy with some of them gets no more
+    for status, _, body in responses:  # requests beyond the endpoint's concurrency are rejected
         assert (status, body) == (200, BODY) or status == 429
     assert await client.wait_closed()
 
@@ -77,7 +77,7 @@
     async with process_group(tmp_path) as processes:
         limit_send_buffer(processes.listener)
         child, _ = await processes.start()
-        await asyncio.sleep(0.2)  # since when the queue of the inherited socket is known to be new
+        await asyncio.sleep(0.2)  # from then on, connections in the inherited accept queue count as new
         client = await client_that_does_not_read(processes.harness, 900.0)
         child.send_signal(signal.SIGTERM)
         await asyncio.sleep(1.0 + 2 * FLUSH_TIMEOUT)
@@ -87,8 +87,8 @@
 
 def test_the_timeout_of_an_unread_response_runs_only_while_nothing_is_read() -> None:
     timer = UnreadResponseTimer()
-    assert not timer.has_expired(100.0, 500)  # the first byte that waits starts it
-    assert not timer.has_expired(100.0 + UNREAD_RESPONSE_TIMEOUT, 900)  # a further response is no reading
+    assert not timer.has_expired(100.0, 500)  # the first unread byte starts the timer
+    assert not timer.has_expired(100.0 + UNREAD_RESPONSE_TIMEOUT, 900)  # a new response is no restart
     assert timer.has_expired(100.1 + UNREAD_RESPONSE_TIMEOUT, 900)
     assert not timer.has_expired(100.2 + UNREAD_RESPONSE_TIMEOUT, 899)
     timer.stop()
