--- a/tests/test_arrival_bound.py
+++ b/tests/test_arrival_bound.py
@@ -11,7 +11,7 @@
 from tests.harness import Client, GatewayHarness, request, running_gateway
 from tests.virtual_clock import virtual_clock_loop, virtual_unix_clock
 
-HOLD_UP = 0.4  # seconds for which the event loop is stalled
+LOOP_STALL = 0.4  # seconds for which the event loop is stalled
 
 
 @pytest.fixture(autouse=True)
@@ -20,37 +20,37 @@
 
 
 @pytest.fixture
-def silent_kernel(monkeypatch: pytest.MonkeyPatch) -> None:
+def kernel_without_arrival_times(monkeypatch: pytest.MonkeyPatch) -> None:
     """Make the kernel not report when data arrived."""
     monkeypatch.setattr(FlowControlledConnection, "seconds_since_last_data", lambda connection: None)
 
 
-async def told_time(harness: GatewayHarness, client: Client, text: bytes) -> float:
+async def forwarded_budget(harness: GatewayHarness, client: Client, text: bytes) -> float:
     """Send a request and return the time budget in seconds that its backend receives."""
     assert (await client.exchange(text))[0] == 200
     return float(harness.backends[0].requests[-1].headers["x-budget"])
 
 
 @pytest.mark.virtual_clock
-async def test_the_bound_is_within_two_turns_unless_the_loop_is_held_up() -> None:
+async def test_bound_is_within_two_turns_unless_stalled() -> None:
     loop = virtual_clock_loop()
     monitor = EventLoopMonitor(loop, loop.time)
     bound = ArrivalBound(monitor, loop.now, loop.now)
     for _ in range(50):
         await asyncio.sleep(0.0071)
         assert loop.now - bound.earliest() <= 2 * TURN_INTERVAL + 0.0071 <= ARRIVAL_TOLERANCE
-    held_up_at = loop.now
-    loop.now += HOLD_UP
-    assert bound.earliest() <= held_up_at
+    stalled_at = loop.now
+    loop.now += LOOP_STALL
+    assert bound.earliest() <= stalled_at
     await asyncio.sleep(0)  # the iteration that reports input from the stall
-    assert bound.earliest() <= held_up_at
+    assert bound.earliest() <= stalled_at
     await asyncio.sleep(3 * TURN_INTERVAL)
-    assert bound.earliest() >= held_up_at + HOLD_UP
+    assert bound.earliest() >= stalled_at + LOOP_STALL
     monitor.close()
 
 
 @pytest.mark.virtual_clock
-async def test_input_that_was_left_unread_is_bounded_by_when_that_began() -> None:
+async def test_unread_input_is_bounded_by_pause_start() -> None:
     loop = virtual_clock_loop()
     monitor = EventLoopMonitor(loop, loop.time)
     bound = ArrivalBound(monitor, loop.now, loop.now)
@@ -65,34 +65,39 @@
     monitor.close()
 
 
-@pytest.mark.usefixtures("silent_kernel")
+@pytest.mark.usefixtures("kernel_without_arrival_times")
 @pytest.mark.virtual_clock
-async def test_without_the_kernels_word_the_whole_hold_up_counts() -> None:
+async def test_entire_loop_stall_counts_against_budget() -> None:
+    """Without an arrival time from the kernel, a request counts as received before the stall."""
     async with running_gateway() as harness:
         client = await harness.connect_client()
-        usual = await told_time(harness, client, request(1, budget=0.9))
+        undelayed_budget = await forwarded_budget(harness, client, request(1, budget=0.9))
         client.send(request(2, budget=0.9))
-        virtual_clock_loop().now += HOLD_UP
+        virtual_clock_loop().now += LOOP_STALL
         assert (await client.read_response())[0] == 200
-        told = float(harness.backends[0].requests[-1].headers["x-budget"])
-        assert usual - HOLD_UP - ARRIVAL_TOLERANCE <= told <= usual - HOLD_UP
+        received_budget = float(harness.backends[0].requests[-1].headers["x-budget"])
+        assert (
+            undelayed_budget - LOOP_STALL - ARRIVAL_TOLERANCE
+            <= received_budget
+            <= undelayed_budget - LOOP_STALL
+        )
         await asyncio.sleep(0.2)
-        assert await told_time(harness, client, request(3, budget=0.9)) == usual
+        assert await forwarded_budget(harness, client, request(3, budget=0.9)) == undelayed_budget
 
 
-@pytest.mark.usefixtures("silent_kernel")
+@pytest.mark.usefixtures("kernel_without_arrival_times")
 @pytest.mark.virtual_clock
-async def test_a_client_that_rested_after_its_accept_has_its_whole_time() -> None:
+async def test_idle_client_keeps_its_entire_budget() -> None:
     async with running_gateway() as harness:
         client = await harness.connect_client()
         await asyncio.sleep(2.0)
-        rested = await told_time(harness, client, request(1, budget=0.9))
-        assert rested == await told_time(harness, client, request(2, budget=0.9))
+        budget_after_idling = await forwarded_budget(harness, client, request(1, budget=0.9))
+        assert budget_after_idling == await forwarded_budget(harness, client, request(2, budget=0.9))
 
 
-@pytest.mark.usefixtures("silent_kernel")
+@pytest.mark.usefixtures("kernel_without_arrival_times")
 @pytest.mark.virtual_clock
-async def test_connections_that_wait_to_be_accepted_count_from_the_pause() -> None:
+async def test_unaccepted_connections_count_from_accept_pause() -> None:
     async with running_gateway() as harness:
         listener = harness.process.listener
         await asyncio.sleep(0.2)
@@ -101,8 +106,8 @@
         listener.accept_timer.cancel()  # the pause continues
         client = await harness.connect_client()
         client.send(request(1, budget=0.9))
-        await asyncio.sleep(HOLD_UP)
+        await asyncio.sleep(LOOP_STALL)
         listener.resume_accepting()
         assert (await client.read_response())[0] == 200
-        told = float(harness.backends[0].requests[-1].headers["x-budget"])
-        assert told <= 0.9 - HOLD_UP
+        received_budget = float(harness.backends[0].requests[-1].headers["x-budget"])
+        assert received_budget <= 0.9 - LOOP_STALL
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -15,7 +15,7 @@
 
 
 @pytest.fixture(autouse=True)
-def no_waits_for_late_bytes(monkeypatch: pytest.MonkeyPatch) -> None:
+def no_final_reads(monkeypatch: pytest.MonkeyPatch) -> None:
     for name in ("FINAL_READ_WINDOW", "READ_INTERVAL"):
         monkeypatch.setattr(f"quota_gateway.shutdown.{name}", 0.0)
 
@@ -44,7 +44,7 @@
     return task
 
 
-async def client_whose_backend_hangs(harness: GatewayHarness, released: asyncio.Event) -> Client:
+async def client_of_hung_backend(harness: GatewayHarness, released: asyncio.Event) -> Client:
     """Return a client whose first request is at the backend, which answers it once `released` is set."""
     harness.backends[0].script = [send_success_after(released)]
     client = await harness.connect_client()
@@ -64,7 +64,7 @@
 
 
 @pytest.mark.parametrize("deadline", [0.8, 1.5, 2.5, 3.0, 8.0])
-async def test_every_request_has_its_response_before_the_earliest_sigkill(deadline: float) -> None:
+async def test_shutdown_timeout_ends_before_sigkill(deadline: float) -> None:
     # SIGKILL follows 0.7 s after the longest deadline, which counts as 3 s at most.
     settings = high_quota_settings()
     for request_class in settings["services"]:
@@ -79,7 +79,8 @@
 
 
 @pytest.mark.parametrize("received", [20, len(request(1)) - 1])
-async def test_a_request_partly_read_when_idle_connections_close_is_served(received: int) -> None:
+async def test_partly_read_request_is_served(received: int) -> None:
+    """Its first bytes have been read when idle connections are closed."""
     # Without another request in flight, the process exited at once and reset the connection.
     async with running_gateway() as harness:
         client = await harness.connect_client()
@@ -91,10 +92,11 @@
         await assert_served_and_shut_down(client, shutdown)
 
 
-async def test_pipelined_requests_that_arrive_while_a_backend_hangs_are_all_served() -> None:
+async def test_requests_pipelined_during_shutdown_are_served() -> None:
+    """They arrive while the backend holds the response to the request before them."""
     backend_released = asyncio.Event()
     async with running_gateway() as harness:
-        client = await client_whose_backend_hangs(harness, backend_released)
+        client = await client_of_hung_backend(harness, backend_released)
         shutdown = await begin_shutdown(harness)
         client.send(request(2) + request(3)[:30])
         await until(lambda: len(harness.process.dispatcher.active_requests) >= 2)
@@ -104,11 +106,11 @@
         await assert_served_and_shut_down(client, shutdown)
 
 
-async def test_a_pipelined_request_that_is_unread_as_the_response_before_it_ends_is_served() -> None:
+async def test_unread_pipelined_request_is_served() -> None:
     """The previous response must not announce the close while a request is unread in the kernel's buffer."""
     backend_released = asyncio.Event()
     async with running_gateway() as harness:
-        client = await client_whose_backend_hangs(harness, backend_released)
+        client = await client_of_hung_backend(harness, backend_released)
         shutdown = await begin_shutdown(harness)
         (connection,) = harness.process.listener.connections
         assert connection.transport is not None
@@ -121,10 +123,11 @@
         await assert_served_and_shut_down(client, shutdown)
 
 
-async def test_a_request_whose_backend_hangs_to_the_end_is_failed_with_a_response() -> None:
+async def test_request_at_hung_backend_gets_error_response() -> None:
+    """The backend doesn't respond until the end of the shutdown."""
     async with running_gateway() as harness:
 
-        def never_respond(writer: asyncio.StreamWriter, asked: HttpMessage) -> None:
+        def never_respond(writer: asyncio.StreamWriter, received: HttpMessage) -> None:
             pass
 
         harness.backends[0].script = [never_respond]
@@ -137,7 +140,7 @@
         assert len(harness.received_requests()) == 1
 
 
-async def test_every_connection_in_the_listen_queue_is_accepted_however_many() -> None:
+async def test_all_connections_in_listen_queue_are_accepted() -> None:
     async with running_gateway(socket_limit=1024) as harness:
         listener = harness.process.listener
         assert listener.listener is not None
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -27,11 +27,11 @@
         self.attempt_start_limit: float | None = None
         self.arrived_at = 100.0
         self.is_gone = False
-        self.looks = 0
+        self.disconnect_checks = 0
         self.__dict__.update(changes)
 
     def client_disconnected(self) -> bool:
-        self.looks += 1
+        self.disconnect_checks += 1
         return self.is_gone
 
 
@@ -49,7 +49,7 @@
         ({"is_gone": True}, None, 100.005, None),  # the request arrived just now
     ],
 )
-def test_an_attempt_is_refused_for_one_reason(
+def test_attempt_is_refused_for_one_reason(
     changes: dict[str, object], send_deadline: float | None, now: float, refusal: Refusal | None
 ) -> None:
     assert attempt_refusal(RequestState(**changes), send_deadline, now) is refusal
@@ -71,7 +71,7 @@
         return self.unread
 
 
-def test_a_connection_is_closed_only_where_no_request_is_lost() -> None:
+def test_connection_is_closed_only_without_losing_requests() -> None:
     assert may_close_client(IdleConnection(), 2.0, 102.0)
     assert not may_close_client(IdleConnection(), 2.0, 101.9)
     assert not may_close_client(IdleConnection(idle=False), 2.0, 110.0)
@@ -85,14 +85,14 @@
     return {name.removeprefix(prefix): n for name, n in metrics.items() if name.startswith(prefix)}
 
 
-async def test_operators_see_each_violation(caplog: pytest.LogCaptureFixture) -> None:
+async def test_violation_is_counted_and_logged(caplog: pytest.LogCaptureFixture) -> None:
     async with running_gateway() as harness:
         assert await violations(harness) == {str(invariant): 0 for invariant in Invariant}
         client = await harness.connect_client()
         assert (await client.exchange(request(1)))[0] == 200
         released = asyncio.Event()
 
-        async def respond_later(writer: asyncio.StreamWriter, asked: object) -> None:
+        async def respond_later(writer: asyncio.StreamWriter, received: object) -> None:
             await released.wait()
 
         harness.backends[0].script = [respond_later]
@@ -105,7 +105,8 @@
         released.set()
 
 
-async def test_a_send_is_checked_apart_from_what_decides_on_it() -> None:
+async def test_send_check_is_independent_of_send_decision() -> None:
+    """The pool checks each rule again at the send itself."""
     async with sending() as (sender, _):
         pool = sender.pool
         first = sender.start()
@@ -136,7 +137,7 @@
         }
 
 
-async def test_operators_see_why_requests_were_rejected_and_how_attempts_ended() -> None:
+async def test_rejections_and_attempt_outcomes_are_counted() -> None:
     async with running_gateway() as harness:
         harness.backends[0].script = [respond_with(http_response(200))]  # without Billed-Units
         client = await harness.connect_client()
@@ -150,7 +151,7 @@
         assert metrics[f"attempts_refused.{Refusal.CLIENT_GONE}"] == 0
 
 
-async def test_the_request_log_tells_a_requests_story(caplog: pytest.LogCaptureFixture) -> None:
+async def test_request_log_has_all_events_of_request(caplog: pytest.LogCaptureFixture) -> None:
     caplog.set_level(logging.DEBUG, logger="quota_gateway.requests")
     async with running_gateway() as harness:
         client = await harness.connect_client()
@@ -164,7 +165,7 @@
         assert "endpoint=b0" in lines[1] and "outcome=success" in lines[2]
 
 
-def test_a_wrong_log_level_is_reported_in_one_line(
+def test_invalid_log_level_is_reported_in_one_line(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     monkeypatch.setenv("RELAY_LOG_LEVEL", "loud")
--- a/tests/test_request_dispatcher.py
+++ b/tests/test_request_dispatcher.py
@@ -49,7 +49,7 @@
         (abort_connection, "report", 200, 2),
     ],
 )
-async def test_non_idempotent_request_is_retried_only_if_it_was_not_executed(
+async def test_non_idempotent_request_is_retried_only_if_unexecuted(
     step: ResponseStep, request_class: str, status: int, attempts: int
 ) -> None:
     async with running_gateway(backends=2) as harness:
@@ -59,7 +59,7 @@
         assert len(harness.received_requests()) == attempts
 
 
-async def test_non_idempotent_requests_succeed_beside_a_backend_that_refuses_connections() -> None:
+async def test_non_idempotent_requests_succeed_despite_refused_connections() -> None:
     async with running_gateway(backends=2) as harness:
         await harness.backends[0].stop()
         client = await harness.connect_client()
@@ -80,7 +80,7 @@
         assert [len(backend.requests) for backend in harness.backends] == [1, 1]
 
 
-async def test_unresponsive_backend_fails_the_request_before_the_client_times_out() -> None:
+async def test_unresponsive_backend_fails_request_before_client_timeout() -> None:
     async with running_gateway() as harness:
         backend = harness.backends[0]
         backend.script = [respond_with(b"")]
@@ -94,7 +94,7 @@
 
 
 @pytest.mark.parametrize("engine_raises", [False, True], ids=["no action", "an error"])
-async def test_watchdog_fails_a_request_that_the_engine_leaves_unanswered(
+async def test_watchdog_fails_unanswered_request(
     engine_raises: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     def handle(self: PolicyEngine, event: Event, now: float) -> list[Action]:
@@ -109,9 +109,11 @@
         assert status == 504 and not harness.process.dispatcher.active_requests
 
 
-async def test_second_final_response_and_an_attempt_after_it_are_ignored(
+async def test_actions_after_final_response_are_ignored(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
+    """The actions are a second final response and an attempt."""
+
     def handle(self: PolicyEngine, event: Event, now: float) -> list[Action]:
         if isinstance(event, RequestReceived):
             return [
@@ -130,7 +132,7 @@
 
 
 @pytest.mark.parametrize("allowed", [True, False])
-async def test_rejected_requests_get_a_retry_after_only_where_it_is_allowed(allowed: bool) -> None:
+async def test_rejection_has_retry_after_only_if_allowed(allowed: bool) -> None:
     settings = high_quota_settings(retry_after=allowed)
     settings["packages"][0].update(peak_units=16.0, units_per_s=0.001)
     async with running_gateway(settings=settings) as harness:
@@ -141,7 +143,7 @@
         assert ("retry-after" in headers) == allowed
 
 
-async def test_units_of_a_customer_with_a_small_quota_are_added_at_the_counter() -> None:
+async def test_small_quota_units_are_added_at_counter() -> None:
     settings = high_quota_settings()
     settings["packages"][0].update(peak_units=8.0, units_per_s=2.0)
     settings["domain"]["count_limit"] = 5000.0
--- a/tests/test_response_order.py
+++ b/tests/test_response_order.py
@@ -13,12 +13,12 @@
 LONG_BODY = b"y" * (2 * MAX_BUFFERED_BYTES)
 
 
-async def test_a_streamed_response_is_framed_by_the_version_of_its_own_request() -> None:
+async def test_streamed_response_uses_http_version_of_request() -> None:
     released = asyncio.Event()
 
-    async def stream(writer: asyncio.StreamWriter, asked: HttpMessage) -> None:
-        if not asked.headers["x-call-id"].endswith("1"):
-            send_success(writer, asked)
+    async def answer(writer: asyncio.StreamWriter, received: HttpMessage) -> None:
+        if not received.headers["x-call-id"].endswith("1"):
+            send_success(writer, received)
             return
         await released.wait()
         size = b"%x\r\n" % len(LONG_BODY)
@@ -27,7 +27,7 @@
 
     async with running_gateway() as harness:
         backend = harness.backends[0]
-        backend.script = [stream, stream]
+        backend.script = [answer, answer]
         client = await harness.connect_client()
         client.send(request(1) + request(2).replace(b"HTTP/1.1", b"HTTP/1.0"))
         await backend.wait_until(lambda: len(backend.requests) == 2)
@@ -38,7 +38,7 @@
         assert (await client.read_response()).status == 200
 
 
-async def test_requests_of_a_lost_connection_are_all_ended_while_the_gateway_drains(
+async def test_lost_connection_ends_pipelined_requests_while_draining(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     """Ending one request answers the next one in the queue, whose connection is lost too."""
