--- a/tests/test_connection_faults.py
+++ b/tests/test_connection_faults.py
@@ -1,4 +1,4 @@
-"""Faults of connections, each forced: closes, floods, incomplete responses, late connections."""
+"""Forced connection faults: closes, floods, incomplete responses and late connects."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 from tests.virtual_clock import virtual_clock_loop, virtual_unix_clock
 
 CONNECT_TIMEOUT = 0.25  # seconds
-CONNECT_TIMES = [0.05, 0.2, 0.3, 1.0, 1.5]  # seconds, on both sides of the timeout
+CONNECT_TIMES = [0.05, 0.2, 0.3, 1.0, 1.5]  # seconds, below and above the timeout
 
 
 def transports_by_peer(harness: GatewayHarness) -> dict[str, list[Any]]:
-    """Return the gateway's own transports by the kind of their peer."""
+    """Return the gateway's transports by the type of peer."""
     process = harness.process
     counter = process.dispatcher.counter
     assert counter is not None
@@ -34,7 +34,7 @@
 
 
 async def test_every_socket_sets_tcp_nodelay() -> None:
-    # with Nagle's algorithm, bytes that the kernel delays are lost in a reset
+    # With Nagle's algorithm, data that the kernel delays is lost in a reset.
     async with running_gateway() as harness:
         client, operator = await harness.connect_client(), await harness.connect_admin()
         assert (await client.exchange(request(1)))[0] == 200
@@ -58,7 +58,7 @@
 
     async def reset_after(writer: asyncio.StreamWriter, count: int) -> None:
         writer.write(text[:count])
-        await asyncio.sleep(0.002)  # until it has been read: a reset discards what is unread
+        await asyncio.sleep(0.002)  # until it has been read: a reset discards unread data
         sock = writer.get_extra_info("socket")
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         writer.transport.abort()
@@ -83,7 +83,7 @@
         in_time = connect_time < CONNECT_TIMEOUT
         client = await harness.connect_client()
         status, _, _ = await client.exchange(request(1, "extract"))
-        assert status == (200 if in_time else 429)  # never forwarded: a retry is safe
+        assert status == (200 if in_time else 429)  # not forwarded, so a retry is safe
         await asyncio.sleep(3.0)
         assert len(harness.received_requests()) == (1 if in_time else 0)
         assert in_time or not harness.process.pool.connections
@@ -91,7 +91,7 @@
 
 @pytest.mark.parametrize("how", ["idle", "drain", "stop"])
 async def test_request_that_crosses_a_close_is_not_forwarded(how: str) -> None:
-    # its client retries it: forwarded as well, it would run twice
+    # The client retries such a request: if it was forwarded as well, it would be executed twice.
     async with running_gateway() as harness:
         client, listener = await harness.connect_client(), harness.process.listener
         assert (await client.exchange(request(1)))[0] == 200
@@ -106,7 +106,7 @@
         client.send(request(2))
         try:
             assert await client.wait_closed()
-        except ConnectionResetError:  # with no response unread that the reset could discard
+        except ConnectionResetError:  # the reset discards no unread response
             assert how == "idle"
         await asyncio.sleep(0.02)
         assert len(harness.received_requests()) == 1 and harness.process.dispatcher.submitted_count == 1
@@ -126,7 +126,7 @@
 
 
 async def test_reset_flood_of_invalid_requests_leaves_other_clients_served() -> None:
-    """Clients send two megabytes of invalid requests at once, and reset."""
+    """Clients send two megabytes of invalid requests each, and reset their connections."""
     flood = request(1, omit_header="Plan") * 8000
     async with running_gateway() as harness:
         clients = [await harness.connect_client() for _ in range(20)]
@@ -154,7 +154,7 @@
 
 
 async def test_complete_response_is_delivered_though_its_client_keeps_sending() -> None:
-    """Bytes that are unread when a connection closes reset it, and the response would be lost."""
+    """Closing a connection with unread data resets it, and the response would be lost."""
     async with running_gateway() as harness:
         client = await harness.connect_client()
         text = request(1, Connection="close")
--- a/tests/test_connection_pool.py
+++ b/tests/test_connection_pool.py
@@ -1,4 +1,4 @@
-"""The connection pool over loopback: connects, reuse, idle timeout, limit, and changes of endpoints."""
+"""The connection pool over loopback: connects, reuse, idle timeouts, the limit, and endpoint changes."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @pytest.mark.parametrize("cause", ["draining", "removed", "ended", "timed out"])
 async def test_attempt_that_ends_while_connecting_is_not_sent_afterwards(cause: str) -> None:
-    # A drain's grace period and a request's end pass during the connect: no byte may follow them.
+    # A drain's grace period or the request itself can end during the connect: nothing may be sent afterwards.
     async with connecting_forever() as sender:
         started = sender.start(0.05 if cause == "timed out" else 20.0)
         await asyncio.sleep(0)
@@ -43,7 +43,7 @@
 async def test_connect_that_completes_after_the_send_deadline_sends_nothing(
     send_timeout: float, outcome: Outcome
 ) -> None:
-    # Endpoints drop duplicates of a request only for some time: the decision was in time, the send is not.
+    # Endpoints detect duplicates only for some time: the attempt was started in time, but is sent too late.
     async with sending() as (sender, endpoint):
         pool = sender.pool
         clock = pool.clock
@@ -78,8 +78,8 @@
 
 
 async def test_endpoint_that_timed_out_or_restarted_gets_new_connections() -> None:
-    # A machine that is cut off leaves its connections open and silent. What is sent on a pooled one may have
-    # been executed; a connect that fails proves the opposite.
+    # A machine that loses its network leaves its connections open and silent. A request sent on a pooled
+    # connection may have been executed; a failed connect proves that it was not.
     success = respond_with(http_response(200))
     no_response = respond_with(b"")
     async with sending(no_response, no_response, success, success, success) as (sender, peer):
@@ -115,7 +115,7 @@
 
 
 async def test_connection_to_a_former_address_is_not_reused() -> None:
-    # A response that came after the change put its connection back under the same endpoint id.
+    # A response after the change of address returned its connection to the pool under the same endpoint id.
     released = asyncio.Event()
 
     async def respond_when_released(writer: asyncio.StreamWriter, request: HttpMessage) -> None:
@@ -137,7 +137,7 @@
 
 
 async def test_stale_connections_shorten_the_idle_timeout() -> None:
-    # Each costs the request that is sent on it, which may have been executed.
+    # Each stale connection fails the request that is sent on it, which may have been executed.
     now = 0.0
     script = (respond_with(http_response(200)), abort_connection)
     async with sending(*script, keepalive=60.0) as (sender, endpoint):
@@ -146,7 +146,7 @@
         now = 5.0
         assert await sender.outcome() is Outcome.BROKEN_RESPONSE and endpoint.connection_count == 1
         assert await sender.outcome() is Outcome.SUCCESS and endpoint.connection_count == 2
-        now = 9.0  # idle for less time than the stale connection was, but over the new timeout
+        now = 9.0  # idle for less time than the stale connection, but longer than the new timeout
         assert await sender.outcome() is Outcome.SUCCESS and endpoint.connection_count == 3
         now = 11.0
         before = sender.pool.idle_timeout.seconds
--- a/tests/test_upstream_connections.py
+++ b/tests/test_upstream_connections.py
@@ -1,4 +1,4 @@
-"""Outcomes of attempts over loopback: what proves that a request was not executed, and what doesn't."""
+"""Outcomes of attempts over loopback, and which of them prove that a request was not executed."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 async def test_response_determines_the_outcome(response: bytes, outcome: Outcome) -> None:
     async with sending(respond_with(response)) as (sender, endpoint):
         assert await sender.outcome() is outcome
-        assert await sender.outcome() is Outcome.SUCCESS  # no response affects the next attempt
+        assert await sender.outcome() is Outcome.SUCCESS  # the response does not affect the next attempt
         assert len(endpoint.requests) == 2
 
 
@@ -56,7 +56,8 @@
     ],
 )
 async def test_response_split_at_every_byte_is_parsed(response: bytes, outcome: Outcome) -> None:
-    # Split behind it, trailing whitespace was taken for a part of the value, and the response for malformed.
+    # If a read ended after trailing whitespace, that was parsed as a part of the value, and the response was
+    # rejected as malformed.
     async with sending(lambda writer, request: None) as (sender, endpoint):
         started = sender.start()
         await endpoint.wait_until(lambda: len(endpoint.requests) == 1)
@@ -97,7 +98,7 @@
 
 
 async def test_incompletely_written_request_proves_that_nothing_was_executed() -> None:
-    # The kernel takes a part of a large body; the remainder is still in the gateway at the abort.
+    # The kernel accepts a part of a large body; the rest is still in the gateway when the connection ends.
     async def read_a_little(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readexactly(10)
         await asyncio.sleep(0)
@@ -133,8 +134,8 @@
 async def test_bytes_behind_a_response_affect_neither_it_nor_the_next(
     surplus: bytes, in_same_read: bool
 ) -> None:
-    # A second response in the same read was added to the first one's body and replaced its status and units;
-    # one that came later was taken for the response to the next request on the connection.
+    # A second response in the same read was appended to the body of the first one and replaced its status and
+    # units; a later one was taken for the response to the next request on the connection.
     async def respond_with_surplus(writer: asyncio.StreamWriter, request: HttpMessage) -> None:
         writer.write(http_response(200, b"mine", "Billed-Units: 2") + (surplus if in_same_read else b""))
         if not in_same_read:
@@ -151,7 +152,7 @@
         assert (result.outcome, result.body, result.units) == (Outcome.SUCCESS, b"mine", 2.0)
         await asyncio.sleep(2 * MIN_IDLE_BEFORE_REUSE)
         assert (await sender.result()).body == b"next"
-        assert endpoint.connection_count == 2  # the first one isn't reused
+        assert endpoint.connection_count == 2  # the first connection isn't reused
 
 
 async def test_unread_bytes_on_an_idle_connection_are_seen_before_it_is_reused() -> None:
@@ -164,7 +165,7 @@
         os.write(endpoint_socket.fileno(), http_response(200, b"late"))
         assert upstream.transport is not None
         upstream_socket = upstream.transport.get_extra_info("socket")
-        select.select([upstream_socket], [], [], EVENT_TIMEOUT)  # arrived, with no turn for the loop yet
+        select.select([upstream_socket], [], [], EVENT_TIMEOUT)  # arrived, but not yet seen by the loop
         assert upstream.has_unread_input()
 
 
@@ -189,7 +190,7 @@
         assert await sender.outcome() is Outcome.SUCCESS and endpoint.connection_count == 1
 
 
-# Responses that can't become complete, and are seen to be invalid without any timeout.
+# Responses that are recognized as invalid without a timeout.
 INVALID_RESPONSES = [
     b"HTTP/1.1 200 OK\r\n" + b"X-Pad: pppppppppppppppppppp\r\n" * (MAX_HEAD_BYTES // 20),
     b"HTTP/1.1 100 Continue\r\n\r\n" * (MAX_HEAD_BYTES // 20),
@@ -198,7 +199,7 @@
     b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\nabc",
     b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + b"1;%b\r\na\r\n" % (b"x" * 200) * 1200,
 ]
-# Responses that stop in the middle.
+# Valid beginnings of responses, after which no more data follows.
 STALLED_RESPONSES = [
     b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc",
     b"HTTP/1.1 200 OK\r\nContent-Le",
@@ -213,7 +214,7 @@
 async def test_invalid_response_ends_the_attempt_long_before_its_deadline(
     response: bytes, read_timeout: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # The attempt waited for each of these until its deadline, and the request failed with it.
+    # The attempt waited until its deadline for each of these responses, and then the request failed.
     monkeypatch.setattr(connection, "READ_TIMEOUT", read_timeout)
     async with sending(respond_with(response)) as (sender, endpoint):
         assert await sender.outcome(1000.0) is Outcome.BROKEN_RESPONSE
@@ -222,7 +223,7 @@
 
 @pytest.mark.parametrize(("attempt_timeout", "read_timeout"), [(1.0, 0.2), (0.25, 0.05), (1000.0, 0.5)])
 async def test_read_timeout_leaves_time_for_a_retry(attempt_timeout: float, read_timeout: float) -> None:
-    # Half a second was longer than an attempt with a short deadline: it timed out without a retry.
+    # With a fixed read timeout of half a second, attempts with a short deadline timed out without a retry.
     incomplete = b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc"
     async with sending(respond_with(incomplete)) as (sender, _):
         loop = ManualTimerLoop(sender.pool.loop)
@@ -235,7 +236,7 @@
 
 
 class FullTransport(asyncio.Transport):
-    """Records what is written; its buffer is full after each write until the test says otherwise."""
+    """Records what is written, and has a full buffer after each write until the test resumes writing."""
 
     def __init__(self, connection: connection.UpstreamConnection) -> None:
         super().__init__()
--- a/tests/upstream_harness.py
+++ b/tests/upstream_harness.py
@@ -17,14 +17,14 @@
 
 ENDPOINT_ID = "b"
 REQUEST_BODY = b"ab"
-ATTEMPT_TIMEOUT = 5.0  # seconds; no test comes near it
+ATTEMPT_TIMEOUT = 5.0  # seconds; long enough that no test reaches it
 CONNECT_TIMEOUT = 0.25  # seconds
 KEEPALIVE_TIMEOUT = 60.0  # seconds
 MAX_CONNECTIONS = 10
 
 
 class RecordingOwner:
-    """An attempt's owner, which keeps the result for the test."""
+    """Owns an attempt and provides its result as a future."""
 
     answered = False
     attempt_start_limit: float | None = None
@@ -42,7 +42,7 @@
 
 
 class StartedAttempt(NamedTuple):
-    """An attempt under way, and its result to come."""
+    """An attempt and the future of its result."""
 
     attempt: UpstreamAttempt
     result: asyncio.Future[AttemptResult]
@@ -54,7 +54,7 @@
     timeout: float = ATTEMPT_TIMEOUT,
     body: bytes = REQUEST_BODY,
 ) -> StartedAttempt:
-    """Return an attempt that isn't started yet; `timeout` is in seconds."""
+    """Return an attempt that has not been started; `timeout` is in seconds."""
     owner = RecordingOwner()
     now = pool.clock()
     head = b"POST /api HTTP/1.1\r\nX-Call-Id: 1\r\nContent-Length: %d\r\n" % len(body)
@@ -63,7 +63,7 @@
 
 
 class AttemptSender:
-    """Starts attempts on a pool."""
+    """Starts attempts on a connection pool."""
 
     def __init__(self, pool: ConnectionPool) -> None:
         self.pool = pool
@@ -81,14 +81,14 @@
 
 
 class ManualTimer(NamedTuple):
-    """A timer that a test fires itself."""
+    """A timer that fires only when a test calls `fire`; `delay` is in seconds."""
 
     delay: float
     fire: Callable[[], None]
 
 
 class ManualTimerLoop:
-    """The running loop, except that its timers never fire by themselves."""
+    """Wraps the running event loop, so that its timers fire only when a test fires them."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.create_task = loop.create_task
@@ -105,7 +105,7 @@
         return self.loop.call_later(1e6, callback, *arguments)  # a handle that can be cancelled
 
     async def timer(self, callback_name: str) -> ManualTimer:
-        """Return the callback's timer, waiting until there is one."""
+        """Wait until a timer is set for the callback, and return it."""
         while callback_name not in self.timers:
             self.timer_added.clear()
             await self.timer_added.wait()
@@ -116,7 +116,7 @@
 async def sending(
     *script: ResponseStep, keepalive: float = KEEPALIVE_TIMEOUT
 ) -> AsyncIterator[tuple[AttemptSender, FakeBackend]]:
-    """Run an endpoint that follows `script`, and a pool that knows it."""
+    """Run an endpoint that follows `script`, and a pool with its address; `keepalive` is in seconds."""
     endpoint = FakeBackend()
     await endpoint.start()
     endpoint.script = list(script)
@@ -129,7 +129,7 @@
 
 @asynccontextmanager
 async def connecting_forever() -> AsyncIterator[AttemptSender]:
-    """Run a pool whose connects aren't completed: the endpoint's accept queue is full."""
+    """Run a pool whose connects don't complete, because the endpoint's accept queue is full."""
     with socket.socket() as listener, socket.socket() as filler:
         listener.bind((HOST, 0))
         listener.listen(0)
@@ -146,7 +146,7 @@
 
 
 def respond_with(text: bytes, close: bool = False) -> ResponseStep:
-    """Write `text`, and close the connection on demand."""
+    """Return a step that writes `text`, and then closes the connection if `close` is set."""
 
     def step(writer: asyncio.StreamWriter, request: HttpMessage) -> None:
         writer.write(text)
