--- a/tests/test_connection_faults.py
+++ b/tests/test_connection_faults.py
@@ -52,9 +52,9 @@
         operator.writer.close()
 
 
-@pytest.mark.parametrize("closes", [True, False])
-async def test_reset_response_without_a_length_is_incomplete(closes: bool) -> None:
-    text = b"HTTP/1.1 200 OK\r\n" + b"Connection: close\r\n" * closes + b"\r\nserved by this one"
+@pytest.mark.parametrize("has_close_header", [True, False])
+async def test_reset_response_without_a_length_is_incomplete(has_close_header: bool) -> None:
+    text = b"HTTP/1.1 200 OK\r\n" + b"Connection: close\r\n" * has_close_header + b"\r\nserved by this one"
 
     async def reset_after(writer: asyncio.StreamWriter, count: int) -> None:
         writer.write(text[:count])
@@ -65,13 +65,13 @@
 
     async with sending() as (sender, peer):
         for count in range(len(text) + 1):
-            peer.script = [lambda writer, asked, count=count: reset_after(writer, count)]  # type: ignore[misc]
+            peer.script = [lambda writer, received, count=count: reset_after(writer, count)]  # type: ignore[misc]
             assert await sender.outcome() is Outcome.BROKEN_RESPONSE, count
 
 
 @pytest.mark.parametrize("connect_time", CONNECT_TIMES)
 @pytest.mark.virtual_clock
-async def test_connection_established_after_the_connect_timeout_is_not_used(
+async def test_connection_after_connect_timeout_is_not_used(
     connect_time: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("quota_gateway.gateway_process.start_clock", virtual_unix_clock)
@@ -89,16 +89,16 @@
         assert in_time or not harness.process.pool.connections
 
 
-@pytest.mark.parametrize("how", ["idle", "drain", "stop"])
-async def test_request_that_crosses_a_close_is_not_forwarded(how: str) -> None:
+@pytest.mark.parametrize("close_reason", ["idle", "drain", "stop"])
+async def test_request_that_crosses_a_close_is_not_forwarded(close_reason: str) -> None:
     # The client retries such a request: if it was forwarded as well, it would be executed twice.
     async with running_gateway() as harness:
         client, listener = await harness.connect_client(), harness.process.listener
         assert (await client.exchange(request(1)))[0] == 200
         (connection,) = listener.connections
-        if how == "idle":
+        if close_reason == "idle":
             connection.drop()
-        elif how == "drain":
+        elif close_reason == "drain":
             connection.end()
         else:
             listener.stopping = True
@@ -107,12 +107,12 @@
         try:
             assert await client.wait_closed()
         except ConnectionResetError:  # the reset discards no unread response
-            assert how == "idle"
+            assert close_reason == "idle"
         await asyncio.sleep(0.02)
         assert len(harness.received_requests()) == 1 and harness.process.dispatcher.submitted_count == 1
 
 
-async def test_partial_response_line_on_a_closing_idle_connection_is_discarded() -> None:
+async def test_partial_response_on_idle_connection_is_discarded() -> None:
     async with running_gateway() as harness:
         client = await harness.connect_client()
         assert (await client.exchange(request(1)))[0] == 200
@@ -125,7 +125,7 @@
         assert harness.backends[0].connection_count == 2
 
 
-async def test_reset_flood_of_invalid_requests_leaves_other_clients_served() -> None:
+async def test_reset_flood_does_not_affect_other_clients() -> None:
     """Clients send two megabytes of invalid requests each, and reset their connections."""
     flood = request(1, omit_header="Plan") * 8000
     async with running_gateway() as harness:
@@ -144,7 +144,7 @@
         assert len(harness.received_requests()) == 21 and harness.process.dispatcher.submitted_count == 21
 
 
-async def test_flood_of_invalid_requests_gets_a_few_responses_per_connection() -> None:
+async def test_invalid_request_flood_gets_few_responses() -> None:
     async with running_gateway() as harness:
         client = await harness.connect_client()
         client.send(request(1, omit_header="Plan") * 8000)
@@ -153,7 +153,7 @@
         assert await client.wait_closed()
 
 
-async def test_complete_response_is_delivered_though_its_client_keeps_sending() -> None:
+async def test_response_reaches_client_that_keeps_sending() -> None:
     """Closing a connection with unread data resets it, and the response would be lost."""
     async with running_gateway() as harness:
         client = await harness.connect_client()
--- a/tests/test_connection_pool.py
+++ b/tests/test_connection_pool.py
@@ -20,7 +20,7 @@
 
 
 @pytest.mark.parametrize("cause", ["draining", "removed", "ended", "timed out"])
-async def test_attempt_that_ends_while_connecting_is_not_sent_afterwards(cause: str) -> None:
+async def test_attempt_that_ends_while_connecting_is_not_sent(cause: str) -> None:
     # A drain's grace period or the request itself can end during the connect: nothing may be sent afterwards.
     async with connecting_forever() as sender:
         started = sender.start(0.05 if cause == "timed out" else 20.0)
@@ -40,9 +40,7 @@
 
 
 @pytest.mark.parametrize(("send_timeout", "outcome"), [(1.0, Outcome.CONNECT_FAILED), (3.0, Outcome.SUCCESS)])
-async def test_connect_that_completes_after_the_send_deadline_sends_nothing(
-    send_timeout: float, outcome: Outcome
-) -> None:
+async def test_connect_after_send_deadline_sends_nothing(send_timeout: float, outcome: Outcome) -> None:
     # Endpoints detect duplicates only for some time: the attempt was started in time, but is sent too late.
     async with sending() as (sender, endpoint):
         pool = sender.pool
@@ -63,7 +61,7 @@
         assert await sender.outcome() is Outcome.CONNECT_FAILED
 
 
-async def test_idle_connections_are_closed_well_before_the_endpoint_closes_them() -> None:
+async def test_idle_connections_are_closed_before_keepalive_ends() -> None:
     now = 0.0
     async with sending(keepalive=10.0) as (sender, endpoint):
         sender.pool.clock = lambda: now
@@ -77,7 +75,8 @@
         await endpoint.wait_until(lambda: endpoint.closed_count == 2)
 
 
-async def test_endpoint_that_timed_out_or_restarted_gets_new_connections() -> None:
+async def test_failed_endpoint_gets_new_connections() -> None:
+    """The endpoint has timed out or was restarted."""
     # A machine that loses its network leaves its connections open and silent. A request sent on a pooled
     # connection may have been executed; a failed connect proves that it was not.
     success = respond_with(http_response(200))
@@ -98,7 +97,7 @@
         assert await sender.outcome() is Outcome.SUCCESS and peer.connection_count == 5
 
 
-async def test_connections_are_limited_and_idle_ones_closed_for_new_ones() -> None:
+async def test_idle_connections_are_closed_at_connection_limit() -> None:
     no_response = respond_with(b"")
     async with sending(no_response, no_response) as (sender, endpoint):
         sender.pool.max_connections = 2
@@ -114,7 +113,7 @@
         await endpoint.wait_until(lambda: endpoint.closed_count >= 2)
 
 
-async def test_connection_to_a_former_address_is_not_reused() -> None:
+async def test_connection_to_former_address_is_not_reused() -> None:
     # A response after the change of address returned its connection to the pool under the same endpoint id.
     released = asyncio.Event()
 
@@ -149,6 +148,6 @@
         now = 9.0  # idle for less time than the stale connection, but longer than the new timeout
         assert await sender.outcome() is Outcome.SUCCESS and endpoint.connection_count == 3
         now = 11.0
-        before = sender.pool.idle_timeout.seconds
+        timeout_before = sender.pool.idle_timeout.seconds
         assert await sender.outcome() is Outcome.SUCCESS and endpoint.connection_count == 3
-        assert before < sender.pool.idle_timeout.seconds < 30.0  # a live connection raises it again
+        assert timeout_before < sender.pool.idle_timeout.seconds < 30.0  # a live connection raises it again
--- a/tests/test_upstream_connections.py
+++ b/tests/test_upstream_connections.py
@@ -76,14 +76,14 @@
         respond_with(b"HTTP/1.1 200 OK\r\n\r\nab", close=True),
     ],
 )
-async def test_attempt_whose_connection_is_lost_after_the_write_may_have_been_executed(
-    step: ResponseStep,
-) -> None:
+async def test_connection_loss_after_write_is_broken_response(step: ResponseStep) -> None:
+    """The request may have been executed."""
     async with sending(step) as (sender, _):
         assert await sender.outcome() is Outcome.BROKEN_RESPONSE
 
 
-async def test_attempt_on_a_stale_pooled_connection_may_have_been_executed() -> None:
+async def test_stale_pooled_connection_is_broken_response() -> None:
+    """The request may have been executed."""
     async with sending(respond_with(http_response(200)), abort_connection) as (sender, endpoint):
         assert await sender.outcome() is Outcome.SUCCESS
         await asyncio.sleep(2 * MIN_IDLE_BEFORE_REUSE)
@@ -91,13 +91,13 @@
         assert len(endpoint.requests) == 2 and endpoint.connection_count == 1
 
 
-async def test_refused_connection_proves_that_nothing_was_executed() -> None:
+async def test_refused_connection_proves_non_execution() -> None:
     async with sending() as (sender, endpoint):
         await endpoint.stop()
         assert await sender.outcome() is Outcome.CONNECT_FAILED
 
 
-async def test_incompletely_written_request_proves_that_nothing_was_executed() -> None:
+async def test_partly_written_request_proves_non_execution() -> None:
     # The kernel accepts a part of a large body; the rest is still in the gateway when the connection ends.
     async def read_a_little(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readexactly(10)
@@ -131,9 +131,7 @@
     "surplus", [OTHER_RESPONSE, http_response(200, b"mine", "Billed-Units: 2"), b"\x00noise\r\n\r\n"]
 )
 @pytest.mark.parametrize("in_same_read", [True, False])
-async def test_bytes_behind_a_response_affect_neither_it_nor_the_next(
-    surplus: bytes, in_same_read: bool
-) -> None:
+async def test_surplus_bytes_affect_no_response(surplus: bytes, in_same_read: bool) -> None:
     # A second response in the same read was appended to the body of the first one and replaced its status and
     # units; a later one was taken for the response to the next request on the connection.
     async def respond_with_surplus(writer: asyncio.StreamWriter, request: HttpMessage) -> None:
@@ -155,7 +153,7 @@
         assert endpoint.connection_count == 2  # the first connection isn't reused
 
 
-async def test_unread_bytes_on_an_idle_connection_are_seen_before_it_is_reused() -> None:
+async def test_unread_bytes_on_idle_connection_are_detected() -> None:
     async with sending(respond_with(http_response(200, b"mine"))) as (sender, endpoint):
         await sender.outcome()
         await asyncio.sleep(2 * MIN_IDLE_BEFORE_REUSE)
@@ -211,7 +209,7 @@
     [(response, 1000.0) for response in INVALID_RESPONSES]
     + [(response, connection.READ_TIMEOUT) for response in STALLED_RESPONSES],
 )
-async def test_invalid_response_ends_the_attempt_long_before_its_deadline(
+async def test_invalid_response_ends_attempt_before_deadline(
     response: bytes, read_timeout: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # The attempt waited until its deadline for each of these responses, and then the request failed.
@@ -248,7 +246,7 @@
         self.connection.pause_writing()
 
 
-async def test_the_end_of_a_chunked_body_is_written_once_however_full_the_send_buffer_is() -> None:
+async def test_last_chunk_is_written_once_under_backpressure() -> None:
     async with sending() as (sender, _):
         (endpoint,) = sender.pool.endpoints.values()
         upstream = connection.UpstreamConnection(sender.pool, endpoint)
