--- a/tests/test_counter_client.py
+++ b/tests/test_counter_client.py
@@ -1,4 +1,4 @@
-"""The counter client: pipelining, timeouts, stalled connections, and the outcomes of calls that fail."""
+"""The counter client: pipelining, timeouts, stalled connections, and the outcomes of failed calls."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class ReplyRecorder:
-    """Queues the client's replies, and has the clock that the test advances."""
+    """Queues the client's replies, and holds the time in seconds, which the test advances."""
 
     def __init__(self) -> None:
         self.queue: asyncio.Queue[CounterReply] = asyncio.Queue()
@@ -43,7 +43,7 @@
 
 async def until(condition: Callable[[], object]) -> None:
     async with asyncio.timeout(EVENT_TIMEOUT):
-        while not condition():  # noqa: ASYNC110  # the fake server has no event for these conditions
+        while not condition():  # noqa: ASYNC110 (no event marks these conditions)
             await asyncio.sleep(0.001)
 
 
@@ -58,7 +58,7 @@
 
 
 async def test_a_late_reply_is_matched_to_its_own_call() -> None:
-    # without its place in the order its total would be taken for the next call's
+    # Replies are matched in order: if the call was dropped, its total would be taken for that of the next.
     async with connected_client(0.02) as (client, replies, server):
         server.replies_enabled.clear()
         client.add("c1.7", 40.0, 4.0)
@@ -134,7 +134,7 @@
 
 
 async def test_an_idle_connection_is_replaced() -> None:
-    # the counter closes idle connections without notice: a call sent at that moment may or may not be added
+    # The counter closes idle connections without notice: a call sent at that moment may or may not be added.
     async with connected_client() as (client, replies, server):
         client.add("c1.7", 1.0, 4.0)
         await replies.next()
@@ -174,7 +174,7 @@
     ],
 )
 async def test_a_malformed_reply_times_out_all_calls_and_closes_the_connection(reply: bytes) -> None:
-    # later replies may belong to other calls; nan once passed for a total and corrupted a quota level
+    # Later replies may belong to other calls. A total of nan was once accepted and corrupted a quota level.
     async with connected_client() as (client, replies, server):
         server.scripted_replies = [reply]
         client.add("c1.7", 3.0, 4.0)
@@ -198,7 +198,7 @@
         server.replies_enabled.set()
         assert await replies.next() == ("c1.7", Outcome.SUCCESS, 3.0)
         assert server.increments == [("c1.7", 3.0)] and new_server.increments == [("c1.7", 4.0)]
-        # the former connection is closed when its last call has its reply
+        # The former connection is closed after the reply to its last call.
         await until(lambda: not client.closing and not server.open_writers)
         await new_server.stop()
 
@@ -235,11 +235,11 @@
 @pytest.mark.parametrize(
     ("delays", "outcomes"),
     [
-        # distant: the first call times out, its late reply gives the latency, and later calls wait for it
+        # Distant counter: the first call times out, and its late reply lengthens the timeout of later calls.
         ([0.05, 0.06, 0.15, 0.05], ["timed out", "success", "success", "success"]),
-        # close, and one call is queued there: it times out as configured
+        # Nearby counter that queues one call, which times out as configured.
         ([0.002, 0.06, 0.002, 0.025], ["success", "timed out", "success", "success"]),
-        # distant, and one call is queued there
+        # Distant counter that queues one call.
         ([0.05, 0.3, 0.06], ["timed out", "timed out", "success"]),
     ],
 )
@@ -247,7 +247,7 @@
 async def test_the_reply_timeout_follows_the_latency_of_the_counter(
     delays: list[float], outcomes: list[str]
 ) -> None:
-    # with a fixed timeout of 30 ms, 45% of the calls to a counter 21 to 95 ms away timed out
+    # With a fixed timeout of 30 ms, 45% of the calls to a counter with a latency of 21 to 95 ms timed out.
     server, replies = DelayedCounter(*delays), asyncio.Queue[CounterReply]()
     await server.start()
     client = CounterClient(
@@ -259,6 +259,6 @@
         assert (await replies.get()).outcome.value == outcome
         await asyncio.sleep(0.4)  # a late reply has arrived by then
     client.move(parse_address(server.address))
-    assert client.reply_timeout == 0.03  # the latency of the new address is unknown
+    assert client.reply_timeout == 0.03  # the latency at the new address is unknown
     client.close()
     await server.stop()
--- a/tests/test_descriptor_exhaustion.py
+++ b/tests/test_descriptor_exhaustion.py
@@ -15,13 +15,13 @@
 from tests.test_gateway_process import process
 
 DESCRIPTOR_LIMITS = [256, 1024]
-POLL_INTERVAL = 0.02  # seconds between looks at another process, which sends no event
-RECONNECT_DELAY = 0.05  # seconds
-CONNECTIONS_SETTLE_TIME = 0.3  # seconds in which the idle clients have connected as far as they can
+POLL_INTERVAL = 0.02  # seconds between checks of the gateway process, which signals no events
+RECONNECT_DELAY = 0.05  # seconds until a closed idle client connects again
+CONNECTIONS_SETTLE_TIME = 0.3  # seconds until no further idle client can connect
 
 
 class IdleClients:
-    """Clients that connect, send nothing, and connect again when they are closed."""
+    """Clients that connect, send nothing, and connect again when the gateway closes their connection."""
 
     def __init__(self, gateway: GatewayHarness, count: int) -> None:
         self.gateway = gateway
@@ -53,7 +53,7 @@
 
 async def wait_for_open_descriptors(child: Process, minimum: int) -> int:
     async with asyncio.timeout(EVENT_TIMEOUT):
-        while open_descriptors(child) < minimum:  # noqa: ASYNC110 - another process sets no event
+        while open_descriptors(child) < minimum:  # noqa: ASYNC110 (another process sets no event)
             await asyncio.sleep(POLL_INTERVAL)
     return open_descriptors(child)
 
@@ -73,7 +73,10 @@
 
 
 async def request_status(gateway: GatewayHarness, number: int) -> int:
-    """Return the status of a new client's request; a full gateway may close connections unread at first."""
+    """Return the status of a new client's request.
+
+    A gateway at capacity may close the first connections without reading them.
+    """
     async with asyncio.timeout(EVENT_TIMEOUT):
         while True:
             client = await gateway.connect_client()
@@ -86,7 +89,7 @@
 
 
 async def assert_endpoint_change_arrives(gateway: GatewayHarness, number: int) -> int:
-    """Have the second backend replace the first; return the number of the last request that was sent."""
+    """Replace the first backend by the second; return the number of the last request that was sent."""
     first, second = gateway.backends
     discovery = gateway.discovery
     second.script = [respond_without_billed_units] * 1000
@@ -100,10 +103,10 @@
 
 
 async def assert_counter_is_called(gateway: GatewayHarness, number: int) -> None:
-    """Send requests near their customer's quota, which are counted.
+    """Send requests that come near their customer's quota, until the counter is called.
 
-    A connection that rests for over 0.1 s may be closed for others, as clients wait for descriptors. A
-    request that crosses this close is sent once more on a new one, as the protocol has it.
+    While clients wait for descriptors, a connection that was idle for over 0.1 s may be closed for them. A
+    request that crosses this close is followed by one on a new connection, as the protocol specifies.
     """
     client = await gateway.connect_client()
     assert (await client.exchange(READY_REQUEST))[0] == 200
@@ -131,7 +134,7 @@
 async def test_gateway_recovers_while_idle_clients_use_up_its_descriptors(
     limit: int, is_limit_lowered: bool, tmp_path: pathlib.Path
 ) -> None:
-    """With `is_limit_lowered` the limit is set to what is open, so that no descriptor is left at all."""
+    """With `is_limit_lowered`, the limit is lowered to the number of open descriptors: none is left."""
     async with process(tmp_path, descriptors=limit, console=True) as (gateway, child):
         await stop_discovery_and_counter(gateway)
         clients = IdleClients(gateway, limit + 100)
@@ -141,14 +144,14 @@
             open_count = open_descriptors(child)
             resource.prlimit(child.pid, resource.RLIMIT_NOFILE, (open_count, open_count))
         assert open_count <= limit
-        # A new client and a new upstream connection are served, and so is the admin API.
+        # A new client is served over a new upstream connection, and the admin API responds.
         assert await request_status(gateway, 1) == 200
         status, text = await gateway.call_admin("GET", "/stats")
         assert status == 200 and "svc.success.lookup=" in text
         await restart_discovery_and_counter(gateway)
         number = await assert_endpoint_change_arrives(gateway, 1)
         await assert_counter_is_called(gateway, number)
-        assert (await gateway.metrics())["violations"] == 0  # no connection was closed on a request
+        assert (await gateway.metrics())["violations"] == 0  # no connection with a request was closed
         assert child.returncode is None
         await clients.stop()
         await assert_clean_exit(child)
--- a/tests/test_momentary_errors.py
+++ b/tests/test_momentary_errors.py
@@ -1,7 +1,7 @@
-"""System calls that fail for a moment (ENFILE, ENOBUFS, ENOMEM): nobody's connection is closed for it.
+"""Transient failures of system calls (ENFILE, ENOBUFS, ENOMEM) close no client connection.
 
-The gateway is a real process with a preloaded library that has some of its calls fail. It is far from its own
-limit of descriptors.
+The gateway runs in a process of its own, with a preloaded library that makes some of its calls fail. It stays
+far below its own limit of descriptors.
 """
 
 from __future__ import annotations
@@ -20,34 +20,34 @@
 from tests.harness import GatewayHarness, request, running_gateway
 from tests.test_gateway_process import process
 
-KEPT_CLIENTS = 12  # that keep their connection
-NEW_CLIENTS = 12  # that connect anew for each request
-PLAY_TIME = 1.5  # seconds
-FAILURE_RATE = 0.15  # of the calls
-BUDGET = 1.0  # seconds that a client waits
-MAX_LATENESS = 0.5  # seconds after that time until which an answer is not lost
-KEPT_INTERVAL = 0.15  # seconds between the requests on a kept connection, which rests meanwhile
-NEW_INTERVAL = 0.02  # seconds between the requests of a client that connects anew
+KEPT_CLIENTS = 12  # clients that keep their connection
+NEW_CLIENTS = 12  # clients that open a new connection for each request
+PLAY_TIME = 1.5  # seconds for which the clients send requests
+FAILURE_RATE = 0.15  # share of the system calls that fail
+BUDGET = 1.0  # seconds that a client waits for a response
+MAX_LATENESS = 0.5  # seconds after the budget within which a response must still come
+KEPT_INTERVAL = 0.15  # seconds between requests on a kept connection, which is idle in between
+NEW_INTERVAL = 0.02  # seconds between requests of a client that opens new connections
 
 
 def respond_and_close(writer: asyncio.StreamWriter, asked: HttpMessage) -> None:
-    """Answer, and have each request need a connection of its own."""
+    """Respond and close the connection, so that each request needs a new one."""
     writer.write(http_response(200, b"", "Connection: close"))
     writer.close()
 
 
 @dataclass
 class Play:
-    """Clients of one gateway, and how their requests ended."""
+    """Clients of one gateway that send requests concurrently, and the outcomes of these requests."""
 
     harness: GatewayHarness
     number: int = 0
     statuses: list[int] = field(default_factory=list)
-    latest: float = 0.0  # seconds from a request to its answer
-    closed_connections: int = 0  # without an answer
+    latest: float = 0.0  # longest time in seconds from a request to its response
+    closed_connections: int = 0  # connections closed without a response
 
     async def ask(self, client_number: int, keeps_connection: bool) -> None:
-        """Send requests until the play ends."""
+        """Send requests of one client for PLAY_TIME seconds."""
         ends_at = time.monotonic() + PLAY_TIME
         client = await self.harness.connect_client()
         while time.monotonic() < ends_at:
@@ -67,7 +67,7 @@
         client.writer.close()
 
     async def run(self) -> None:
-        """Play all clients at once."""
+        """Run all clients concurrently."""
         clients = KEPT_CLIENTS + NEW_CLIENTS
         await asyncio.gather(*(self.ask(number, number < KEPT_CLIENTS) for number in range(clients)))
 
@@ -116,7 +116,7 @@
 
 
 class FailingEpoll:
-    """An epoll set that the kernel can add no descriptor to."""
+    """An epoll object to which the kernel can add no descriptor."""
 
     def register(self, descriptor: int, events: int) -> None:
         raise OSError(errno.ENOMEM, "no memory")
@@ -133,7 +133,7 @@
         epoll = monitor.epoll
         monitor.epoll = FailingEpoll()  # type: ignore[assignment]
         client = await harness.connect_client()
-        count = 6 * MAX_PIPELINED_REQUESTS  # more than are parsed at a time
+        count = 6 * MAX_PIPELINED_REQUESTS  # more than are parsed at once
         client.send(b"".join(request(number) for number in range(count)))
         statuses = [(await client.read_response())[0] for _ in range(count)]
         monitor.epoll = epoll
