--- a/tests/test_counter_client.py
+++ b/tests/test_counter_client.py
@@ -47,7 +47,7 @@
             await asyncio.sleep(0.001)
 
 
-async def test_calls_are_pipelined_and_replied_to_in_order() -> None:
+async def test_calls_are_pipelined_and_answered_in_order() -> None:
     async with connected_client() as (client, replies, server):
         server.replies_enabled.clear()
         for amount in (1.5, 2.0, -0.5):
@@ -57,7 +57,7 @@
         assert server.connection_count == 1
 
 
-async def test_a_late_reply_is_matched_to_its_own_call() -> None:
+async def test_late_reply_is_matched_to_its_call() -> None:
     # Replies are matched in order: if the call was dropped, its total would be taken for that of the next.
     async with connected_client(0.02) as (client, replies, server):
         server.replies_enabled.clear()
@@ -70,7 +70,7 @@
         assert replies.queue.empty() and server.connection_count == 1
 
 
-async def test_a_stalled_connection_is_replaced_for_later_calls() -> None:
+async def test_stalled_connection_is_replaced_for_later_calls() -> None:
     async with connected_client(0.02) as (client, replies, server):
         server.replies_enabled.clear()
         client.add("c1.7", 1.0, 4.0)
@@ -94,7 +94,7 @@
         (b"rubbish\r\n", Outcome.TIMED_OUT),
     ],
 )
-async def test_error_and_unknown_replies_have_their_outcome(reply: bytes, outcome: Outcome) -> None:
+async def test_error_and_unknown_replies_determine_outcome(reply: bytes, outcome: Outcome) -> None:
     async with connected_client() as (client, replies, server):
         server.scripted_replies = [reply]
         client.add("c1.7", 1.0, 4.0)
@@ -103,7 +103,8 @@
         assert await replies.next() == ("c1.7", Outcome.SUCCESS, 2.0)
 
 
-async def test_a_written_call_on_a_connection_that_breaks_times_out_as_it_may_have_been_added() -> None:
+async def test_written_call_times_out_on_connection_loss() -> None:
+    """The call may have been added."""
     async with connected_client() as (client, replies, server):
         server.replies_enabled.clear()
         client.add("c1.7", 1.0, 4.0)
@@ -113,14 +114,14 @@
         assert (await replies.next())[1] is Outcome.TIMED_OUT
 
 
-async def test_a_call_without_a_connection_fails_as_not_added() -> None:
+async def test_call_without_connection_counts_as_not_added() -> None:
     async with connected_client() as (client, replies, server):
         await server.stop()
         client.add("c1.7", 1.0, 4.0)
         assert (await replies.next())[1] is Outcome.CONNECT_FAILED
 
 
-async def test_a_call_that_times_out_while_connecting_is_never_written() -> None:
+async def test_call_timed_out_while_connecting_is_not_written() -> None:
     async with connected_client() as (client, replies, server):
         client.timeout = 0.0
         client.add("c1.7", 1.0, 4.0)
@@ -133,7 +134,7 @@
         assert server.increments == [("c1.7", 2.0)]
 
 
-async def test_an_idle_connection_is_replaced() -> None:
+async def test_idle_connection_is_replaced() -> None:
     # The counter closes idle connections without notice: a call sent at that moment may or may not be added.
     async with connected_client() as (client, replies, server):
         client.add("c1.7", 1.0, 4.0)
@@ -143,7 +144,7 @@
         assert (await replies.next())[2] == 2.0 and server.connection_count == 2
 
 
-async def test_a_call_is_encoded_as_a_resp_command() -> None:
+async def test_call_is_encoded_as_resp_command() -> None:
     received: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
 
     async def read_command(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -173,7 +174,8 @@
         b"$3\r\n1_0\r\n",
     ],
 )
-async def test_a_malformed_reply_times_out_all_calls_and_closes_the_connection(reply: bytes) -> None:
+async def test_malformed_reply_times_out_all_calls(reply: bytes) -> None:
+    """The connection is closed as well."""
     # Later replies may belong to other calls. A total of nan was once accepted and corrupted a quota level.
     async with connected_client() as (client, replies, server):
         server.scripted_replies = [reply]
@@ -185,7 +187,8 @@
         assert await replies.next() == ("c1.8", Outcome.SUCCESS, 5.0) and server.connection_count == 2
 
 
-async def test_after_a_move_new_calls_go_to_the_new_address_and_earlier_calls_still_complete() -> None:
+async def test_move_redirects_new_calls_only() -> None:
+    """Calls that were sent to the old address still complete."""
     async with connected_client() as (client, replies, server):
         new_server = FakeCounter()
         await new_server.start()
@@ -244,9 +247,7 @@
     ],
 )
 @pytest.mark.virtual_clock
-async def test_the_reply_timeout_follows_the_latency_of_the_counter(
-    delays: list[float], outcomes: list[str]
-) -> None:
+async def test_reply_timeout_follows_counter_latency(delays: list[float], outcomes: list[str]) -> None:
     # With a fixed timeout of 30 ms, 45% of the calls to a counter with a latency of 21 to 95 ms timed out.
     server, replies = DelayedCounter(*delays), asyncio.Queue[CounterReply]()
     await server.start()
--- a/tests/test_descriptor_exhaustion.py
+++ b/tests/test_descriptor_exhaustion.py
@@ -131,7 +131,7 @@
 
 @pytest.mark.parametrize("is_limit_lowered", [False, True])
 @pytest.mark.parametrize("limit", DESCRIPTOR_LIMITS)
-async def test_gateway_recovers_while_idle_clients_use_up_its_descriptors(
+async def test_gateway_recovers_while_descriptors_are_exhausted(
     limit: int, is_limit_lowered: bool, tmp_path: pathlib.Path
 ) -> None:
     """With `is_limit_lowered`, the limit is lowered to the number of open descriptors: none is left."""
