--- a/tests/test_arrival_bound.py
+++ b/tests/test_arrival_bound.py
@@ -1,4 +1,4 @@
-"""Bounds on when input arrived that is read late, if the kernel does not report its arrival."""
+"""Bounds on the arrival time of input that is read late, if the kernel does not report it."""
 
 from __future__ import annotations
 
--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -257,7 +257,7 @@
     [(b"", 0), (b"\r\n" * 5, 0), (request(1)[:40], 408), (request(1, "extract")[:-3], 408)],
 )
 async def test_incomplete_request_times_out_within_three_seconds(sent: bytes, status: int) -> None:
-    """A request that has begun gets status 408; a connection without one is closed."""
+    """A partial request gets status 408; a connection without a request is closed."""
     async with running_gateway() as harness:
         listener, now = harness.process.listener, harness.process.listener.clock()
         listener.clock = lambda: now
@@ -308,7 +308,7 @@
 
 
 async def test_repeated_invalid_requests_close_the_connection() -> None:
-    """Reading pauses after the first one."""
+    """Reading pauses after a rejection, and MAX_INVALID_REQUESTS of them close the connection."""
     # An invalid request costs as much as a valid one, and a client may repeat it as soon as it is rejected.
     async with running_gateway() as harness:
         client = await harness.connect_client()
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -1,4 +1,4 @@
-"""Violations of invariants, reasons of rejections, and the request log, as operators see them."""
+"""Violations of invariants, reasons for rejections, and the request log, as operators see them."""
 
 from __future__ import annotations
 
--- a/tests/test_slow_readers.py
+++ b/tests/test_slow_readers.py
@@ -88,7 +88,7 @@
 def test_unread_response_timer_restarts_on_each_read() -> None:
     timer = UnreadResponseTimer()
     assert not timer.has_expired(100.0, 500)  # the first unread byte starts the timer
-    assert not timer.has_expired(100.0 + UNREAD_RESPONSE_TIMEOUT, 900)  # a new response is no restart
+    assert not timer.has_expired(100.0 + UNREAD_RESPONSE_TIMEOUT, 900)  # a further response is no progress
     assert timer.has_expired(100.1 + UNREAD_RESPONSE_TIMEOUT, 900)
     assert not timer.has_expired(100.2 + UNREAD_RESPONSE_TIMEOUT, 899)
     timer.stop()
--- a/tests/upstream_harness.py
+++ b/tests/upstream_harness.py
@@ -94,7 +94,7 @@
         self.create_task = loop.create_task
         self.create_connection = loop.create_connection
         self.loop = loop
-        self.timers: dict[str, ManualTimer] = {}  # by the name of the callback
+        self.timers: dict[str, ManualTimer] = {}  # the latest timer of each callback, by its name
         self.timer_added = asyncio.Event()
 
     def call_later(
--- a/tests/virtual_clock.py
+++ b/tests/virtual_clock.py
@@ -18,7 +18,7 @@
 SHORT_POLL = 0.0002
 LONG_POLL = 0.002
 LONG_STEP = 0.05  # seconds of the virtual clock; steps of this length or more are long
-POLL_WITHOUT_TIMER = 0.01  # for a loop without timers
+POLL_WITHOUT_TIMER = 0.01  # used while the loop has no timer
 
 ReadyKeys = list[tuple[selectors.SelectorKey, int]]
 
