--- a/tests/test_connection_faults.py
+++ b/tests/test_connection_faults.py
@@ -12,7 +12,7 @@
 from quota_gateway.downstream.request_handler import MAX_INVALID_REQUESTS
 from quota_gateway.model.outcomes import Outcome
 from tests.harness import GatewayHarness, high_quota_settings, request, running_gateway
-from tests.upstream_harness import sending
+from tests.upstream_harness import running_pool
 from tests.virtual_clock import virtual_clock_loop, virtual_unix_clock
 
 CONNECT_TIMEOUT = 0.25  # seconds
@@ -63,7 +63,7 @@
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         writer.transport.abort()
 
-    async with sending() as (sender, peer):
+    async with running_pool() as (sender, peer):
         for count in range(len(text) + 1):
             peer.script = [lambda writer, received, count=count: reset_after(writer, count)]  # type: ignore[misc]
             assert await sender.outcome() is Outcome.BROKEN_RESPONSE, count
--- a/tests/test_connection_pool.py
+++ b/tests/test_connection_pool.py
@@ -12,17 +12,17 @@
 from tests.upstream_harness import (
     abort_connection,
     address_of,
-    connecting_forever,
     new_attempt,
+    pool_without_connects,
     respond_with,
-    sending,
+    running_pool,
 )
 
 
 @pytest.mark.parametrize("cause", ["draining", "removed", "ended", "timed out"])
 async def test_attempt_that_ends_while_connecting_is_not_sent(cause: str) -> None:
     # A drain's grace period or the request itself can end during the connect: nothing may be sent afterwards.
-    async with connecting_forever() as sender:
+    async with pool_without_connects() as sender:
         started = sender.start(0.05 if cause == "timed out" else 20.0)
         await asyncio.sleep(0)
         assert sender.pool.connecting
@@ -42,7 +42,7 @@
 @pytest.mark.parametrize(("send_timeout", "outcome"), [(1.0, Outcome.CONNECT_FAILED), (3.0, Outcome.SUCCESS)])
 async def test_connect_after_send_deadline_sends_nothing(send_timeout: float, outcome: Outcome) -> None:
     # Endpoints detect duplicates only for some time: the attempt was started in time, but is sent too late.
-    async with sending() as (sender, endpoint):
+    async with running_pool() as (sender, endpoint):
         pool = sender.pool
         clock = pool.clock
         connect_time = 0.0
@@ -56,14 +56,14 @@
 
 
 async def test_connect_times_out() -> None:
-    async with connecting_forever() as sender:
+    async with pool_without_connects() as sender:
         sender.pool.connect_timeout = 0.05
         assert await sender.outcome() is Outcome.CONNECT_FAILED
 
 
 async def test_idle_connections_are_closed_before_keepalive_ends() -> None:
     now = 0.0
-    async with sending(keepalive=10.0) as (sender, endpoint):
+    async with running_pool(keepalive=10.0) as (sender, endpoint):
         sender.pool.clock = lambda: now
         assert await sender.outcome() is Outcome.SUCCESS
         now = 4.9
@@ -81,7 +81,7 @@
     # connection may have been executed; a failed connect proves that it was not.
     success = respond_with(http_response(200))
     no_response = respond_with(b"")
-    async with sending(no_response, no_response, success, success, success) as (sender, peer):
+    async with running_pool(no_response, no_response, success, success, success) as (sender, peer):
         first = sender.start()
         await peer.wait_until(lambda: len(peer.requests) == 1)
         second = sender.start()
@@ -99,7 +99,7 @@
 
 async def test_idle_connections_are_closed_at_connection_limit() -> None:
     no_response = respond_with(b"")
-    async with sending(no_response, no_response) as (sender, endpoint):
+    async with running_pool(no_response, no_response) as (sender, endpoint):
         sender.pool.max_connections = 2
         first = sender.start()
         sender.start()
@@ -121,7 +121,7 @@
         await released.wait()
         writer.write(http_response(200, b"old"))
 
-    async with sending(respond_when_released) as (sender, former):
+    async with running_pool(respond_when_released) as (sender, former):
         successor = FakeBackend()
         await successor.start()
         successor.script = [respond_with(http_response(200, b"new"))]
@@ -139,7 +139,7 @@
     # Each stale connection fails the request that is sent on it, which may have been executed.
     now = 0.0
     script = (respond_with(http_response(200)), abort_connection)
-    async with sending(*script, keepalive=60.0) as (sender, endpoint):
+    async with running_pool(*script, keepalive=60.0) as (sender, endpoint):
         sender.pool.clock = lambda: now
         assert await sender.outcome() is Outcome.SUCCESS
         now = 5.0
--- a/tests/test_descriptor_exhaustion.py
+++ b/tests/test_descriptor_exhaustion.py
@@ -43,7 +43,7 @@
         await asyncio.gather(*self.tasks, return_exceptions=True)
 
 
-def respond_without_billed_units(writer: asyncio.StreamWriter, request: HttpMessage) -> None:
+def respond_without_billed_units(writer: asyncio.StreamWriter, received: HttpMessage) -> None:
     writer.write(http_response(200))
 
 
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -15,7 +15,7 @@
 from quota_gateway.policy.permissions import Refusal, attempt_refusal, may_close_client
 from tests.fakes import http_response
 from tests.harness import GatewayHarness, request, running_gateway
-from tests.upstream_harness import new_attempt, respond_with, sending
+from tests.upstream_harness import new_attempt, respond_with, running_pool
 
 
 class RequestState:
@@ -107,7 +107,7 @@
 
 async def test_send_check_is_independent_of_send_decision() -> None:
     """The pool checks each rule again at the send itself."""
-    async with sending() as (sender, _):
+    async with running_pool() as (sender, _):
         pool = sender.pool
         first = sender.start()
         assert (await first.result).outcome is Outcome.SUCCESS
--- a/tests/test_momentary_errors.py
+++ b/tests/test_momentary_errors.py
@@ -41,7 +41,7 @@
     """Clients of one gateway that send requests concurrently, and the outcomes of these requests."""
 
     harness: GatewayHarness
-    number: int = 0
+    request_count: int = 0
     statuses: list[int] = field(default_factory=list)
     max_response_time: float = 0.0  # longest time in seconds from a request to its response
     closed_connections: int = 0  # connections closed without a response
@@ -51,9 +51,9 @@
         ends_at = time.monotonic() + LOAD_DURATION
         client = await self.harness.connect_client()
         while time.monotonic() < ends_at:
-            self.number += 1
+            self.request_count += 1
             started_at = time.monotonic()
-            text = request(self.number, budget=BUDGET, customer=f"{client_number:016x}")
+            text = request(self.request_count, budget=BUDGET, customer=f"{client_number:016x}")
             try:
                 self.statuses.append((await client.exchange(text))[0])
             except (OSError, asyncio.IncompleteReadError):
--- a/tests/test_no_attempt_after_disconnect.py
+++ b/tests/test_no_attempt_after_disconnect.py
@@ -117,7 +117,7 @@
 
 
 @asynccontextmanager
-async def recording(backends: int, settings: dict[str, Any]) -> AsyncIterator[GatewayHarness]:
+async def recording_gateway(backends: int, settings: dict[str, Any]) -> AsyncIterator[GatewayHarness]:
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr("tests.harness.FakeBackend", RecordingBackend)
         async with running_gateway(backends, with_long_timeouts(settings)) as harness:
@@ -128,7 +128,7 @@
     return int(backend.address.rpartition(":")[2])
 
 
-def answer_after(
+def fail_after(
     event: asyncio.Event, state: str
 ) -> Callable[[asyncio.StreamWriter, HttpMessage], Awaitable[None]]:
     """Return a step that rejects the request or aborts the connection when the event is set."""
@@ -146,10 +146,10 @@
 async def wait_for_counter(harness: GatewayHarness, client: Client, state: str) -> Callable[[], None]:
     """Send requests that wait for the counter; in state "paused", enough of them to pause reading."""
     harness.counter.replies_enabled.clear()
-    number = {"counter": 1, "pipelined": 2, "paused": 8 * MAX_PIPELINED_REQUESTS}[state]
-    client.send(b"".join(request(n) for n in range(number)))
+    count = {"counter": 1, "pipelined": 2, "paused": 8 * MAX_PIPELINED_REQUESTS}[state]
+    client.send(b"".join(request(n) for n in range(count)))
     active_requests = harness.process.dispatcher.active_requests
-    await until(lambda: len(active_requests) >= min(number, MAX_PIPELINED_REQUESTS))
+    await until(lambda: len(active_requests) >= min(count, MAX_PIPELINED_REQUESTS))
     if state == "paused":
         await until(lambda: any(c.read_paused for c in harness.process.listener.connections))
     return harness.counter.replies_enabled.set
@@ -189,7 +189,7 @@
     """Send a request whose first attempt fails at the release; if "reconnecting", its retry connects."""
     event = asyncio.Event()
     for backend in harness.backends:
-        backend.script = [answer_after(event, state)]
+        backend.script = [fail_after(event, state)]
     client.send(request(9))
     await until(lambda: any(b.requests for b in harness.backends))
     if state == "reconnecting":
@@ -207,7 +207,7 @@
     disconnects right after this yields, so that the time counts from the disconnect.
     """
     uses_counter = state in ("counter", "queued", "pipelined", "paused")
-    async with recording(2, example_settings() if uses_counter else high_quota_settings()) as harness:
+    async with recording_gateway(2, example_settings() if uses_counter else high_quota_settings()) as harness:
         client = await harness.connect_client()
         release: Callable[[], None] = asyncio.Event().set  # no effect: the connect completes by itself
         match state:
@@ -300,7 +300,9 @@
     monkeypatch.setattr(RequestDispatcher, "handle", handle_slowly)
     monkeypatch.setattr(HalfClose, "begin", begin_slowly)
     loop = virtual_clock_loop()
-    async with recording(2, example_settings() if state == "counter" else high_quota_settings()) as harness:
+    async with recording_gateway(
+        2, example_settings() if state == "counter" else high_quota_settings()
+    ) as harness:
         dispatcher = harness.process.dispatcher
         clients = [await harness.connect_client() for _ in range(BURST_SIZE)]
         harness.counter.replies_enabled.clear()
@@ -311,7 +313,7 @@
         for number, client in enumerate(clients):
             client.send(request(number, customer=f"{number:016x}"))
         await until(lambda: len(dispatcher.active_requests) >= 0.6 * BURST_SIZE)
-        waiting, disconnected_at, busy = len(dispatcher.active_requests), loop.now, True
+        waiting_count, disconnected_at, busy = len(dispatcher.active_requests), loop.now, True
         for client in clients:
             disconnect(client, disconnect_kind)
         if state == "counter":
@@ -320,8 +322,8 @@
         busy = False
         delays = [t - disconnected_at for t in attempt_starts(harness)]
         print(
-            f"burst, {state}, {disconnect_kind}: {waiting} requests waited, the last disconnect was detected "
-            f"after {max(detected_at, default=disconnected_at) - disconnected_at:.3f} s, "
+            f"burst, {state}, {disconnect_kind}: {waiting_count} requests waited, the last disconnect was "
+            f"detected after {max(detected_at, default=disconnected_at) - disconnected_at:.3f} s, "
             f"latest attempt {max(delays, default=-1.0):.3f} s after it"
         )
         assert max(delays, default=0.0) <= MAX_START_DELAY
--- a/tests/test_upstream_connections.py
+++ b/tests/test_upstream_connections.py
@@ -15,7 +15,7 @@
 from quota_gateway.upstream.endpoint_connections import MIN_IDLE_BEFORE_REUSE
 from quota_gateway.upstream.response_parser import MAX_HEAD_BYTES
 from tests.fakes import EVENT_TIMEOUT, HOST, HttpMessage, ResponseStep, http_response
-from tests.upstream_harness import ManualTimerLoop, abort_connection, new_attempt, respond_with, sending
+from tests.upstream_harness import ManualTimerLoop, abort_connection, new_attempt, respond_with, running_pool
 
 
 @pytest.mark.parametrize(
@@ -38,7 +38,7 @@
     ],
 )
 async def test_response_determines_the_outcome(response: bytes, outcome: Outcome) -> None:
-    async with sending(respond_with(response)) as (sender, endpoint):
+    async with running_pool(respond_with(response)) as (sender, endpoint):
         assert await sender.outcome() is outcome
         assert await sender.outcome() is Outcome.SUCCESS  # the response does not affect the next attempt
         assert len(endpoint.requests) == 2
@@ -58,7 +58,7 @@
 async def test_response_split_at_every_byte_is_parsed(response: bytes, outcome: Outcome) -> None:
     # If a read ended after trailing whitespace, that was parsed as a part of the value, and the response was
     # rejected as malformed.
-    async with sending(lambda writer, request: None) as (sender, endpoint):
+    async with running_pool(lambda writer, request: None) as (sender, endpoint):
         started = sender.start()
         await endpoint.wait_until(lambda: len(endpoint.requests) == 1)
         (upstream,) = sender.pool.connections
@@ -78,13 +78,13 @@
 )
 async def test_connection_loss_after_write_is_broken_response(step: ResponseStep) -> None:
     """The request may have been executed."""
-    async with sending(step) as (sender, _):
+    async with running_pool(step) as (sender, _):
         assert await sender.outcome() is Outcome.BROKEN_RESPONSE
 
 
 async def test_stale_pooled_connection_is_broken_response() -> None:
     """The request may have been executed."""
-    async with sending(respond_with(http_response(200)), abort_connection) as (sender, endpoint):
+    async with running_pool(respond_with(http_response(200)), abort_connection) as (sender, endpoint):
         assert await sender.outcome() is Outcome.SUCCESS
         await asyncio.sleep(2 * MIN_IDLE_BEFORE_REUSE)
         assert await sender.outcome() is Outcome.BROKEN_RESPONSE
@@ -92,7 +92,7 @@
 
 
 async def test_refused_connection_proves_non_execution() -> None:
-    async with sending() as (sender, endpoint):
+    async with running_pool() as (sender, endpoint):
         await endpoint.stop()
         assert await sender.outcome() is Outcome.CONNECT_FAILED
 
@@ -105,7 +105,7 @@
         writer.transport.abort()
 
     server = await asyncio.start_server(read_a_little, HOST, 0, limit=16)
-    async with sending() as (sender, _):
+    async with running_pool() as (sender, _):
         sender.pool.set_address("b", server.sockets[0].getsockname())
         started = sender.start(body=b"x" * 30_000_000)
         assert (await started.result).outcome is Outcome.CONNECT_FAILED
@@ -114,7 +114,7 @@
 
 async def test_timeout_and_cancellation_close_the_connection() -> None:
     no_response = respond_with(b"")
-    async with sending(no_response, no_response) as (sender, endpoint):
+    async with running_pool(no_response, no_response) as (sender, endpoint):
         assert await sender.outcome(0.05) is Outcome.TIMED_OUT
         started = sender.start()
         await endpoint.wait_until(lambda: len(endpoint.requests) == 2)
@@ -141,7 +141,7 @@
             await started.result
             writer.write(surplus)
 
-    async with sending(respond_with_surplus, respond_with(http_response(200, b"next"))) as (
+    async with running_pool(respond_with_surplus, respond_with(http_response(200, b"next"))) as (
         sender,
         endpoint,
     ):
@@ -154,7 +154,7 @@
 
 
 async def test_unread_bytes_on_idle_connection_are_detected() -> None:
-    async with sending(respond_with(http_response(200, b"mine"))) as (sender, endpoint):
+    async with running_pool(respond_with(http_response(200, b"mine"))) as (sender, endpoint):
         await sender.outcome()
         await asyncio.sleep(2 * MIN_IDLE_BEFORE_REUSE)
         (upstream,) = sender.pool.connections
@@ -178,7 +178,7 @@
 @pytest.mark.parametrize("status", [200, 503])
 async def test_interim_responses_are_ignored(interim: bytes, status: int) -> None:
     responses = (respond_with(interim + http_response(status, b"real")), respond_with(http_response(200)))
-    async with sending(*responses) as (sender, endpoint):
+    async with running_pool(*responses) as (sender, endpoint):
         result = await sender.result()
         if status == 200:
             assert result == AttemptResult(Outcome.SUCCESS, b"real", 0.0, b"")
@@ -214,7 +214,7 @@
 ) -> None:
     # The attempt waited until its deadline for each of these responses, and then the request failed.
     monkeypatch.setattr(connection, "READ_TIMEOUT", read_timeout)
-    async with sending(respond_with(response)) as (sender, endpoint):
+    async with running_pool(respond_with(response)) as (sender, endpoint):
         assert await sender.outcome(1000.0) is Outcome.BROKEN_RESPONSE
         await endpoint.wait_until(lambda: endpoint.closed_count == 1)
 
@@ -223,7 +223,7 @@
 async def test_read_timeout_leaves_time_for_a_retry(attempt_timeout: float, read_timeout: float) -> None:
     # With a fixed read timeout of half a second, attempts with a short deadline timed out without a retry.
     incomplete = b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc"
-    async with sending(respond_with(incomplete)) as (sender, _):
+    async with running_pool(respond_with(incomplete)) as (sender, _):
         loop = ManualTimerLoop(sender.pool.loop)
         sender.pool.loop = loop  # type: ignore[assignment]
         started = sender.start(attempt_timeout)
@@ -247,7 +247,7 @@
 
 
 async def test_last_chunk_is_written_once_under_backpressure() -> None:
-    async with sending() as (sender, _):
+    async with running_pool() as (sender, _):
         (endpoint,) = sender.pool.endpoints.values()
         upstream = connection.UpstreamConnection(sender.pool, endpoint)
         transport = FullTransport(upstream)
--- a/tests/upstream_harness.py
+++ b/tests/upstream_harness.py
@@ -113,7 +113,7 @@
 
 
 @asynccontextmanager
-async def sending(
+async def running_pool(
     *script: ResponseStep, keepalive: float = KEEPALIVE_TIMEOUT
 ) -> AsyncIterator[tuple[AttemptSender, FakeBackend]]:
     """Run an endpoint that follows `script`, and a pool with its address; `keepalive` is in seconds."""
@@ -128,7 +128,7 @@
 
 
 @asynccontextmanager
-async def connecting_forever() -> AsyncIterator[AttemptSender]:
+async def pool_without_connects() -> AsyncIterator[AttemptSender]:
     """Run a pool whose connects don't complete, because the endpoint's accept queue is full."""
     with socket.socket() as listener, socket.socket() as filler:
         listener.bind((HOST, 0))
