--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -13,12 +13,7 @@
 from quota_gateway.downstream.request_reader import MAX_HEAD_SIZE
 from quota_gateway.upstream.endpoint_connections import MIN_IDLE_BEFORE_REUSE
 from tests.fakes import EVENT_TIMEOUT, HttpMessage, http_response, send_success, send_success_after
-from tests.harness import (
-    READY_REQUEST,
-    high_quota_settings,
-    request,
-    running_gateway,
-)
+from tests.harness import READY_REQUEST, high_quota_settings, request, running_gateway
 from tests.virtual_clock import virtual_clock_loop, virtual_unix_clock
 
 
@@ -27,8 +22,10 @@
         client = await harness.connect_client()
         status, _, body = await client.exchange(request(0xABC, "report", body=b"Vestergade 1"))
         assert (status, body) == (200, b"served 0000000000000abc")
-        first, headers, sent = harness.received_requests()[0]
-        assert first == "POST /api?client=00000000000000c1 HTTP/1.1" and sent == b"Vestergade 1"
+        start_line, headers, forwarded_body = harness.received_requests()[0]
+        assert (
+            start_line == "POST /api?client=00000000000000c1 HTTP/1.1" and forwarded_body == b"Vestergade 1"
+        )
         assert headers["idempotency-key"] == f"key{0xabc:029x}"
         assert 0 < float(headers["x-budget"]) <= 5.0
 
@@ -361,9 +358,7 @@
 
 
 @pytest.mark.virtual_clock
-async def test_stalled_body_after_slow_head_times_out(
-    monkeypatch: pytest.MonkeyPatch,
-) -> None:
+async def test_stalled_body_after_slow_head_times_out(monkeypatch: pytest.MonkeyPatch) -> None:
     """The error comes within three seconds of the connect."""
     monkeypatch.setattr("quota_gateway.gateway_process.start_clock", virtual_unix_clock)
     async with running_gateway() as harness:
--- a/tests/test_no_attempt_after_disconnect.py
+++ b/tests/test_no_attempt_after_disconnect.py
@@ -234,16 +234,16 @@
 
     async def test() -> None:
         for release_delay in RELEASE_DELAYS:
-            async with waiting_request(state, release_delay) as case:
+            async with waiting_request(state, release_delay) as waiting:
                 disconnected_at = virtual_clock_loop().now
-                disconnect(case.client, disconnect_kind)
+                disconnect(waiting.client, disconnect_kind)
                 await asyncio.sleep(release_delay)
-                case.release()
+                waiting.release()
                 await asyncio.sleep(3.0)
-                delays.extend(t - disconnected_at for t in attempt_starts(case.harness))
-                dispatcher = case.harness.process.dispatcher
+                delays.extend(t - disconnected_at for t in attempt_starts(waiting.harness))
+                dispatcher = waiting.harness.process.dispatcher
                 assert not dispatcher.engine.forwarder.requests and not dispatcher.active_requests
-                assert not case.harness.process.pool.connecting
+                assert not waiting.harness.process.pool.connecting
                 for limiter in dispatcher.engine.limiters.limiters.values():
                     assert limiter.queued_units == 0 and not limiter.queue and not limiter.in_flight
             virtual_clock_loop().connect_delays = {}
@@ -259,18 +259,18 @@
 @pytest.mark.virtual_clock
 async def test_disconnected_clients_units_are_refunded_once(disconnect_kind: str) -> None:
     for state in ("counter", "connecting"):
-        async with waiting_request(state, 0.2) as case:
-            (limiter,) = case.harness.process.dispatcher.engine.limiters.limiters.values()
+        async with waiting_request(state, 0.2) as waiting:
+            (limiter,) = waiting.harness.process.dispatcher.engine.limiters.limiters.values()
             limiter.rate = 0.0  # no refill
             balance_before = limiter.balance + (1.0 if state == "connecting" else limiter.queued_units)
-            disconnect(case.client, disconnect_kind)
+            disconnect(waiting.client, disconnect_kind)
             await asyncio.sleep(0.15)
-            case.release()
+            waiting.release()
             await asyncio.sleep(1.0)
             limiter.rate = 0.0
             if state == "connecting":
                 assert limiter.balance == pytest.approx(balance_before)
-            reported = sum(amount for _, amount in case.harness.counter.increments)
+            reported = sum(amount for _, amount in waiting.harness.counter.increments)
             assert reported + limiter.unreported_units == pytest.approx(0.0)
         virtual_clock_loop().connect_delays = {}
 
