--- a/tests/test_body_streaming.py
+++ b/tests/test_body_streaming.py
@@ -190,7 +190,7 @@
         assert metrics["success.extract"] == 1 and metrics["dispatches"] == 2
 
 
-async def test_chunked_request_body_is_forwarded_chunked() -> None:
+async def test_chunked_request_body_is_forwarded() -> None:
     async with running_gateway() as harness:
         client = await harness.connect_client()
         head = request(1, "extract", omit_header="Content-Length", body=b"", Transfer_Encoding="chunked")
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -78,17 +78,17 @@
     process.pool.close()
 
 
-@pytest.mark.parametrize("received", [20, len(request(1)) - 1])
-async def test_partly_read_request_is_served(received: int) -> None:
+@pytest.mark.parametrize("received_bytes", [20, len(request(1)) - 1])
+async def test_partly_read_request_is_served(received_bytes: int) -> None:
     """Its first bytes have been read when idle connections are closed."""
     # Without another request in flight, the process exited at once and reset the connection.
     async with running_gateway() as harness:
         client = await harness.connect_client()
-        client.send(request(1)[:received])
+        client.send(request(1)[:received_bytes])
         connections = harness.process.listener.connections
         await until(lambda: any(connection.in_request for connection in connections))
         shutdown = await begin_shutdown(harness)
-        client.send(request(1)[received:])
+        client.send(request(1)[received_bytes:])
         await assert_served_and_shut_down(client, shutdown)
 
 
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -55,7 +55,7 @@
     assert attempt_refusal(RequestState(**changes), send_deadline, now) is refusal
 
 
-class IdleConnection:
+class ConnectionState:
     """A client connection with the methods that the rules on closing call."""
 
     def __init__(self, idle: bool = True, unread: bool = False) -> None:
@@ -72,13 +72,13 @@
 
 
 def test_connection_is_closed_only_without_losing_requests() -> None:
-    assert may_close_client(IdleConnection(), 2.0, 102.0)
-    assert not may_close_client(IdleConnection(), 2.0, 101.9)
-    assert not may_close_client(IdleConnection(idle=False), 2.0, 110.0)
-    assert not may_close_client(IdleConnection(unread=True), 2.0, 110.0)
+    assert may_close_client(ConnectionState(), 2.0, 102.0)
+    assert not may_close_client(ConnectionState(), 2.0, 101.9)
+    assert not may_close_client(ConnectionState(idle=False), 2.0, 110.0)
+    assert not may_close_client(ConnectionState(unread=True), 2.0, 110.0)
 
 
-async def violations(harness: GatewayHarness) -> dict[str, int]:
+async def violation_counts(harness: GatewayHarness) -> dict[str, int]:
     prefix = "violations."
     metrics = await harness.metrics()
     assert metrics["violations"] == sum(n for name, n in metrics.items() if name.startswith(prefix))
@@ -87,7 +87,7 @@
 
 async def test_violation_is_counted_and_logged(caplog: pytest.LogCaptureFixture) -> None:
     async with running_gateway() as harness:
-        assert await violations(harness) == {str(invariant): 0 for invariant in Invariant}
+        assert await violation_counts(harness) == {str(invariant): 0 for invariant in Invariant}
         client = await harness.connect_client()
         assert (await client.exchange(request(1)))[0] == 200
         released = asyncio.Event()
@@ -100,7 +100,7 @@
         await harness.backends[0].wait_until(lambda: len(harness.received_requests()) == 2)
         (connection,) = harness.process.listener.connections
         connection.drop()  # a fault that the invariant has to report
-        assert (await violations(harness))[Invariant.CLOSED_ANSWERED] == 1
+        assert (await violation_counts(harness))[Invariant.CLOSED_ANSWERED] == 1
         assert "invariant closed_answered is violated" in caplog.text
         released.set()
 
--- a/tests/test_momentary_errors.py
+++ b/tests/test_momentary_errors.py
@@ -97,9 +97,7 @@
         assert served > 0.8 * len(load.statuses)
 
 
-async def test_persistent_accept_failure_keeps_client_connections(
-    tmp_path: pathlib.Path,
-) -> None:
+async def test_persistent_accept_failure_keeps_client_connections(tmp_path: pathlib.Path) -> None:
     faults = FaultInjector(tmp_path / "faults")
     async with process(tmp_path, variables=faults.environment) as (harness, _):
         kept_clients = [await harness.connect_client() for _ in range(KEPT_CLIENTS)]
@@ -127,9 +125,7 @@
         raise OSError(errno.ENOENT, "not registered")
 
 
-async def test_paused_connection_is_served_without_epoll_watch(
-    caplog: pytest.LogCaptureFixture,
-) -> None:
+async def test_paused_connection_is_served_without_epoll_watch(caplog: pytest.LogCaptureFixture) -> None:
     async with running_gateway() as harness:
         monitor = harness.process.listener.disconnect_monitor
         epoll = monitor.epoll
--- a/tests/test_request_dispatcher.py
+++ b/tests/test_request_dispatcher.py
@@ -109,9 +109,7 @@
         assert status == 504 and not harness.process.dispatcher.active_requests
 
 
-async def test_actions_after_final_response_are_ignored(
-    monkeypatch: pytest.MonkeyPatch,
-) -> None:
+async def test_actions_after_final_response_are_ignored(monkeypatch: pytest.MonkeyPatch) -> None:
     """The actions are a second final response and an attempt."""
 
     def handle(self: PolicyEngine, event: Event, now: float) -> list[Action]:
--- a/tests/test_slow_readers.py
+++ b/tests/test_slow_readers.py
@@ -62,9 +62,7 @@
 
 
 @pytest.mark.virtual_clock
-async def test_slowly_read_response_outlasts_linger_timeout(
-    monkeypatch: pytest.MonkeyPatch,
-) -> None:
+async def test_slowly_read_response_outlasts_linger_timeout(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("quota_gateway.gateway_process.start_clock", virtual_unix_clock)
     async with running_gateway() as harness:
         limit_send_buffer(harness.process.listener.listener)
