--- a/tests/test_body_streaming.py
+++ b/tests/test_body_streaming.py
@@ -49,7 +49,7 @@
     return chunks + b"0\r\nX-Checksum: 5\r\n\r\n"
 
 
-async def until(condition: Callable[[], bool]) -> None:
+async def wait_for(condition: Callable[[], bool]) -> None:
     async with asyncio.timeout(EVENT_TIMEOUT):
         while not condition():  # noqa: ASYNC110 (no event marks the gateway's internal state)
             await asyncio.sleep(0)
@@ -104,7 +104,7 @@
         client = await harness.connect_client()
         client.send(request(1) + request(2))
         active_requests = harness.process.dispatcher.active_requests
-        await until(lambda: any(active.streaming_attempt for active in active_requests.values()))
+        await wait_for(lambda: any(active.streaming_attempt for active in active_requests.values()))
         first_may_answer.set()
         assert (await client.read_response())[2].startswith(b"served")
         assert (await client.read_response())[2] == LONG_BODY
@@ -121,7 +121,7 @@
         client = await harness.connect_client(receive_buffer=8192)
         client.writer.transport.pause_reading()  # type: ignore[attr-defined]
         client.send(request(1))
-        await until(lambda: any(c.write_paused for c in harness.process.listener.connections))
+        await wait_for(lambda: any(c.write_paused for c in harness.process.listener.connections))
         (upstream,) = harness.process.pool.connections
         assert upstream.paused and upstream.stall is None
         (connection,) = harness.process.listener.connections
@@ -228,7 +228,7 @@
         harness.backends[0].serve = serve_later  # type: ignore[method-assign]
         client = await harness.connect_client()
         client.send(long_request(1, LONG_BODY * 40))
-        await until(lambda: any(c.read_paused for c in harness.process.listener.connections))
+        await wait_for(lambda: any(c.read_paused for c in harness.process.listener.connections))
         (connection,) = harness.process.listener.connections
         assert connection.requests.body_stream is not None
         assert connection.requests.body_stream.buffered_bytes <= MAX_BUFFERED_BYTES + READ_BUFFER_BYTES
@@ -279,7 +279,7 @@
     async with running_gateway() as harness:
         client = await harness.connect_client()
         client.send(long_request(1)[: 2 * MAX_BUFFERED_BYTES])
-        await until(lambda: any(c.attempt for c in harness.process.pool.connections))
+        await wait_for(lambda: any(c.attempt for c in harness.process.pool.connections))
         if resets:
             client.reset()
         else:
@@ -299,7 +299,7 @@
         connections = harness.process.listener.connections
         client = await harness.connect_client()
         client.send(long_request(1)[:sent])
-        await until(
+        await wait_for(
             lambda: any(not c.requests.in_head and c.requests.body_size > sent - 2000 for c in connections)
         )
         (connection,) = connections
--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -199,7 +199,7 @@
         client = await harness.connect_client(receive_buffer=8192)
         client.writer.transport.pause_reading()  # type: ignore[attr-defined]
         client.send(b"".join(request(n) for n in range(1000)))
-        await until(lambda: any(c.write_paused for c in harness.process.listener.connections))
+        await wait_for(lambda: any(c.write_paused for c in harness.process.listener.connections))
         await harness.process.dispatcher.wait_until_answered(EVENT_TIMEOUT)
         assert harness.process.dispatcher.submitted_count < 1000
         connection = next(c for c in harness.process.listener.connections if c.write_paused)
@@ -217,7 +217,7 @@
         listener.clock = lambda: now
         client = await harness.connect_client()
         client.send(request(1)[:40])
-        await until(lambda: any(c.in_request for c in listener.connections))
+        await wait_for(lambda: any(c.in_request for c in listener.connections))
         listener.max_connections = len(listener.connections)
         assert not listener.has_capacity()
         assert not any(c.closing for c in listener.connections)
@@ -242,7 +242,7 @@
         assert sum(silent_client.reader.at_eof() for silent_client in silent) > 300
 
 
-async def until(condition: Callable[[], bool]) -> None:
+async def wait_for(condition: Callable[[], bool]) -> None:
     """Wait for the condition, which is checked in each iteration of the event loop."""
     async with asyncio.timeout(EVENT_TIMEOUT):
         while not condition():  # noqa: ASYNC110 (no event marks the gateway's internal state)
@@ -260,9 +260,9 @@
         listener.clock = lambda: now
         client = await harness.connect_client()
         client.send(sent)
-        await until(lambda: len(listener.connections) == 1)
+        await wait_for(lambda: len(listener.connections) == 1)
         (connection,) = listener.connections
-        await until(lambda: (connection.requests.received_at > 0) == bool(sent))
+        await wait_for(lambda: (connection.requests.received_at > 0) == bool(sent))
         assert connection.in_request == connection.requests.any_request_started == (status > 0)
         listener.clock = lambda: now + 1.9
         listener.sweep()
--- a/tests/test_client_disconnect.py
+++ b/tests/test_client_disconnect.py
@@ -22,7 +22,7 @@
     monkeypatch.setattr("quota_gateway.downstream.half_close.GRACE_PERIOD", 0.0)
 
 
-async def until(condition: Callable[[], bool]) -> None:
+async def wait_for(condition: Callable[[], bool]) -> None:
     """Wait for the condition, for less time than the request's own limits allow."""
     async with asyncio.timeout(CONDITION_TIMEOUT):
         while not condition():  # noqa: ASYNC110 (no event marks the gateway's internal state)
@@ -77,26 +77,26 @@
             for number, units in enumerate(("8", "4")):  # the entire burst
                 assert (await client.exchange(request(number, plan="pro", units=units)))[0] == 200
             client.send(request(9, plan="pro"))
-            await until(lambda: bool(dispatcher.active_requests))
+            await wait_for(lambda: bool(dispatcher.active_requests))
         elif state == "counter":
             harness.counter.replies_enabled.clear()
             client.send(request(9))
-            await until(lambda: bool(harness.counter.increments))
+            await wait_for(lambda: bool(harness.counter.increments))
         elif state == "connecting":
             await discovery.publish(discovery.entry("b0", full_listener.address))
-            await until(
+            await wait_for(
                 lambda: dispatcher.pool.endpoints["b0"].address[1] == int(full_listener.address.split(":")[1])
             )
             client.send(request(9))
-            await until(lambda: bool(dispatcher.pool.connecting))
+            await wait_for(lambda: bool(dispatcher.pool.connecting))
         else:
             harness.backends[0].script = [reset_connection]
             client.send(request(9))
             await harness.backends[0].wait_until(lambda: bool(harness.received_requests()))
             await discovery.publish(discovery.entry("b1", full_listener.address))
-            await until(lambda: "b1" in dispatcher.pool.endpoints)
+            await wait_for(lambda: "b1" in dispatcher.pool.endpoints)
             break_attempt.set()
-            await until(lambda: bool(dispatcher.pool.connecting))
+            await wait_for(lambda: bool(dispatcher.pool.connecting))
         yield harness, client
     full_listener.close()
 
@@ -116,9 +116,9 @@
             client.writer.close()
         else:
             client.reset()
-        await until(lambda: not dispatcher.active_requests and not dispatcher.pool.connecting)
+        await wait_for(lambda: not dispatcher.active_requests and not dispatcher.pool.connecting)
         harness.counter.replies_enabled.set()
-        await until(lambda: not limiter.awaiting_reading)
+        await wait_for(lambda: not limiter.awaiting_reading)
         assert (
             len(harness.received_requests()) == received_before
             and not dispatcher.engine.forwarder.requests
@@ -148,15 +148,15 @@
         harness.counter.replies_enabled.clear()
         client, listener = await harness.connect_client(), harness.process.listener
         client.send(b"".join(request(number) for number in range(8 * MAX_PIPELINED_REQUESTS)))
-        await until(lambda: any(c.read_paused for c in listener.connections))
+        await wait_for(lambda: any(c.read_paused for c in listener.connections))
         assert len(harness.process.dispatcher.active_requests) >= MAX_PIPELINED_REQUESTS
         if disconnect_kind == "closes":
             client.writer.close()
         else:
             client.reset()
-        await until(lambda: not listener.connections)
+        await wait_for(lambda: not listener.connections)
         harness.counter.replies_enabled.set()
-        await until(lambda: not harness.process.dispatcher.active_requests)
+        await wait_for(lambda: not harness.process.dispatcher.active_requests)
         assert not harness.received_requests() and not harness.process.dispatcher.engine.forwarder.requests
 
 
@@ -172,10 +172,10 @@
             backend.script = [reset_connection]
         client = await harness.connect_client()
         client.send(request(1))
-        await until(lambda: bool(harness.received_requests()))
+        await wait_for(lambda: bool(harness.received_requests()))
         client.writer.write_eof()
         (forwarded,) = harness.process.dispatcher.engine.forwarder.requests.values()
-        await until(lambda: forwarded.not_resendable)
+        await wait_for(lambda: forwarded.not_resendable)
         break_attempts.set()
         assert (await client.read_response())[0] == 429  # retryable: the request is idempotent
         assert len(harness.received_requests()) == 1
--- a/tests/test_counter_client.py
+++ b/tests/test_counter_client.py
@@ -41,7 +41,7 @@
     await server.stop()
 
 
-async def until(condition: Callable[[], object]) -> None:
+async def wait_for(condition: Callable[[], object]) -> None:
     async with asyncio.timeout(EVENT_TIMEOUT):
         while not condition():  # noqa: ASYNC110 (no event marks these conditions)
             await asyncio.sleep(0.001)
@@ -108,7 +108,7 @@
     async with connected_client() as (client, replies, server):
         server.replies_enabled.clear()
         client.add("c1.7", 1.0, 4.0)
-        await until(lambda: server.increments)
+        await wait_for(lambda: server.increments)
         for writer in list(server.open_writers):
             writer.transport.abort()
         assert (await replies.next())[1] is Outcome.TIMED_OUT
@@ -194,7 +194,7 @@
         await new_server.start()
         server.replies_enabled.clear()
         client.add("c1.7", 3.0, 4.0)
-        await until(lambda: server.increments)
+        await wait_for(lambda: server.increments)
         client.move(parse_address(new_server.address))
         client.add("c1.7", 4.0, 4.0)
         assert await replies.next() == ("c1.7", Outcome.SUCCESS, 4.0)
@@ -202,7 +202,7 @@
         assert await replies.next() == ("c1.7", Outcome.SUCCESS, 3.0)
         assert server.increments == [("c1.7", 3.0)] and new_server.increments == [("c1.7", 4.0)]
         # The former connection is closed after the reply to its last call.
-        await until(lambda: not client.closing and not server.open_writers)
+        await wait_for(lambda: not client.closing and not server.open_writers)
         await new_server.stop()
 
 
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -20,7 +20,7 @@
         monkeypatch.setattr(f"quota_gateway.shutdown.{name}", 0.0)
 
 
-async def until(condition: Callable[[], bool]) -> None:
+async def wait_for(condition: Callable[[], bool]) -> None:
     """Let the event loop run until the condition holds."""
     while True:
         if condition():
@@ -86,7 +86,7 @@
         client = await harness.connect_client()
         client.send(request(1)[:received_bytes])
         connections = harness.process.listener.connections
-        await until(lambda: any(connection.in_request for connection in connections))
+        await wait_for(lambda: any(connection.in_request for connection in connections))
         shutdown = await begin_shutdown(harness)
         client.send(request(1)[received_bytes:])
         await assert_served_and_shut_down(client, shutdown)
@@ -99,7 +99,7 @@
         client = await client_of_hung_backend(harness, backend_released)
         shutdown = await begin_shutdown(harness)
         client.send(request(2) + request(3)[:30])
-        await until(lambda: len(harness.process.dispatcher.active_requests) >= 2)
+        await wait_for(lambda: len(harness.process.dispatcher.active_requests) >= 2)
         backend_released.set()
         assert [(await client.read_response())[0] for _ in range(2)] == [200, 200]
         client.send(request(3)[30:])
@@ -116,7 +116,7 @@
         assert connection.transport is not None
         connection.transport.pause_reading()  # as if the event loop had not read the request yet
         client.send(request(2))
-        await until(connection.has_unread_input)
+        await wait_for(connection.has_unread_input)
         backend_released.set()
         assert (await client.read_response())[0] == 200
         connection.transport.resume_reading()
--- a/tests/test_no_attempt_after_disconnect.py
+++ b/tests/test_no_attempt_after_disconnect.py
@@ -82,7 +82,7 @@
     return settings
 
 
-async def until(condition: Callable[[], bool]) -> None:
+async def wait_for(condition: Callable[[], bool]) -> None:
     """Wait for the condition, which is checked every 0.5 ms of the virtual clock."""
     async with asyncio.timeout(10.0):
         while not condition():  # noqa: ASYNC110 (no event marks the gateway's internal state)
@@ -149,9 +149,9 @@
     count = {"counter": 1, "pipelined": 2, "paused": 8 * MAX_PIPELINED_REQUESTS}[state]
     client.send(b"".join(request(n) for n in range(count)))
     active_requests = harness.process.dispatcher.active_requests
-    await until(lambda: len(active_requests) >= min(count, MAX_PIPELINED_REQUESTS))
+    await wait_for(lambda: len(active_requests) >= min(count, MAX_PIPELINED_REQUESTS))
     if state == "paused":
-        await until(lambda: any(c.read_paused for c in harness.process.listener.connections))
+        await wait_for(lambda: any(c.read_paused for c in harness.process.listener.connections))
     return harness.counter.replies_enabled.set
 
 
@@ -164,7 +164,7 @@
         assert (await client.exchange(request(number, plan="pro", units=units)))[0] == 200
     client.send(request(9, plan="pro"))
     (limiter,) = dispatcher.engine.limiters.limiters.values()
-    await until(lambda: bool(limiter.queue))
+    await wait_for(lambda: bool(limiter.queue))
 
     def release() -> None:
         limiter.balance += 4.0
@@ -180,7 +180,7 @@
     """Send a request whose first attempt waits for a connection."""
     virtual_clock_loop().connect_delays = {port_of(b): connect_time for b in harness.backends}
     client.send(text)
-    await until(lambda: bool(harness.process.pool.connecting))
+    await wait_for(lambda: bool(harness.process.pool.connecting))
 
 
 async def wait_for_backend(
@@ -191,11 +191,11 @@
     for backend in harness.backends:
         backend.script = [fail_after(event, state)]
     client.send(request(9))
-    await until(lambda: any(b.requests for b in harness.backends))
+    await wait_for(lambda: any(b.requests for b in harness.backends))
     if state == "reconnecting":
         virtual_clock_loop().connect_delays = {port_of(b): connect_time for b in harness.backends}
         event.set()
-        await until(lambda: bool(harness.process.pool.connecting))
+        await wait_for(lambda: bool(harness.process.pool.connecting))
     return event.set
 
 
@@ -312,7 +312,7 @@
                 endpoint.concurrency_limit = BURST_SIZE
         for number, client in enumerate(clients):
             client.send(request(number, customer=f"{number:016x}"))
-        await until(lambda: len(dispatcher.active_requests) >= 0.6 * BURST_SIZE)
+        await wait_for(lambda: len(dispatcher.active_requests) >= 0.6 * BURST_SIZE)
         waiting_count, disconnected_at, busy = len(dispatcher.active_requests), loop.now, True
         for client in clients:
             disconnect(client, disconnect_kind)
