--- a/tests/test_body_streaming.py
+++ b/tests/test_body_streaming.py
@@ -1,4 +1,4 @@
-"""Streaming of long request and response bodies over loopback: unchanged, and with backpressure."""
+"""Long request and response bodies over loopback: they are streamed unchanged and with backpressure."""
 
 from __future__ import annotations
 
@@ -49,9 +49,9 @@
     return chunks + b"0\r\nX-Checksum: 5\r\n\r\n"
 
 
-async def until(condition: Callable[[], bool]) -> None:
+async def wait_for(condition: Callable[[], bool]) -> None:
     async with asyncio.timeout(EVENT_TIMEOUT):
-        while not condition():  # noqa: ASYNC110 - the gateway's state has no event to wait for
+        while not condition():  # noqa: ASYNC110 (no event marks the gateway's internal state)
             await asyncio.sleep(0)
 
 
@@ -87,7 +87,8 @@
         assert dispatcher.active_requests == {} and dispatcher.engine.forwarder.requests == {}
 
 
-async def test_long_responses_keep_pipeline_order_and_reach_an_http_1_0_client() -> None:
+async def test_long_responses_keep_pipeline_order() -> None:
+    """An HTTP/1.0 client also gets the response, without the chunked coding."""
     async with running_gateway() as harness:
         first_may_answer = asyncio.Event()
 
@@ -103,7 +104,7 @@
         client = await harness.connect_client()
         client.send(request(1) + request(2))
         active_requests = harness.process.dispatcher.active_requests
-        await until(lambda: any(active.streaming_attempt for active in active_requests.values()))
+        await wait_for(lambda: any(active.streaming_attempt for active in active_requests.values()))
         first_may_answer.set()
         assert (await client.read_response())[2].startswith(b"served")
         assert (await client.read_response())[2] == LONG_BODY
@@ -113,14 +114,14 @@
         assert response.partition(b"\r\n\r\n")[2] == LONG_BODY and b"chunked" not in response[:200]
 
 
-async def test_client_that_does_not_read_puts_backpressure_on_its_backend() -> None:
+async def test_slow_client_puts_backpressure_on_backend() -> None:
     async with running_gateway() as harness:
-        body = LONG_BODY * 40  # 13 MB: more than the sockets on the way can buffer
+        body = LONG_BODY * 40  # 13 MB, which is more than the sockets on the path can buffer
         harness.backends[0].script = [respond_with(http_response(200, body))]
         client = await harness.connect_client(receive_buffer=8192)
         client.writer.transport.pause_reading()  # type: ignore[attr-defined]
         client.send(request(1))
-        await until(lambda: any(c.write_paused for c in harness.process.listener.connections))
+        await wait_for(lambda: any(c.write_paused for c in harness.process.listener.connections))
         (upstream,) = harness.process.pool.connections
         assert upstream.paused and upstream.stall is None
         (connection,) = harness.process.listener.connections
@@ -139,7 +140,7 @@
     ],
     ids=["content length", "chunked"],
 )
-async def test_truncated_response_is_aborted_for_its_client_and_not_retried(framing: bytes) -> None:
+async def test_truncated_response_is_aborted_without_retry(framing: bytes) -> None:
     async with running_gateway() as harness:
 
         def truncate(writer: asyncio.StreamWriter, received: HttpMessage) -> None:
@@ -156,7 +157,7 @@
         assert metrics["concurrent"] == 0 and len(harness.received_requests()) == 1
 
 
-async def test_client_disconnect_during_a_long_response_ends_the_attempt() -> None:
+async def test_client_disconnect_ends_long_response() -> None:
     async with running_gateway() as harness:
         backend = harness.backends[0]
         backend.script = [respond_with(http_response(200, LONG_BODY * 40)[:-9])]
@@ -174,7 +175,8 @@
 
 
 @pytest.mark.parametrize("size", [1 << 20, 700, 1])
-async def test_long_request_body_is_forwarded_whatever_its_segments(size: int) -> None:
+async def test_long_request_body_is_forwarded_unchanged(size: int) -> None:
+    """The client sends segments of `size` bytes."""
     async with running_gateway() as harness:
         client = await harness.connect_client()
         data = long_request(1)
@@ -188,7 +190,7 @@
         assert metrics["success.extract"] == 1 and metrics["dispatches"] == 2
 
 
-async def test_chunked_request_body_is_forwarded_chunked() -> None:
+async def test_chunked_request_body_is_forwarded() -> None:
     async with running_gateway() as harness:
         client = await harness.connect_client()
         head = request(1, "extract", omit_header="Content-Length", body=b"", Transfer_Encoding="chunked")
@@ -201,7 +203,8 @@
         assert harness.received_requests()[1][2] == b"short"
 
 
-async def test_expect_100_continue_is_answered_before_the_body_unless_rejected() -> None:
+async def test_expect_100_continue_is_answered_before_body() -> None:
+    """An invalid request is rejected without an interim response."""
     async with running_gateway() as harness:
         client = await harness.connect_client()
         head, _, body = long_request(1, Expect="100-continue").partition(b"\r\n\r\n")
@@ -209,10 +212,10 @@
         assert (await client.reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 100 ")
         assert (await client.exchange(body))[0] == 200 and harness.received_requests()[0][2] == LONG_BODY
         invalid = long_request(2, Expect="100-continue", Plan="gold").partition(b"\r\n\r\n")[0]
-        assert (await client.exchange(invalid + b"\r\n\r\n"))[0] == 400  # and no 100 before it
+        assert (await client.exchange(invalid + b"\r\n\r\n"))[0] == 400  # without a 100 before it
 
 
-async def test_backend_that_does_not_read_puts_backpressure_on_its_client() -> None:
+async def test_slow_backend_puts_backpressure_on_client() -> None:
     async with running_gateway() as harness:
         may_read = asyncio.Event()
 
@@ -225,7 +228,7 @@
         harness.backends[0].serve = serve_later  # type: ignore[method-assign]
         client = await harness.connect_client()
         client.send(long_request(1, LONG_BODY * 40))
-        await until(lambda: any(c.read_paused for c in harness.process.listener.connections))
+        await wait_for(lambda: any(c.read_paused for c in harness.process.listener.connections))
         (connection,) = harness.process.listener.connections
         assert connection.requests.body_stream is not None
         assert connection.requests.body_stream.buffered_bytes <= MAX_BUFFERED_BYTES + READ_BUFFER_BYTES
@@ -237,7 +240,8 @@
         assert (await client.read_response())[0] == 200
 
 
-async def test_partly_sent_body_counts_as_not_executed_and_is_not_retried() -> None:
+async def test_partly_sent_body_is_not_retried() -> None:
+    """The request counts as not executed, so that the client gets the retryable status 429."""
     async with running_gateway(backends=2) as harness:
 
         async def abort_early(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -249,14 +253,14 @@
         client = await harness.connect_client()
         head, _, body = long_request(1).partition(b"\r\n\r\n")
         client.send(head + b"\r\n\r\n" + body[: 2 * MAX_BUFFERED_BYTES])
-        status, headers, _ = await client.read_response()  # while it is still sending
+        status, headers, _ = await client.read_response()  # the client is still sending
         assert status == 429 and headers["connection"] == "close"
         assert sum(backend.connection_count for backend in harness.backends) == 1
         metrics = await harness.metrics()
         assert metrics["overload.extract"] == 1 and metrics["dispatches"] == metrics["concurrent"] == 0
 
 
-async def test_early_response_reaches_a_client_that_is_still_sending() -> None:
+async def test_early_response_reaches_sending_client() -> None:
     async with running_gateway() as harness:
 
         async def answer_early(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -271,11 +275,11 @@
 
 
 @pytest.mark.parametrize("resets", [True, False])
-async def test_long_body_is_not_executed_after_its_client_disconnects(resets: bool) -> None:
+async def test_incomplete_body_is_not_executed_after_disconnect(resets: bool) -> None:
     async with running_gateway() as harness:
         client = await harness.connect_client()
         client.send(long_request(1)[: 2 * MAX_BUFFERED_BYTES])
-        await until(lambda: any(c.attempt for c in harness.process.pool.connections))
+        await wait_for(lambda: any(c.attempt for c in harness.process.pool.connections))
         if resets:
             client.reset()
         else:
@@ -295,7 +299,7 @@
         connections = harness.process.listener.connections
         client = await harness.connect_client()
         client.send(long_request(1)[:sent])
-        await until(
+        await wait_for(
             lambda: any(not c.requests.in_head and c.requests.body_size > sent - 2000 for c in connections)
         )
         (connection,) = connections
@@ -313,21 +317,21 @@
     return [action.timer for action in actions if isinstance(action, SetTimer)]
 
 
-def test_time_budget_of_a_streamed_request_starts_at_its_last_byte() -> None:
+def test_streamed_request_budget_starts_at_last_byte() -> None:
     engine = make_engine()
     actions = engine.handle(replace(make_request(1, "pay", deadline=106.0), body_incomplete=True), 100.0)
     (attempt,) = started_attempts(actions)
     assert attempt.timeout == 0.0
     assert not any(isinstance(timer, LateAttemptTimer) for timer in timers_set(actions))
     actions = engine.handle(RequestBodyReceived(1, 156.0), 150.0)
-    assert timers_set(actions) == [LateAttemptTimer(1, 0)]  # the attempt may be late from now on
+    assert timers_set(actions) == [LateAttemptTimer(1, 0)]  # only now can the attempt be late
     assert (
         engine.forwarder.requests[1].request.deadline == 156.0
         and engine.forwarder.requests[1].first_sent_at == 150.0
     )
 
 
-def test_request_whose_body_was_consumed_is_not_retried() -> None:
+def test_request_with_consumed_body_is_not_retried() -> None:
     engine = make_engine()
     actions = engine.handle(replace(make_request(1), body_incomplete=True), 100.0)
     (attempt,) = started_attempts(actions)
@@ -336,7 +340,8 @@
     assert [type(action) for action in actions if isinstance(action, StartAttempt | Reject)] == [Reject]
 
 
-def test_streamed_response_is_measured_to_its_first_byte_and_no_longer_in_flight() -> None:
+def test_streamed_response_is_in_flight_until_first_byte() -> None:
+    """After it, neither the timer of a late attempt nor a broken response has an effect."""
     engine = make_engine()
     (attempt,) = started_attempts(engine.handle(make_request(1), 100.0))
     engine.handle(ResponseStreamStarted(1, 0, 0.05), 100.05)
@@ -353,7 +358,7 @@
     assert engine.admission.in_flight == 0 and not engine.forwarder.requests
 
 
-async def test_readiness_is_answered_beside_a_long_request() -> None:
+async def test_readiness_is_answered_during_long_request() -> None:
     async with running_gateway() as harness:
         may_answer = asyncio.Event()
         harness.backends[0].script = [send_success_after(may_answer)]
--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -1,4 +1,4 @@
-"""Client connections over loopback sockets: requests accepted and rejected, limits, order of responses."""
+"""Client connections over loopback: accepted and rejected requests, limits, and the order of responses."""
 
 from __future__ import annotations
 
@@ -13,12 +13,7 @@
 from quota_gateway.downstream.request_reader import MAX_HEAD_SIZE
 from quota_gateway.upstream.endpoint_connections import MIN_IDLE_BEFORE_REUSE
 from tests.fakes import EVENT_TIMEOUT, HttpMessage, http_response, send_success, send_success_after
-from tests.harness import (
-    READY_REQUEST,
-    high_quota_settings,
-    request,
-    running_gateway,
-)
+from tests.harness import READY_REQUEST, high_quota_settings, request, running_gateway
 from tests.virtual_clock import virtual_clock_loop, virtual_unix_clock
 
 
@@ -27,14 +22,16 @@
         client = await harness.connect_client()
         status, _, body = await client.exchange(request(0xABC, "report", body=b"Vestergade 1"))
         assert (status, body) == (200, b"served 0000000000000abc")
-        first, headers, sent = harness.received_requests()[0]
-        assert first == "POST /api?client=00000000000000c1 HTTP/1.1" and sent == b"Vestergade 1"
+        start_line, headers, forwarded_body = harness.received_requests()[0]
+        assert (
+            start_line == "POST /api?client=00000000000000c1 HTTP/1.1" and forwarded_body == b"Vestergade 1"
+        )
         assert headers["idempotency-key"] == f"key{0xabc:029x}"
         assert 0 < float(headers["x-budget"]) <= 5.0
 
 
 async def test_connections_on_both_sides_are_reused() -> None:
-    # the parser knows whether a connection persists only inside its callback
+    # The parser knows only during its callback whether the connection is persistent.
     async with running_gateway() as harness:
         client = await harness.connect_client()
         for number in range(5):
@@ -43,15 +40,16 @@
         assert harness.backends[0].connection_count == 1
 
 
-async def test_pipelined_responses_keep_their_order_when_the_first_is_slowest() -> None:
+async def test_pipelined_responses_keep_request_order() -> None:
+    """The first request is the last to be answered by its backend."""
     async with running_gateway() as harness:
         client = await harness.connect_client()
         second_arrived = asyncio.Event()
 
-        async def answer(writer: asyncio.StreamWriter, asked: HttpMessage) -> None:
-            if asked[1]["x-call-id"].endswith("1"):
+        async def answer(writer: asyncio.StreamWriter, received: HttpMessage) -> None:
+            if received[1]["x-call-id"].endswith("1"):
                 await second_arrived.wait()
-            send_success(writer, asked)
+            send_success(writer, received)
             second_arrived.set()
 
         harness.backends[0].script = [answer, answer]
@@ -60,8 +58,8 @@
             assert (await client.read_response())[2] == f"served {number:016x}".encode()
 
 
-async def test_every_request_of_a_long_pipeline_gets_a_response() -> None:
-    # reading pauses at the pipelining limit and must resume; the policy may reject some of so many requests
+async def test_long_pipeline_is_fully_answered() -> None:
+    # Reading pauses at the pipelining limit and must resume. The policy may reject some of the requests.
     async with running_gateway() as harness:
         client = await harness.connect_client()
         client.send(b"".join(request(n, "report", body=b"x" * 5000) for n in range(60)))
@@ -151,9 +149,8 @@
         response_status, _, body = await client.exchange(text)
         assert response_status == status and len(body.splitlines()) <= 1
         assert harness.process.dispatcher.submitted_count == 0 and not harness.received_requests()
-        assert (await (await harness.connect_client()).exchange(request(2)))[
-            0
-        ] == 200  # the process still serves
+        # The process still serves other clients.
+        assert (await (await harness.connect_client()).exchange(request(2)))[0] == 200
 
 
 async def test_largest_buffered_body_is_forwarded() -> None:
@@ -163,13 +160,13 @@
 
 
 async def test_client_reset_cancels_the_attempt() -> None:
-    env = high_quota_settings()
-    env["services"][0]["aim"] = env["services"][0]["deadline"] = 1e6  # no timeout ends it during the test
-    async with running_gateway(settings=env) as harness:
+    long_timeouts = high_quota_settings()
+    long_timeouts["services"][0]["aim"] = long_timeouts["services"][0]["deadline"] = 1e6
+    async with running_gateway(settings=long_timeouts) as harness:
         client, forwarded = await harness.connect_client(), asyncio.Event()
-        harness.backends[0].script = [lambda writer, asked: forwarded.set()]
+        harness.backends[0].script = [lambda writer, received: forwarded.set()]
         client.send(request(1, budget=1000.0))
-        await forwarded.wait()  # the backend sends no response
+        await forwarded.wait()  # the backend never responds
         client.reset()
         await harness.backends[0].wait_until(lambda: harness.backends[0].closed_count == 1)
         assert (
@@ -193,16 +190,16 @@
         assert (await client.read_response())[0] == 200
 
 
-async def test_reading_pauses_while_the_client_reads_no_responses() -> None:
-    # its responses would fill the gateway's memory
+async def test_reading_pauses_while_responses_are_unread() -> None:
+    # Without a limit, responses that are not read would fill the gateway's memory.
     async with running_gateway() as harness:
         client = await harness.connect_client()
         large = http_response(200, b"x" * MAX_BUFFERED_BYTES)
-        harness.backends[0].script = [lambda writer, asked: writer.write(large)] * 1000
+        harness.backends[0].script = [lambda writer, received: writer.write(large)] * 1000
         client = await harness.connect_client(receive_buffer=8192)
         client.writer.transport.pause_reading()  # type: ignore[attr-defined]
         client.send(b"".join(request(n) for n in range(1000)))
-        await until(lambda: any(c.write_paused for c in harness.process.listener.connections))
+        await wait_for(lambda: any(c.write_paused for c in harness.process.listener.connections))
         await harness.process.dispatcher.wait_until_answered(EVENT_TIMEOUT)
         assert harness.process.dispatcher.submitted_count < 1000
         connection = next(c for c in harness.process.listener.connections if c.write_paused)
@@ -220,7 +217,7 @@
         listener.clock = lambda: now
         client = await harness.connect_client()
         client.send(request(1)[:40])
-        await until(lambda: any(c.in_request for c in listener.connections))
+        await wait_for(lambda: any(c.in_request for c in listener.connections))
         listener.max_connections = len(listener.connections)
         assert not listener.has_capacity()
         assert not any(c.closing for c in listener.connections)
@@ -230,8 +227,8 @@
         assert (await client.read_response())[0] == 408 and await client.wait_closed()
 
 
-async def test_silent_connections_do_not_block_clients_with_requests() -> None:
-    # evicted one at a time, hundreds of silent connections took up all capacity
+async def test_silent_connections_do_not_block_active_clients() -> None:
+    # When silent connections were evicted one at a time, hundreds of them used up the capacity.
     async with running_gateway() as harness:
         _client = await harness.connect_client()
         listener = harness.process.listener
@@ -245,8 +242,8 @@
         assert sum(silent_client.reader.at_eof() for silent_client in silent) > 300
 
 
-async def until(condition: Callable[[], bool]) -> None:
-    """Wait for the condition, one round of the loop after the other."""
+async def wait_for(condition: Callable[[], bool]) -> None:
+    """Wait for the condition, which is checked in each iteration of the event loop."""
     async with asyncio.timeout(EVENT_TIMEOUT):
         while not condition():  # noqa: ASYNC110 (no event marks the gateway's internal state)
             await asyncio.sleep(0)
@@ -256,17 +253,16 @@
     ("sent", "status"),
     [(b"", 0), (b"\r\n" * 5, 0), (request(1)[:40], 408), (request(1, "extract")[:-3], 408)],
 )
-async def test_incomplete_request_gets_an_error_or_a_close_within_three_seconds(
-    sent: bytes, status: int
-) -> None:
+async def test_incomplete_request_times_out_within_three_seconds(sent: bytes, status: int) -> None:
+    """A partial request gets status 408; a connection without a request is closed."""
     async with running_gateway() as harness:
         listener, now = harness.process.listener, harness.process.listener.clock()
         listener.clock = lambda: now
         client = await harness.connect_client()
         client.send(sent)
-        await until(lambda: len(listener.connections) == 1)
+        await wait_for(lambda: len(listener.connections) == 1)
         (connection,) = listener.connections
-        await until(lambda: (connection.requests.received_at > 0) == bool(sent))
+        await wait_for(lambda: (connection.requests.received_at > 0) == bool(sent))
         assert connection.in_request == connection.requests.any_request_started == (status > 0)
         listener.clock = lambda: now + 1.9
         listener.sweep()
@@ -278,7 +274,7 @@
         assert await client.wait_closed()
 
 
-async def test_idle_connections_are_closed_not_before_two_seconds() -> None:
+async def test_idle_connection_is_closed_after_two_seconds() -> None:
     async with running_gateway() as harness:
         client = await harness.connect_client()
         listener = harness.process.listener
@@ -294,7 +290,7 @@
         assert await client.wait_closed() and not listener.connections
 
 
-async def test_call_id_in_use_is_rejected_for_the_second_request_only() -> None:
+async def test_duplicate_call_id_is_rejected_while_in_use() -> None:
     async with running_gateway() as harness:
         client = await harness.connect_client()
         release = asyncio.Event()
@@ -308,8 +304,9 @@
         assert (await other.exchange(request(1)))[0] == 200 and not harness.process.dispatcher.open_call_ids
 
 
-async def test_invalid_requests_are_followed_by_a_pause_and_then_close_the_connection() -> None:
-    # a client may repeat an invalid request as soon as it is rejected: each costs as much as a valid one
+async def test_repeated_invalid_requests_close_the_connection() -> None:
+    """Reading pauses after a rejection, and MAX_INVALID_REQUESTS of them close the connection."""
+    # An invalid request costs as much as a valid one, and a client may repeat it as soon as it is rejected.
     async with running_gateway() as harness:
         client = await harness.connect_client()
         invalid = request(1, Plan="gold")
@@ -322,7 +319,7 @@
         assert await client.wait_closed()
 
 
-async def test_error_reaches_a_client_that_keeps_sending_a_huge_body() -> None:
+async def test_oversized_body_error_reaches_sending_client() -> None:
     async with running_gateway() as harness:
         client = await harness.connect_client()
         client.send(request(1, "extract", body=b"", Content_Length="60000000"))
@@ -332,8 +329,8 @@
         assert await client.wait_closed()
 
 
-async def test_stopping_gateway_answers_the_pipeline_before_it_closes() -> None:
-    # "Connection: close" on the first response would leave the accepted requests behind it without theirs
+async def test_stopping_gateway_answers_pipeline_before_close() -> None:
+    # With "Connection: close" on the first response, accepted requests behind it would get no response.
     async with running_gateway() as harness:
         client = await harness.connect_client()
         release = asyncio.Event()
@@ -361,9 +358,8 @@
 
 
 @pytest.mark.virtual_clock
-async def test_a_body_that_stalls_after_a_slow_head_is_answered_within_three_seconds(
-    monkeypatch: pytest.MonkeyPatch,
-) -> None:
+async def test_stalled_body_after_slow_head_times_out(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The error comes within three seconds of the connect."""
     monkeypatch.setattr("quota_gateway.gateway_process.start_clock", virtual_unix_clock)
     async with running_gateway() as harness:
         connected_at = virtual_clock_loop().now
--- a/tests/test_client_disconnect.py
+++ b/tests/test_client_disconnect.py
@@ -1,4 +1,4 @@
-"""Clients that disconnect while their request waits: it is not forwarded, and its units are refunded."""
+"""A request whose client disconnects while it waits is not forwarded, and its units are refunded."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from tests.fakes import HOST, HttpMessage, example_settings, http_response
 from tests.harness import Client, GatewayHarness, high_quota_settings, request, running_gateway
 
-CONDITION_TIMEOUT = 2.0  # seconds; a request is queued for up to 2.5, within its budget of 5
+CONDITION_TIMEOUT = 2.0  # seconds; less than the 2.5 s that a request is queued, and its budget of 5 s
 
 
 @pytest.fixture(autouse=True)
@@ -22,19 +22,19 @@
     monkeypatch.setattr("quota_gateway.downstream.half_close.GRACE_PERIOD", 0.0)
 
 
-async def until(condition: Callable[[], bool]) -> None:
-    """Wait for the condition, before the request's own limits could end it."""
+async def wait_for(condition: Callable[[], bool]) -> None:
+    """Wait for the condition, for less time than the request's own limits allow."""
     async with asyncio.timeout(CONDITION_TIMEOUT):
         while not condition():  # noqa: ASYNC110 (no event marks the gateway's internal state)
             await asyncio.sleep(0)
 
 
-def serve_without_units(writer: asyncio.StreamWriter, asked: HttpMessage) -> None:
+def serve_without_units(writer: asyncio.StreamWriter, received: HttpMessage) -> None:
     writer.write(http_response(200))  # without Billed-Units the estimate stays
 
 
 class FullListener:
-    """A listening socket with a full queue: connects to it succeed only once one is accepted."""
+    """A listening socket with a full accept queue, on which connects don't complete."""
 
     def __init__(self) -> None:
         self.listener = socket.socket()
@@ -49,52 +49,54 @@
         self.listener.close()
 
 
-def with_long_timeouts(env: dict[str, Any]) -> dict[str, Any]:
-    """Allow seconds for the counter and for an attempt."""
-    env["domain"]["count_limit"] = 8000.0
-    env["services"][0]["aim"] = 8000.0
-    return env
+def with_long_timeouts(settings: dict[str, Any]) -> dict[str, Any]:
+    """Allow eight seconds for a counter reply and for an attempt."""
+    settings["domain"]["count_limit"] = 8000.0
+    settings["services"][0]["aim"] = 8000.0
+    return settings
 
 
 @asynccontextmanager
 async def waiting_request(state: str) -> AsyncIterator[tuple[GatewayHarness, Client]]:
-    """Start a gateway whose client's request 9 waits: queued, for the counter, or for a connection."""
+    """Start a gateway and a client whose request 9 waits in `state`, one of `STATES`."""
     break_attempt = asyncio.Event()
 
-    async def reset_connection(writer: asyncio.StreamWriter, asked: HttpMessage) -> None:
+    async def reset_connection(writer: asyncio.StreamWriter, received: HttpMessage) -> None:
         await break_attempt.wait()
         writer.transport.abort()
 
     full_listener = FullListener()
-    env = example_settings() if state in ("queued", "counter") else high_quota_settings(dial_timeout=8000.0)
-    async with running_gateway(settings=with_long_timeouts(env)) as harness:
+    base_settings = (
+        example_settings() if state in ("queued", "counter") else high_quota_settings(dial_timeout=8000.0)
+    )
+    async with running_gateway(settings=with_long_timeouts(base_settings)) as harness:
         client = await harness.connect_client()
         dispatcher, discovery = harness.process.dispatcher, harness.discovery
         if state == "queued":
             harness.backends[0].script = [serve_without_units, serve_without_units]
-            for number, units in enumerate(("8", "4")):  # the whole burst
+            for number, units in enumerate(("8", "4")):  # the entire burst
                 assert (await client.exchange(request(number, plan="pro", units=units)))[0] == 200
             client.send(request(9, plan="pro"))
-            await until(lambda: bool(dispatcher.active_requests))
+            await wait_for(lambda: bool(dispatcher.active_requests))
         elif state == "counter":
             harness.counter.replies_enabled.clear()
             client.send(request(9))
-            await until(lambda: bool(harness.counter.increments))
+            await wait_for(lambda: bool(harness.counter.increments))
         elif state == "connecting":
             await discovery.publish(discovery.entry("b0", full_listener.address))
-            await until(
+            await wait_for(
                 lambda: dispatcher.pool.endpoints["b0"].address[1] == int(full_listener.address.split(":")[1])
             )
             client.send(request(9))
-            await until(lambda: bool(dispatcher.pool.connecting))
+            await wait_for(lambda: bool(dispatcher.pool.connecting))
         else:
             harness.backends[0].script = [reset_connection]
             client.send(request(9))
             await harness.backends[0].wait_until(lambda: bool(harness.received_requests()))
             await discovery.publish(discovery.entry("b1", full_listener.address))
-            await until(lambda: "b1" in dispatcher.pool.endpoints)
+            await wait_for(lambda: "b1" in dispatcher.pool.endpoints)
             break_attempt.set()
-            await until(lambda: bool(dispatcher.pool.connecting))
+            await wait_for(lambda: bool(dispatcher.pool.connecting))
         yield harness, client
     full_listener.close()
 
@@ -102,64 +104,66 @@
 STATES = ["queued", "counter", "connecting", "retry"]
 
 
-@pytest.mark.parametrize("how", ["closes", "resets"])
+@pytest.mark.parametrize("disconnect_kind", ["closes", "resets"])
 @pytest.mark.parametrize("state", STATES)
-async def test_request_is_not_forwarded_after_its_client_disconnected(state: str, how: str) -> None:
-    # a close reads as a half-close at first
+async def test_request_is_not_forwarded_after_disconnect(state: str, disconnect_kind: str) -> None:
+    # A close looks like a half-close at first.
     async with waiting_request(state) as (harness, client):
-        dispatcher, seen = harness.process.dispatcher, len(harness.received_requests())
+        dispatcher, received_before = harness.process.dispatcher, len(harness.received_requests())
         limiter = next(iter(dispatcher.engine.limiters.limiters.values()))
-        before = limiter.balance
-        if how == "closes":
+        balance_before = limiter.balance
+        if disconnect_kind == "closes":
             client.writer.close()
         else:
             client.reset()
-        await until(lambda: not dispatcher.active_requests and not dispatcher.pool.connecting)
+        await wait_for(lambda: not dispatcher.active_requests and not dispatcher.pool.connecting)
         harness.counter.replies_enabled.set()
-        await until(lambda: not limiter.awaiting_reading)
+        await wait_for(lambda: not limiter.awaiting_reading)
         assert (
-            len(harness.received_requests()) == seen
+            len(harness.received_requests()) == received_before
             and not dispatcher.engine.forwarder.requests
             and not limiter.queue
         )
         if state != "retry":  # the first attempt of a retried request used its units
             limiter.refill(dispatcher.clock())
-            assert limiter.balance >= min(before + 1.0, limiter.capacity) and limiter.queued_units == 0
+            assert (
+                limiter.balance >= min(balance_before + 1.0, limiter.capacity) and limiter.queued_units == 0
+            )
 
 
 @pytest.mark.parametrize("state", STATES)
-async def test_half_closed_client_is_rejected_with_a_retryable_status(state: str) -> None:
+async def test_half_closed_client_gets_retryable_status(state: str) -> None:
     async with waiting_request(state) as (harness, client):
-        seen = len(harness.received_requests())
+        received_before = len(harness.received_requests())
         client.writer.write_eof()
         assert (await client.read_response())[0] == 429
         assert await client.wait_closed()
-        assert len(harness.received_requests()) == seen
+        assert len(harness.received_requests()) == received_before
 
 
-@pytest.mark.parametrize("how", ["closes", "resets"])
-async def test_disconnect_is_detected_while_reading_is_paused(how: str) -> None:
-    # the loop reports no disconnect on a connection that it does not read
+@pytest.mark.parametrize("disconnect_kind", ["closes", "resets"])
+async def test_disconnect_is_detected_while_reading_is_paused(disconnect_kind: str) -> None:
+    # The event loop reports no disconnect on a connection from which it does not read.
     async with running_gateway(settings=with_long_timeouts(example_settings())) as harness:
         harness.counter.replies_enabled.clear()
         client, listener = await harness.connect_client(), harness.process.listener
         client.send(b"".join(request(number) for number in range(8 * MAX_PIPELINED_REQUESTS)))
-        await until(lambda: any(c.read_paused for c in listener.connections))
+        await wait_for(lambda: any(c.read_paused for c in listener.connections))
         assert len(harness.process.dispatcher.active_requests) >= MAX_PIPELINED_REQUESTS
-        if how == "closes":
+        if disconnect_kind == "closes":
             client.writer.close()
         else:
             client.reset()
-        await until(lambda: not listener.connections)
+        await wait_for(lambda: not listener.connections)
         harness.counter.replies_enabled.set()
-        await until(lambda: not harness.process.dispatcher.active_requests)
+        await wait_for(lambda: not harness.process.dispatcher.active_requests)
         assert not harness.received_requests() and not harness.process.dispatcher.engine.forwarder.requests
 
 
-async def test_failed_attempt_is_not_retried_after_its_client_closed() -> None:
+async def test_failed_attempt_is_not_retried_after_half_close() -> None:
     break_attempts = asyncio.Event()
 
-    async def reset_connection(writer: asyncio.StreamWriter, asked: HttpMessage) -> None:
+    async def reset_connection(writer: asyncio.StreamWriter, received: HttpMessage) -> None:
         await break_attempts.wait()
         writer.transport.abort()
 
@@ -168,10 +172,10 @@
             backend.script = [reset_connection]
         client = await harness.connect_client()
         client.send(request(1))
-        await until(lambda: bool(harness.received_requests()))
+        await wait_for(lambda: bool(harness.received_requests()))
         client.writer.write_eof()
-        (job,) = harness.process.dispatcher.engine.forwarder.requests.values()
-        await until(lambda: job.not_resendable)
+        (forwarded,) = harness.process.dispatcher.engine.forwarder.requests.values()
+        await wait_for(lambda: forwarded.not_resendable)
         break_attempts.set()
         assert (await client.read_response())[0] == 429  # retryable: the request is idempotent
         assert len(harness.received_requests()) == 1
--- a/tests/test_connection_faults.py
+++ b/tests/test_connection_faults.py
@@ -1,4 +1,4 @@
-"""Faults of connections, each forced: closes, floods, incomplete responses, late connections."""
+"""Forced connection faults: closes, floods, incomplete responses and late connects."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 from quota_gateway.downstream.request_handler import MAX_INVALID_REQUESTS
 from quota_gateway.model.outcomes import Outcome
 from tests.harness import GatewayHarness, high_quota_settings, request, running_gateway
-from tests.upstream_harness import sending
+from tests.upstream_harness import running_pool
 from tests.virtual_clock import virtual_clock_loop, virtual_unix_clock
 
 CONNECT_TIMEOUT = 0.25  # seconds
-CONNECT_TIMES = [0.05, 0.2, 0.3, 1.0, 1.5]  # seconds, on both sides of the timeout
+CONNECT_TIMES = [0.05, 0.2, 0.3, 1.0, 1.5]  # seconds, below and above the timeout
 
 
 def transports_by_peer(harness: GatewayHarness) -> dict[str, list[Any]]:
-    """Return the gateway's own transports by the kind of their peer."""
+    """Return the gateway's transports by the type of peer."""
     process = harness.process
     counter = process.dispatcher.counter
     assert counter is not None
@@ -34,7 +34,7 @@
 
 
 async def test_every_socket_sets_tcp_nodelay() -> None:
-    # with Nagle's algorithm, bytes that the kernel delays are lost in a reset
+    # With Nagle's algorithm, data that the kernel delays is lost in a reset.
     async with running_gateway() as harness:
         client, operator = await harness.connect_client(), await harness.connect_admin()
         assert (await client.exchange(request(1)))[0] == 200
@@ -52,26 +52,26 @@
         operator.writer.close()
 
 
-@pytest.mark.parametrize("closes", [True, False])
-async def test_reset_response_without_a_length_is_incomplete(closes: bool) -> None:
-    text = b"HTTP/1.1 200 OK\r\n" + b"Connection: close\r\n" * closes + b"\r\nserved by this one"
+@pytest.mark.parametrize("has_close_header", [True, False])
+async def test_reset_response_without_a_length_is_incomplete(has_close_header: bool) -> None:
+    text = b"HTTP/1.1 200 OK\r\n" + b"Connection: close\r\n" * has_close_header + b"\r\nserved by this one"
 
     async def reset_after(writer: asyncio.StreamWriter, count: int) -> None:
         writer.write(text[:count])
-        await asyncio.sleep(0.002)  # until it has been read: a reset discards what is unread
+        await asyncio.sleep(0.002)  # until it has been read: a reset discards unread data
         sock = writer.get_extra_info("socket")
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         writer.transport.abort()
 
-    async with sending() as (sender, peer):
+    async with running_pool() as (sender, peer):
         for count in range(len(text) + 1):
-            peer.script = [lambda writer, asked, count=count: reset_after(writer, count)]  # type: ignore[misc]
+            peer.script = [lambda writer, received, count=count: reset_after(writer, count)]  # type: ignore[misc]
             assert await sender.outcome() is Outcome.BROKEN_RESPONSE, count
 
 
 @pytest.mark.parametrize("connect_time", CONNECT_TIMES)
 @pytest.mark.virtual_clock
-async def test_connection_established_after_the_connect_timeout_is_not_used(
+async def test_connection_after_connect_timeout_is_not_used(
     connect_time: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("quota_gateway.gateway_process.start_clock", virtual_unix_clock)
@@ -83,22 +83,22 @@
         in_time = connect_time < CONNECT_TIMEOUT
         client = await harness.connect_client()
         status, _, _ = await client.exchange(request(1, "extract"))
-        assert status == (200 if in_time else 429)  # never forwarded: a retry is safe
+        assert status == (200 if in_time else 429)  # not forwarded, so a retry is safe
         await asyncio.sleep(3.0)
         assert len(harness.received_requests()) == (1 if in_time else 0)
         assert in_time or not harness.process.pool.connections
 
 
-@pytest.mark.parametrize("how", ["idle", "drain", "stop"])
-async def test_request_that_crosses_a_close_is_not_forwarded(how: str) -> None:
-    # its client retries it: forwarded as well, it would run twice
+@pytest.mark.parametrize("close_reason", ["idle", "drain", "stop"])
+async def test_request_that_crosses_a_close_is_not_forwarded(close_reason: str) -> None:
+    # The client retries such a request: if it was forwarded as well, it would be executed twice.
     async with running_gateway() as harness:
         client, listener = await harness.connect_client(), harness.process.listener
         assert (await client.exchange(request(1)))[0] == 200
         (connection,) = listener.connections
-        if how == "idle":
+        if close_reason == "idle":
             connection.drop()
-        elif how == "drain":
+        elif close_reason == "drain":
             connection.end()
         else:
             listener.stopping = True
@@ -106,13 +106,13 @@
         client.send(request(2))
         try:
             assert await client.wait_closed()
-        except ConnectionResetError:  # with no response unread that the reset could discard
-            assert how == "idle"
+        except ConnectionResetError:  # the reset discards no unread response
+            assert close_reason == "idle"
         await asyncio.sleep(0.02)
         assert len(harness.received_requests()) == 1 and harness.process.dispatcher.submitted_count == 1
 
 
-async def test_partial_response_line_on_a_closing_idle_connection_is_discarded() -> None:
+async def test_partial_response_on_idle_connection_is_discarded() -> None:
     async with running_gateway() as harness:
         client = await harness.connect_client()
         assert (await client.exchange(request(1)))[0] == 200
@@ -125,8 +125,8 @@
         assert harness.backends[0].connection_count == 2
 
 
-async def test_reset_flood_of_invalid_requests_leaves_other_clients_served() -> None:
-    """Clients send two megabytes of invalid requests at once, and reset."""
+async def test_reset_flood_does_not_affect_other_clients() -> None:
+    """Clients send two megabytes of invalid requests each, and reset their connections."""
     flood = request(1, omit_header="Plan") * 8000
     async with running_gateway() as harness:
         clients = [await harness.connect_client() for _ in range(20)]
@@ -144,7 +144,7 @@
         assert len(harness.received_requests()) == 21 and harness.process.dispatcher.submitted_count == 21
 
 
-async def test_flood_of_invalid_requests_gets_a_few_responses_per_connection() -> None:
+async def test_invalid_request_flood_gets_few_responses() -> None:
     async with running_gateway() as harness:
         client = await harness.connect_client()
         client.send(request(1, omit_header="Plan") * 8000)
@@ -153,8 +153,8 @@
         assert await client.wait_closed()
 
 
-async def test_complete_response_is_delivered_though_its_client_keeps_sending() -> None:
-    """Bytes that are unread when a connection closes reset it, and the response would be lost."""
+async def test_response_reaches_client_that_keeps_sending() -> None:
+    """Closing a connection with unread data resets it, and the response would be lost."""
     async with running_gateway() as harness:
         client = await harness.connect_client()
         text = request(1, Connection="close")
--- a/tests/test_connection_pool.py
+++ b/tests/test_connection_pool.py
@@ -1,4 +1,4 @@
-"""The connection pool over loopback: connects, reuse, idle timeout, limit, and changes of endpoints."""
+"""The connection pool over loopback: connects, reuse, idle timeouts, the limit, and endpoint changes."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 from tests.upstream_harness import (
     abort_connection,
     address_of,
-    connecting_forever,
     new_attempt,
+    pool_without_connects,
     respond_with,
-    sending,
+    running_pool,
 )
 
 
 @pytest.mark.parametrize("cause", ["draining", "removed", "ended", "timed out"])
-async def test_attempt_that_ends_while_connecting_is_not_sent_afterwards(cause: str) -> None:
-    # A drain's grace period and a request's end pass during the connect: no byte may follow them.
-    async with connecting_forever() as sender:
+async def test_attempt_that_ends_while_connecting_is_not_sent(cause: str) -> None:
+    # A drain's grace period or the request itself can end during the connect: nothing may be sent afterwards.
+    async with pool_without_connects() as sender:
         started = sender.start(0.05 if cause == "timed out" else 20.0)
         await asyncio.sleep(0)
         assert sender.pool.connecting
@@ -40,11 +40,9 @@
 
 
 @pytest.mark.parametrize(("send_timeout", "outcome"), [(1.0, Outcome.CONNECT_FAILED), (3.0, Outcome.SUCCESS)])
-async def test_connect_that_completes_after_the_send_deadline_sends_nothing(
-    send_timeout: float, outcome: Outcome
-) -> None:
-    # Endpoints drop duplicates of a request only for some time: the decision was in time, the send is not.
-    async with sending() as (sender, endpoint):
+async def test_connect_after_send_deadline_sends_nothing(send_timeout: float, outcome: Outcome) -> None:
+    # Endpoints detect duplicates only for some time: the attempt was started in time, but is sent too late.
+    async with running_pool() as (sender, endpoint):
         pool = sender.pool
         clock = pool.clock
         connect_time = 0.0
@@ -58,14 +56,14 @@
 
 
 async def test_connect_times_out() -> None:
-    async with connecting_forever() as sender:
+    async with pool_without_connects() as sender:
         sender.pool.connect_timeout = 0.05
         assert await sender.outcome() is Outcome.CONNECT_FAILED
 
 
-async def test_idle_connections_are_closed_well_before_the_endpoint_closes_them() -> None:
+async def test_idle_connections_are_closed_before_keepalive_ends() -> None:
     now = 0.0
-    async with sending(keepalive=10.0) as (sender, endpoint):
+    async with running_pool(keepalive=10.0) as (sender, endpoint):
         sender.pool.clock = lambda: now
         assert await sender.outcome() is Outcome.SUCCESS
         now = 4.9
@@ -77,12 +75,13 @@
         await endpoint.wait_until(lambda: endpoint.closed_count == 2)
 
 
-async def test_endpoint_that_timed_out_or_restarted_gets_new_connections() -> None:
-    # A machine that is cut off leaves its connections open and silent. What is sent on a pooled one may have
-    # been executed; a connect that fails proves the opposite.
+async def test_failed_endpoint_gets_new_connections() -> None:
+    """The endpoint has timed out or was restarted."""
+    # A machine that loses its network leaves its connections open and silent. A request sent on a pooled
+    # connection may have been executed; a failed connect proves that it was not.
     success = respond_with(http_response(200))
     no_response = respond_with(b"")
-    async with sending(no_response, no_response, success, success, success) as (sender, peer):
+    async with running_pool(no_response, no_response, success, success, success) as (sender, peer):
         first = sender.start()
         await peer.wait_until(lambda: len(peer.requests) == 1)
         second = sender.start()
@@ -98,9 +97,9 @@
         assert await sender.outcome() is Outcome.SUCCESS and peer.connection_count == 5
 
 
-async def test_connections_are_limited_and_idle_ones_closed_for_new_ones() -> None:
+async def test_idle_connections_are_closed_at_connection_limit() -> None:
     no_response = respond_with(b"")
-    async with sending(no_response, no_response) as (sender, endpoint):
+    async with running_pool(no_response, no_response) as (sender, endpoint):
         sender.pool.max_connections = 2
         first = sender.start()
         sender.start()
@@ -114,15 +113,15 @@
         await endpoint.wait_until(lambda: endpoint.closed_count >= 2)
 
 
-async def test_connection_to_a_former_address_is_not_reused() -> None:
-    # A response that came after the change put its connection back under the same endpoint id.
+async def test_connection_to_former_address_is_not_reused() -> None:
+    # A response after the change of address returned its connection to the pool under the same endpoint id.
     released = asyncio.Event()
 
     async def respond_when_released(writer: asyncio.StreamWriter, request: HttpMessage) -> None:
         await released.wait()
         writer.write(http_response(200, b"old"))
 
-    async with sending(respond_when_released) as (sender, former):
+    async with running_pool(respond_when_released) as (sender, former):
         successor = FakeBackend()
         await successor.start()
         successor.script = [respond_with(http_response(200, b"new"))]
@@ -137,18 +136,18 @@
 
 
 async def test_stale_connections_shorten_the_idle_timeout() -> None:
-    # Each costs the request that is sent on it, which may have been executed.
+    # Each stale connection fails the request that is sent on it, which may have been executed.
     now = 0.0
     script = (respond_with(http_response(200)), abort_connection)
-    async with sending(*script, keepalive=60.0) as (sender, endpoint):
+    async with running_pool(*script, keepalive=60.0) as (sender, endpoint):
         sender.pool.clock = lambda: now
         assert await sender.outcome() is Outcome.SUCCESS
         now = 5.0
         assert await sender.outcome() is Outcome.BROKEN_RESPONSE and endpoint.connection_count == 1
         assert await sender.outcome() is Outcome.SUCCESS and endpoint.connection_count == 2
-        now = 9.0  # idle for less time than the stale connection was, but over the new timeout
+        now = 9.0  # idle for less time than the stale connection, but longer than the new timeout
         assert await sender.outcome() is Outcome.SUCCESS and endpoint.connection_count == 3
         now = 11.0
-        before = sender.pool.idle_timeout.seconds
+        timeout_before = sender.pool.idle_timeout.seconds
         assert await sender.outcome() is Outcome.SUCCESS and endpoint.connection_count == 3
-        assert before < sender.pool.idle_timeout.seconds < 30.0  # a live connection raises it again
+        assert timeout_before < sender.pool.idle_timeout.seconds < 30.0  # a live connection raises it again
--- a/tests/test_counter_client.py
+++ b/tests/test_counter_client.py
@@ -1,4 +1,4 @@
-"""The counter client: pipelining, timeouts, stalled connections, and the outcomes of calls that fail."""
+"""The counter client: pipelining, timeouts, stalled connections, and the outcomes of failed calls."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class ReplyRecorder:
-    """Queues the client's replies, and has the clock that the test advances."""
+    """Queues the client's replies, and holds the time in seconds, which the test advances."""
 
     def __init__(self) -> None:
         self.queue: asyncio.Queue[CounterReply] = asyncio.Queue()
@@ -41,13 +41,13 @@
     await server.stop()
 
 
-async def until(condition: Callable[[], object]) -> None:
+async def wait_for(condition: Callable[[], object]) -> None:
     async with asyncio.timeout(EVENT_TIMEOUT):
-        while not condition():  # noqa: ASYNC110  # the fake server has no event for these conditions
+        while not condition():  # noqa: ASYNC110 (no event marks these conditions)
             await asyncio.sleep(0.001)
 
 
-async def test_calls_are_pipelined_and_replied_to_in_order() -> None:
+async def test_calls_are_pipelined_and_answered_in_order() -> None:
     async with connected_client() as (client, replies, server):
         server.replies_enabled.clear()
         for amount in (1.5, 2.0, -0.5):
@@ -57,8 +57,8 @@
         assert server.connection_count == 1
 
 
-async def test_a_late_reply_is_matched_to_its_own_call() -> None:
-    # without its place in the order its total would be taken for the next call's
+async def test_late_reply_is_matched_to_its_call() -> None:
+    # Replies are matched in order: if the call was dropped, its total would be taken for that of the next.
     async with connected_client(0.02) as (client, replies, server):
         server.replies_enabled.clear()
         client.add("c1.7", 40.0, 4.0)
@@ -70,7 +70,7 @@
         assert replies.queue.empty() and server.connection_count == 1
 
 
-async def test_a_stalled_connection_is_replaced_for_later_calls() -> None:
+async def test_stalled_connection_is_replaced_for_later_calls() -> None:
     async with connected_client(0.02) as (client, replies, server):
         server.replies_enabled.clear()
         client.add("c1.7", 1.0, 4.0)
@@ -94,7 +94,7 @@
         (b"rubbish\r\n", Outcome.TIMED_OUT),
     ],
 )
-async def test_error_and_unknown_replies_have_their_outcome(reply: bytes, outcome: Outcome) -> None:
+async def test_error_and_unknown_replies_determine_outcome(reply: bytes, outcome: Outcome) -> None:
     async with connected_client() as (client, replies, server):
         server.scripted_replies = [reply]
         client.add("c1.7", 1.0, 4.0)
@@ -103,24 +103,25 @@
         assert await replies.next() == ("c1.7", Outcome.SUCCESS, 2.0)
 
 
-async def test_a_written_call_on_a_connection_that_breaks_times_out_as_it_may_have_been_added() -> None:
+async def test_written_call_times_out_on_connection_loss() -> None:
+    """The call may have been added."""
     async with connected_client() as (client, replies, server):
         server.replies_enabled.clear()
         client.add("c1.7", 1.0, 4.0)
-        await until(lambda: server.increments)
+        await wait_for(lambda: server.increments)
         for writer in list(server.open_writers):
             writer.transport.abort()
         assert (await replies.next())[1] is Outcome.TIMED_OUT
 
 
-async def test_a_call_without_a_connection_fails_as_not_added() -> None:
+async def test_call_without_connection_counts_as_not_added() -> None:
     async with connected_client() as (client, replies, server):
         await server.stop()
         client.add("c1.7", 1.0, 4.0)
         assert (await replies.next())[1] is Outcome.CONNECT_FAILED
 
 
-async def test_a_call_that_times_out_while_connecting_is_never_written() -> None:
+async def test_call_timed_out_while_connecting_is_not_written() -> None:
     async with connected_client() as (client, replies, server):
         client.timeout = 0.0
         client.add("c1.7", 1.0, 4.0)
@@ -133,8 +134,8 @@
         assert server.increments == [("c1.7", 2.0)]
 
 
-async def test_an_idle_connection_is_replaced() -> None:
-    # the counter closes idle connections without notice: a call sent at that moment may or may not be added
+async def test_idle_connection_is_replaced() -> None:
+    # The counter closes idle connections without notice: a call sent at that moment may or may not be added.
     async with connected_client() as (client, replies, server):
         client.add("c1.7", 1.0, 4.0)
         await replies.next()
@@ -143,7 +144,7 @@
         assert (await replies.next())[2] == 2.0 and server.connection_count == 2
 
 
-async def test_a_call_is_encoded_as_a_resp_command() -> None:
+async def test_call_is_encoded_as_resp_command() -> None:
     received: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
 
     async def read_command(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -173,8 +174,9 @@
         b"$3\r\n1_0\r\n",
     ],
 )
-async def test_a_malformed_reply_times_out_all_calls_and_closes_the_connection(reply: bytes) -> None:
-    # later replies may belong to other calls; nan once passed for a total and corrupted a quota level
+async def test_malformed_reply_times_out_all_calls(reply: bytes) -> None:
+    """The connection is closed as well."""
+    # Later replies may belong to other calls. A total of nan was once accepted and corrupted a quota level.
     async with connected_client() as (client, replies, server):
         server.scripted_replies = [reply]
         client.add("c1.7", 3.0, 4.0)
@@ -185,21 +187,22 @@
         assert await replies.next() == ("c1.8", Outcome.SUCCESS, 5.0) and server.connection_count == 2
 
 
-async def test_after_a_move_new_calls_go_to_the_new_address_and_earlier_calls_still_complete() -> None:
+async def test_move_redirects_new_calls_only() -> None:
+    """Calls that were sent to the old address still complete."""
     async with connected_client() as (client, replies, server):
         new_server = FakeCounter()
         await new_server.start()
         server.replies_enabled.clear()
         client.add("c1.7", 3.0, 4.0)
-        await until(lambda: server.increments)
+        await wait_for(lambda: server.increments)
         client.move(parse_address(new_server.address))
         client.add("c1.7", 4.0, 4.0)
         assert await replies.next() == ("c1.7", Outcome.SUCCESS, 4.0)
         server.replies_enabled.set()
         assert await replies.next() == ("c1.7", Outcome.SUCCESS, 3.0)
         assert server.increments == [("c1.7", 3.0)] and new_server.increments == [("c1.7", 4.0)]
-        # the former connection is closed when its last call has its reply
-        await until(lambda: not client.closing and not server.open_writers)
+        # The former connection is closed after the reply to its last call.
+        await wait_for(lambda: not client.closing and not server.open_writers)
         await new_server.stop()
 
 
@@ -235,19 +238,17 @@
 @pytest.mark.parametrize(
     ("delays", "outcomes"),
     [
-        # distant: the first call times out, its late reply gives the latency, and later calls wait for it
+        # Distant counter: the first call times out, and its late reply lengthens the timeout of later calls.
         ([0.05, 0.06, 0.15, 0.05], ["timed out", "success", "success", "success"]),
-        # close, and one call is queued there: it times out as configured
+        # Nearby counter that queues one call, which times out as configured.
         ([0.002, 0.06, 0.002, 0.025], ["success", "timed out", "success", "success"]),
-        # distant, and one call is queued there
+        # Distant counter that queues one call.
         ([0.05, 0.3, 0.06], ["timed out", "timed out", "success"]),
     ],
 )
 @pytest.mark.virtual_clock
-async def test_the_reply_timeout_follows_the_latency_of_the_counter(
-    delays: list[float], outcomes: list[str]
-) -> None:
-    # with a fixed timeout of 30 ms, 45% of the calls to a counter 21 to 95 ms away timed out
+async def test_reply_timeout_follows_counter_latency(delays: list[float], outcomes: list[str]) -> None:
+    # With a fixed timeout of 30 ms, 45% of the calls to a counter with a latency of 21 to 95 ms timed out.
     server, replies = DelayedCounter(*delays), asyncio.Queue[CounterReply]()
     await server.start()
     client = CounterClient(
@@ -259,6 +260,6 @@
         assert (await replies.get()).outcome.value == outcome
         await asyncio.sleep(0.4)  # a late reply has arrived by then
     client.move(parse_address(server.address))
-    assert client.reply_timeout == 0.03  # the latency of the new address is unknown
+    assert client.reply_timeout == 0.03  # the latency at the new address is unknown
     client.close()
     await server.stop()
--- a/tests/test_no_attempt_after_disconnect.py
+++ b/tests/test_no_attempt_after_disconnect.py
@@ -1,7 +1,7 @@
-"""No attempt, first or retry, starts more than 0.1 s after its client disconnected.
+"""No attempt, whether the first or a retry, starts more than 0.1 s after its client disconnected.
 
-On a virtual clock. A client disconnects in each way from each state of its request, and what the request
-waited for arrives at several times after that. On a busy core each event of the policy takes processor time.
+The tests run on a virtual clock. They combine each kind of disconnect with each state of the request and with
+several delays of the event that the request waits for. On a busy core each policy event takes CPU time.
 """
 
 from __future__ import annotations
@@ -23,8 +23,8 @@
 from tests.harness import Client, GatewayHarness, high_quota_settings, request, running_gateway
 from tests.virtual_clock import run_on_virtual_clock, virtual_clock_loop, virtual_unix_clock
 
-MAX_START_DELAY = 0.1  # seconds after the disconnect: the protocol's limit
-RELEASE_DELAYS = [0.02, 0.105, 0.125, 0.15, 0.4]  # seconds from the disconnect to what the request waits for
+MAX_START_DELAY = 0.1  # seconds after the disconnect, set by the protocol
+RELEASE_DELAYS = [0.02, 0.105, 0.125, 0.15, 0.4]  # seconds from the disconnect to the release
 DISCONNECTS = ["closes", "resets", "half-closes"]
 STATES = [
     "counter",
@@ -37,8 +37,8 @@
     "uploading",
     "queued",
 ]
-BURST_SIZE = 500  # clients
-EVENT_COST = 0.0004  # seconds of processor time for each event on a busy core
+BURST_SIZE = 500  # clients that disconnect at once
+EVENT_COST = 0.0004  # seconds of CPU time for each event on a busy core
 
 
 @pytest.fixture(autouse=True)
@@ -47,19 +47,19 @@
 
 
 class TimedRequests(list[HttpMessage]):
-    """Requests with the time at which each was complete, for short ones that of its first byte."""
+    """A list of requests that also records when each was complete."""
 
     def __init__(self, times: list[float]) -> None:
         super().__init__()
         self.times = times
 
-    def append(self, asked: HttpMessage) -> None:
+    def append(self, received: HttpMessage) -> None:
         self.times.append(virtual_clock_loop().now)
-        super().append(asked)
+        super().append(received)
 
 
 class RecordingBackend(FakeBackend):
-    """Records the arrival of requests, and of each connection's first byte: a long body may not complete."""
+    """Records when requests arrive, and each connection's first byte, as a long body may stay incomplete."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -69,34 +69,34 @@
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         first = await reader.readexactly(1)
         self.started_at.append(virtual_clock_loop().now)
-        reader._buffer[:0] = first  # type: ignore[attr-defined]  # put back, so that the whole message is read
+        reader._buffer[:0] = first  # type: ignore[attr-defined]  # put back for `read_message`
         await super().serve(reader, writer)
 
 
-def with_long_timeouts(env: dict[str, Any]) -> dict[str, Any]:
-    """Allow seconds for the counter, a connect and an attempt."""
-    env["domain"]["count_limit"] = 8000.0
-    env["limits"]["dial_timeout"] = 8000.0
-    for service in env["services"]:
+def with_long_timeouts(settings: dict[str, Any]) -> dict[str, Any]:
+    """Allow eight seconds each for a counter reply, a connect and an attempt."""
+    settings["domain"]["count_limit"] = 8000.0
+    settings["limits"]["dial_timeout"] = 8000.0
+    for service in settings["services"]:
         service["aim"] = 8000.0
-    return env
+    return settings
 
 
-async def until(condition: Callable[[], bool]) -> None:
-    """Wait for the condition, in steps of the virtual clock."""
+async def wait_for(condition: Callable[[], bool]) -> None:
+    """Wait for the condition, which is checked every 0.5 ms of the virtual clock."""
     async with asyncio.timeout(10.0):
         while not condition():  # noqa: ASYNC110 (no event marks the gateway's internal state)
             await asyncio.sleep(0.0005)
 
 
-def serve_without_units(writer: asyncio.StreamWriter, asked: HttpMessage) -> None:
+def serve_without_units(writer: asyncio.StreamWriter, received: HttpMessage) -> None:
     writer.write(http_response(200))  # without Billed-Units the estimate stays
 
 
-def disconnect(client: Client, how: str) -> None:
-    if how == "closes":
-        client.writer.transport.abort()  # nothing is unread, so that this is a close without a reset
-    elif how == "resets":
+def disconnect(client: Client, disconnect_kind: str) -> None:
+    if disconnect_kind == "closes":
+        client.writer.transport.abort()  # a close without a reset, since no data is unread
+    elif disconnect_kind == "resets":
         client.reset()
     else:
         client.writer.write_eof()
@@ -104,7 +104,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WaitingRequest:
-    """A gateway whose client's last request waits until `release` is called."""
+    """A gateway and a client whose last request waits until `release` is called."""
 
     harness: GatewayHarness
     client: Client
@@ -117,10 +117,10 @@
 
 
 @asynccontextmanager
-async def recording(backends: int, env: dict[str, Any]) -> AsyncIterator[GatewayHarness]:
+async def recording_gateway(backends: int, settings: dict[str, Any]) -> AsyncIterator[GatewayHarness]:
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr("tests.harness.FakeBackend", RecordingBackend)
-        async with running_gateway(backends, with_long_timeouts(env)) as harness:
+        async with running_gateway(backends, with_long_timeouts(settings)) as harness:
             yield harness
 
 
@@ -128,12 +128,12 @@
     return int(backend.address.rpartition(":")[2])
 
 
-def answer_after(
+def fail_after(
     event: asyncio.Event, state: str
 ) -> Callable[[asyncio.StreamWriter, HttpMessage], Awaitable[None]]:
-    """Make a backend that rejects its request, or resets the connection, at the event."""
+    """Return a step that rejects the request or aborts the connection when the event is set."""
 
-    async def answer(writer: asyncio.StreamWriter, asked: HttpMessage) -> None:
+    async def answer(writer: asyncio.StreamWriter, received: HttpMessage) -> None:
         await event.wait()
         if state == "rejected":
             writer.write(http_response(503, b"", "X-Rejected: 1"))
@@ -144,27 +144,27 @@
 
 
 async def wait_for_counter(harness: GatewayHarness, client: Client, state: str) -> Callable[[], None]:
-    """Send requests that wait for the counter, up to a number at which reading pauses."""
+    """Send requests that wait for the counter; in state "paused", enough of them to pause reading."""
     harness.counter.replies_enabled.clear()
-    number = {"counter": 1, "pipelined": 2, "paused": 8 * MAX_PIPELINED_REQUESTS}[state]
-    client.send(b"".join(request(n) for n in range(number)))
+    count = {"counter": 1, "pipelined": 2, "paused": 8 * MAX_PIPELINED_REQUESTS}[state]
+    client.send(b"".join(request(n) for n in range(count)))
     active_requests = harness.process.dispatcher.active_requests
-    await until(lambda: len(active_requests) >= min(number, MAX_PIPELINED_REQUESTS))
+    await wait_for(lambda: len(active_requests) >= min(count, MAX_PIPELINED_REQUESTS))
     if state == "paused":
-        await until(lambda: any(c.read_paused for c in harness.process.listener.connections))
+        await wait_for(lambda: any(c.read_paused for c in harness.process.listener.connections))
     return harness.counter.replies_enabled.set
 
 
 async def wait_in_queue(harness: GatewayHarness, client: Client) -> Callable[[], None]:
-    """Send a request that is queued, as its customer's burst is used up."""
+    """Send a request that is queued because its customer's burst is used up."""
     dispatcher = harness.process.dispatcher
     for backend in harness.backends:
         backend.script = [serve_without_units, serve_without_units]
-    for number, units in enumerate(("8", "4")):  # the whole burst
+    for number, units in enumerate(("8", "4")):  # the entire burst
         assert (await client.exchange(request(number, plan="pro", units=units)))[0] == 200
     client.send(request(9, plan="pro"))
     (limiter,) = dispatcher.engine.limiters.limiters.values()
-    await until(lambda: bool(limiter.queue))
+    await wait_for(lambda: bool(limiter.queue))
 
     def release() -> None:
         limiter.balance += 4.0
@@ -180,22 +180,22 @@
     """Send a request whose first attempt waits for a connection."""
     virtual_clock_loop().connect_delays = {port_of(b): connect_time for b in harness.backends}
     client.send(text)
-    await until(lambda: bool(harness.process.pool.connecting))
+    await wait_for(lambda: bool(harness.process.pool.connecting))
 
 
 async def wait_for_backend(
     harness: GatewayHarness, client: Client, state: str, connect_time: float
 ) -> Callable[[], None]:
-    """Send a request whose first attempt fails at the release, or has failed and is being retried."""
+    """Send a request whose first attempt fails at the release; if "reconnecting", its retry connects."""
     event = asyncio.Event()
     for backend in harness.backends:
-        backend.script = [answer_after(event, state)]
+        backend.script = [fail_after(event, state)]
     client.send(request(9))
-    await until(lambda: any(b.requests for b in harness.backends))
+    await wait_for(lambda: any(b.requests for b in harness.backends))
     if state == "reconnecting":
         virtual_clock_loop().connect_delays = {port_of(b): connect_time for b in harness.backends}
         event.set()
-        await until(lambda: bool(harness.process.pool.connecting))
+        await wait_for(lambda: bool(harness.process.pool.connecting))
     return event.set
 
 
@@ -203,13 +203,13 @@
 async def waiting_request(state: str, connect_time: float) -> AsyncIterator[WaitingRequest]:
     """Start a gateway and bring a request into a state.
 
-    `connect_time`: seconds until a connection to a backend is made, in the states that wait for one. The
-    client disconnects a moment after this yields, so that it counts from there.
+    In the states that wait for a connection, a connect to a backend takes `connect_time` seconds. The client
+    disconnects right after this yields, so that the time counts from the disconnect.
     """
-    counted = state in ("counter", "queued", "pipelined", "paused")
-    async with recording(2, example_settings() if counted else high_quota_settings()) as harness:
+    uses_counter = state in ("counter", "queued", "pipelined", "paused")
+    async with recording_gateway(2, example_settings() if uses_counter else high_quota_settings()) as harness:
         client = await harness.connect_client()
-        release: Callable[[], None] = asyncio.Event().set  # with no effect: the connect time passes by itself
+        release: Callable[[], None] = asyncio.Event().set  # no effect: the connect completes by itself
         match state:
             case "counter" | "pipelined" | "paused":
                 release = await wait_for_counter(harness, client, state)
@@ -227,61 +227,61 @@
         yield WaitingRequest(harness, client, release)
 
 
-@pytest.mark.parametrize("how", DISCONNECTS)
+@pytest.mark.parametrize("disconnect_kind", DISCONNECTS)
 @pytest.mark.parametrize("state", STATES)
-def test_no_attempt_starts_after_the_client_disconnected(state: str, how: str) -> None:
+def test_no_attempt_starts_after_disconnect(state: str, disconnect_kind: str) -> None:
     delays: list[float] = []
 
     async def test() -> None:
         for release_delay in RELEASE_DELAYS:
-            async with waiting_request(state, release_delay) as case:
+            async with waiting_request(state, release_delay) as waiting:
                 disconnected_at = virtual_clock_loop().now
-                disconnect(case.client, how)
+                disconnect(waiting.client, disconnect_kind)
                 await asyncio.sleep(release_delay)
-                case.release()
+                waiting.release()
                 await asyncio.sleep(3.0)
-                delays.extend(t - disconnected_at for t in attempt_starts(case.harness))
-                dispatcher = case.harness.process.dispatcher
+                delays.extend(t - disconnected_at for t in attempt_starts(waiting.harness))
+                dispatcher = waiting.harness.process.dispatcher
                 assert not dispatcher.engine.forwarder.requests and not dispatcher.active_requests
-                assert not case.harness.process.pool.connecting
+                assert not waiting.harness.process.pool.connecting
                 for limiter in dispatcher.engine.limiters.limiters.values():
                     assert limiter.queued_units == 0 and not limiter.queue and not limiter.in_flight
             virtual_clock_loop().connect_delays = {}
 
     run_on_virtual_clock(test)
-    print(f"{state}, {how}: latest attempt {max(delays, default=-1.0):.3f} s after the disconnect")
+    print(
+        f"{state}, {disconnect_kind}: latest attempt {max(delays, default=-1.0):.3f} s after the disconnect"
+    )
     assert max(delays, default=0.0) <= MAX_START_DELAY
 
 
-@pytest.mark.parametrize("how", DISCONNECTS)
+@pytest.mark.parametrize("disconnect_kind", DISCONNECTS)
 @pytest.mark.virtual_clock
-async def test_units_of_a_disconnected_client_are_refunded_exactly_once(how: str) -> None:
+async def test_disconnected_clients_units_are_refunded_once(disconnect_kind: str) -> None:
     for state in ("counter", "connecting"):
-        async with waiting_request(state, 0.2) as case:
-            (limiter,) = case.harness.process.dispatcher.engine.limiters.limiters.values()
-            limiter.rate = 0.0  # no refill over time
-            before = limiter.balance + (1.0 if state == "connecting" else limiter.queued_units)
-            disconnect(case.client, how)
+        async with waiting_request(state, 0.2) as waiting:
+            (limiter,) = waiting.harness.process.dispatcher.engine.limiters.limiters.values()
+            limiter.rate = 0.0  # no refill
+            balance_before = limiter.balance + (1.0 if state == "connecting" else limiter.queued_units)
+            disconnect(waiting.client, disconnect_kind)
             await asyncio.sleep(0.15)
-            case.release()
+            waiting.release()
             await asyncio.sleep(1.0)
             limiter.rate = 0.0
             if state == "connecting":
-                assert limiter.balance == pytest.approx(before)
-            counted = sum(amount for _, amount in case.harness.counter.increments)
-            assert counted + limiter.unreported_units == pytest.approx(
-                0.0
-            )  # reported, and yet to be reported
+                assert limiter.balance == pytest.approx(balance_before)
+            reported = sum(amount for _, amount in waiting.harness.counter.increments)
+            assert reported + limiter.unreported_units == pytest.approx(0.0)
         virtual_clock_loop().connect_delays = {}
 
 
-@pytest.mark.parametrize("how", DISCONNECTS)
+@pytest.mark.parametrize("disconnect_kind", DISCONNECTS)
 @pytest.mark.parametrize("state", ["counter", "connecting"])
 @pytest.mark.virtual_clock
-async def test_burst_of_disconnects_on_a_busy_core_starts_no_late_attempt(
-    state: str, how: str, monkeypatch: pytest.MonkeyPatch
+async def test_disconnect_burst_starts_no_late_attempt(
+    state: str, disconnect_kind: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The last of the disconnects is read 0.2 s after it happened, when the requests have been released."""
+    """On a busy core the last disconnect is read 0.2 s late, when the requests have been released."""
     busy = False
     detected_at: list[float] = []
     handle, begin_grace_period = RequestDispatcher.handle, HalfClose.begin
@@ -300,7 +300,9 @@
     monkeypatch.setattr(RequestDispatcher, "handle", handle_slowly)
     monkeypatch.setattr(HalfClose, "begin", begin_slowly)
     loop = virtual_clock_loop()
-    async with recording(2, example_settings() if state == "counter" else high_quota_settings()) as harness:
+    async with recording_gateway(
+        2, example_settings() if state == "counter" else high_quota_settings()
+    ) as harness:
         dispatcher = harness.process.dispatcher
         clients = [await harness.connect_client() for _ in range(BURST_SIZE)]
         harness.counter.replies_enabled.clear()
@@ -310,18 +312,18 @@
                 endpoint.concurrency_limit = BURST_SIZE
         for number, client in enumerate(clients):
             client.send(request(number, customer=f"{number:016x}"))
-        await until(lambda: len(dispatcher.active_requests) >= 0.6 * BURST_SIZE)
-        waiting, disconnected_at, busy = len(dispatcher.active_requests), loop.now, True
+        await wait_for(lambda: len(dispatcher.active_requests) >= 0.6 * BURST_SIZE)
+        waiting_count, disconnected_at, busy = len(dispatcher.active_requests), loop.now, True
         for client in clients:
-            disconnect(client, how)
+            disconnect(client, disconnect_kind)
         if state == "counter":
             harness.counter.replies_enabled.set()
         await asyncio.sleep(2.0)
         busy = False
         delays = [t - disconnected_at for t in attempt_starts(harness)]
         print(
-            f"burst, {state}, {how}: {waiting} requests waited, the last disconnect was detected after "
-            f"{max(detected_at, default=disconnected_at) - disconnected_at:.3f} s, "
+            f"burst, {state}, {disconnect_kind}: {waiting_count} requests waited, the last disconnect was "
+            f"detected after {max(detected_at, default=disconnected_at) - disconnected_at:.3f} s, "
             f"latest attempt {max(delays, default=-1.0):.3f} s after it"
         )
         assert max(delays, default=0.0) <= MAX_START_DELAY
--- a/tests/test_response_order.py
+++ b/tests/test_response_order.py
@@ -1,4 +1,4 @@
-"""Responses of pipelined requests: each in the form of its own request, also when the connection ends."""
+"""Pipelined requests: each response is framed for its own request, and a lost connection ends all of them."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 LONG_BODY = b"y" * (2 * MAX_BUFFERED_BYTES)
 
 
-async def test_a_streamed_response_is_framed_by_the_version_of_its_own_request() -> None:
+async def test_streamed_response_uses_http_version_of_request() -> None:
     released = asyncio.Event()
 
-    async def stream(writer: asyncio.StreamWriter, asked: HttpMessage) -> None:
-        if not asked.headers["x-call-id"].endswith("1"):
-            send_success(writer, asked)
+    async def answer(writer: asyncio.StreamWriter, received: HttpMessage) -> None:
+        if not received.headers["x-call-id"].endswith("1"):
+            send_success(writer, received)
             return
         await released.wait()
         size = b"%x\r\n" % len(LONG_BODY)
@@ -27,7 +27,7 @@
 
     async with running_gateway() as harness:
         backend = harness.backends[0]
-        backend.script = [stream, stream]
+        backend.script = [answer, answer]
         client = await harness.connect_client()
         client.send(request(1) + request(2).replace(b"HTTP/1.1", b"HTTP/1.0"))
         await backend.wait_until(lambda: len(backend.requests) == 2)
@@ -38,10 +38,10 @@
         assert (await client.read_response()).status == 200
 
 
-async def test_requests_of_a_lost_connection_are_all_ended_while_the_gateway_drains(
+async def test_lost_connection_ends_pipelined_requests_while_draining(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    """The end of one request has the next one in the queue answered, whose connection is lost too."""
+    """Ending one request answers the next one in the queue, whose connection is lost too."""
     async with running_gateway() as harness:
         dispatcher = harness.process.dispatcher
         backend = harness.backends[0]
@@ -53,10 +53,10 @@
         client.send(request(2, plan="pro", units="4.6") + request(3, plan="pro", units="0.4"))
         (limiter,) = dispatcher.engine.limiters.limiters.values()
         async with asyncio.timeout(1.0):
-            while len(limiter.queue) < 2:  # noqa: ASYNC110 (no event marks it)
+            while len(limiter.queue) < 2:  # noqa: ASYNC110 (no event marks the gateway's internal state)
                 await asyncio.sleep(0)
         for endpoint in dispatcher.engine.endpoints.values():
-            endpoint.concurrency_limit = 0.0  # the request that leaves the queue is rejected
+            endpoint.concurrency_limit = 0.0  # a request that leaves the queue is rejected
         dispatcher.set_draining(True)
         client.reset()
         async with asyncio.timeout(1.0):
