--- a/tests/process_pair.py
+++ b/tests/process_pair.py
@@ -1,6 +1,6 @@
-"""One or two processes of a gateway in virtual time, with backends and a counter that behave at random.
+"""Simulation of one or two processes of a gateway in virtual time, with random backends and a random counter.
 
-All that the engines decide is written down, line by line.
+Every event and every action of the policy engines is recorded as a line of a transcript.
 """
 
 from __future__ import annotations
@@ -39,12 +39,12 @@
 from quota_gateway.model.timers import Timer
 from tests.transcript import action_text, event_text
 
-START_TIME = 1000.0  # seconds
-SUCCESSOR_SEED = 77  # of the engine of the second process
-PEER_DELAY = 0.002  # seconds that a message takes between the two processes
+START_TIME = 1000.0  # seconds of virtual time
+SUCCESSOR_SEED = 77  # seed of the second process's policy engine
+PEER_DELAY = 0.002  # seconds that a message between the two processes takes
 SERVICE_TIMES = (0.02, 0.1, 0.3, 0.6)  # seconds; each is scaled by a factor from 0.5 to 1.5
-STREAMED_FRACTION = 0.06  # of the responses
-# Outcomes stand as often as they are to be drawn.
+STREAMED_FRACTION = 0.06  # fraction of the responses that are streamed
+# Outcomes are drawn uniformly from these tuples; repeating an outcome makes it more likely.
 OUTCOMES = (
     Outcome.SUCCESS,
     Outcome.SUCCESS,
@@ -76,30 +76,31 @@
     STREAM_END = auto()
 
 
+# The outcome for each cause; the outcome of a response is drawn at random.
 FIXED_OUTCOMES = {
     EndCause.TIMEOUT: Outcome.TIMED_OUT,
     EndCause.CANCELLATION: Outcome.CANCELLED,
     EndCause.STREAM_END: Outcome.SUCCESS,
-}  # by cause; a response's outcome is drawn
+}
 
 
 @dataclass(frozen=True, slots=True)
 class TimerDue:
-    """A timer that an engine has set."""
+    """The expiry of a timer that an engine has set."""
 
     timer: Timer
 
 
 @dataclass(frozen=True, slots=True)
 class ChargeReceived:
-    """A message from the other process."""
+    """The arrival of a charge that the other process reports."""
 
     charge: UnitsCharged
 
 
 @dataclass(frozen=True, slots=True)
 class CounterReplyReceived:
-    """The counter's reply to a call."""
+    """A reply of the counter to the call sent at `sent_at`, in seconds."""
 
     key: str
     total: float
@@ -108,7 +109,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnd:
-    """The end of an attempt, unless it has ended before."""
+    """The end of an attempt; it has no effect if the attempt has already ended."""
 
     request_id: int
     attempt_index: int
@@ -119,7 +120,7 @@
 
 
 class ScheduledEffect(NamedTuple):
-    """An effect on one process; `sequence` keeps those at one time in the order of their scheduling."""
+    """An effect on one process; effects at the same time happen in the order of `sequence`."""
 
     due_at: float
     sequence: int
@@ -128,21 +129,24 @@
 
 
 class RequestKey(NamedTuple):
-    """A request of one process."""
+    """Identifies a request of one process."""
 
     process: int
     request_id: int
 
 
 class SentAttempt(NamedTuple):
-    """Where and when an attempt was sent."""
+    """The endpoint that an attempt was sent to, and the time in seconds."""
 
     endpoint_id: str
     sent_at: float
 
 
 class ProcessPair:
-    """The engines of a gateway's processes, the effects of their actions, and the transcript in `lines`."""
+    """Runs the policy engines of a gateway's processes and carries out their actions.
+
+    `lines` is the transcript.
+    """
 
     def __init__(self, settings: Settings, seed: int, chance: random.Random) -> None:
         self.settings = settings
@@ -154,7 +158,7 @@
         self.lines: list[str] = []
         self.in_flight: dict[RequestKey, list[int]] = {}
         self.sent: dict[RequestKey, list[SentAttempt]] = {}
-        self.uploads: dict[RequestKey, float] = {}  # requests with an incomplete body, and their time budgets
+        self.uploads: dict[RequestKey, float] = {}  # seconds; budgets of requests with incomplete bodies
         self.totals: dict[str, float] = {}
 
     def write(self, line: str) -> None:
@@ -162,21 +166,21 @@
         self.lines.append(line)
 
     def schedule(self, delay: float, process: int, effect: Effect) -> None:
-        """Have an effect happen to a process, `delay` seconds from now."""
+        """Schedule an effect on a process, `delay` seconds from now."""
         self.scheduled_count += 1
         heapq.heappush(
             self.scheduled, ScheduledEffect(self.now + delay, self.scheduled_count, process, effect)
         )
 
     def handle(self, process: int, event: Event) -> None:
-        """Have an engine handle an event now, record it with its actions, and schedule their effects."""
+        """Pass an event to a process's engine; record the event, and record and carry out its actions."""
         self.write(event_text(self.now, process, event))
         for action in self.engines[process].handle(event, self.now):
             self.write("  " + action_text(action))
             self.carry_out(process, action)
 
     def carry_out(self, process: int, action: Action) -> None:
-        """Schedule the effects of an action; those without an effect here are only recorded."""
+        """Schedule the effects of an action; actions without a case here have no effect in the simulation."""
         match action:
             case SetTimer():
                 self.schedule(action.delay, process, TimerDue(action.timer))
@@ -193,7 +197,7 @@
                 self.uploads.pop(RequestKey(process, action.request_id), None)
 
     def start_attempt(self, process: int, action: StartAttempt) -> None:
-        """Send an attempt, and schedule its response or its timeout, whichever is first."""
+        """Send an attempt, and schedule its response or its timeout, whichever comes first."""
         key = RequestKey(process, action.request_id)
         attempts = self.sent.setdefault(key, [])
         index = len(attempts)
@@ -207,7 +211,7 @@
             self.schedule(duration, process, AttemptEnd(action.request_id, index, EndCause.RESPONSE))
 
     def call_counter(self, process: int, action: IncrementCounter) -> None:
-        """Add to a total, to which other gateways may have added too, and schedule the reply."""
+        """Increment a total and schedule the reply, which may include increments by other gateways."""
         total = self.totals.get(action.name, 0.0) + action.amount
         self.totals[action.name] = total
         total += self.chance.choice([0.0, 0.0, 1.0, 5.0])
@@ -215,7 +219,7 @@
         self.schedule(latency, process, CounterReplyReceived(action.name, total, self.now))
 
     def run_until(self, until: float) -> None:
-        """Advance the time, and let happen what is due by then."""
+        """Apply all effects scheduled up to the time `until`, and advance the clock to it."""
         while self.scheduled and self.scheduled[0].due_at <= until:
             scheduled = heapq.heappop(self.scheduled)
             self.now = scheduled.due_at
@@ -223,7 +227,7 @@
         self.now = until
 
     def apply(self, process: int, effect: Effect) -> None:
-        """Let an effect happen now."""
+        """Apply an effect at the current time."""
         match effect:
             case TimerDue(timer):
                 self.handle(process, TimerFired(timer))
@@ -236,7 +240,7 @@
                 self.end_attempt(process, effect)
 
     def end_attempt(self, process: int, end: AttemptEnd) -> None:
-        """End an attempt that is in flight; some responses begin to stream, and end later."""
+        """End an attempt if it is in flight; a fraction of the responses is streamed and ends later."""
         key = RequestKey(process, end.request_id)
         if end.attempt_index not in self.in_flight.get(key, ()):
             return
@@ -261,14 +265,14 @@
         self.handle(process, event)
 
     def start_stream(self, process: int, end: AttemptEnd) -> None:
-        """Begin to stream a response, and schedule its end."""
+        """Start to stream a response, and schedule the end of the stream."""
         elapsed = self.chance.choice([0.0, 0.2])
         self.handle(process, ResponseStreamStarted(end.request_id, end.attempt_index, elapsed))
         stream_end = AttemptEnd(end.request_id, end.attempt_index, EndCause.STREAM_END)
         self.schedule(0.5 * self.chance.random(), process, stream_end)
 
     def start_successor(self) -> None:
-        """Start the second process, which takes over the first one's endpoints and state."""
+        """Start the second process, and restore the endpoints and the state of the first one in it."""
         self.engines.append(PolicyEngine(self.settings, SUCCESSOR_SEED, self.now))
         endpoints = tuple(known.endpoint for known in self.engines[0].endpoints.values())
         self.handle(1, EndpointListUpdate(EndpointListKind.CACHED, endpoints))
@@ -276,18 +280,18 @@
         self.announce_peer(True)
 
     def announce_peer(self, present: bool) -> None:
-        """Notify both processes of whether the other runs."""
+        """Notify each process whether the other one is running."""
         for process in range(2):
             self.handle(process, PeerProcessChanged(present))
 
     def transfer_state(self, source: int, target: int) -> None:
-        """Restore one process's state in the other, as it comes over the wire, and record it."""
+        """Restore the state of one process in the other by way of its JSON form, and record it."""
         state = json.dumps(self.engines[source].snapshot(self.now).state)
         self.write("  state " + state)
         self.handle(target, StateSnapshot(json.loads(state)))
 
     def write_status(self, process: int) -> None:
-        """Record what a process says of itself."""
+        """Record a process's unavailable endpoints, and whether it accepts clients."""
         engine = self.engines[process]
         unavailable = engine.unavailable_endpoints()
         self.write(f"  avoided {unavailable} takes clients {engine.accepts_clients()}")
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -38,7 +38,7 @@
 
 
 def forwarded(engine: PolicyEngine, number: int, units: float) -> list[StartAttempt | UnitsCharged]:
-    """Return the attempt that a request at 100 s starts, and the charge that is reported for it."""
+    """Handle a request at 100 s; return the attempt that it starts and the charge reported to the peer."""
     actions = engine.handle(make_request(number, units=units), 100.0)
     return [action for action in actions if isinstance(action, StartAttempt | UnitsCharged)]
 
@@ -50,7 +50,7 @@
 
 def test_units_charged_by_the_older_process_are_charged_in_the_newer() -> None:
     old, new = make_engine(), make_engine()
-    capacity = 4.0  # half of the plan's burst, for one of two gateways
+    capacity = 4.0  # units; half of the plan's burst, as the fleet has two gateways
     assert len(forwarded(old, 1, capacity)) == 1
     new.handle(transferred_state(old), 100.0)
     assert new.limiters.limiters["c"].balance == 0.0 and not forwarded(new, 2, 1.0)
@@ -65,9 +65,10 @@
 
 
 def test_units_charged_by_either_process_are_charged_in_the_other() -> None:
+    """A charge and its correction to the actual units reach the peer process."""
     old, new = make_engine(settles_actual_units=True), make_engine(settles_actual_units=True)
     new.handle(transferred_state(old), 100.0)
-    # without a peer nothing is reported
+    # Without a peer process, no charge is reported.
     assert not [a for a in forwarded(old, 1, 1.0) if isinstance(a, UnitsCharged)]
     for engine in (old, new):
         engine.handle(PeerProcessChanged(True), 100.0)
@@ -83,6 +84,7 @@
 
 
 def test_maintenance_its_end_and_draining_are_restored() -> None:
+    """An endpoint whose maintenance has ended still warms up in the newer process."""
     old, new = make_engine(), make_engine(now=101.0)
     old.handle(SetMaintenance("a", True), 100.0)
     old.handle(SetMaintenance("b", True), 100.0)
@@ -107,7 +109,7 @@
 
 
 class ProcessGroup:
-    """Processes of one gateway at one listening socket, as the platform starts them."""
+    """Processes of one gateway that share a listening socket, as the platform starts them."""
 
     def __init__(self, harness: GatewayHarness, listener: socket.socket, folder: pathlib.Path) -> None:
         self.harness, self.listener, self.folder = harness, listener, folder
@@ -117,7 +119,7 @@
     async def start(
         self, variables: Mapping[str, str] | None = None
     ) -> tuple[asyncio.subprocess.Process, int]:
-        """Start a process, wait until it serves, and return it with its admin port.
+        """Start a process, wait until it is healthy, and return it with its admin port.
 
         `variables` are added to its environment.
         """
@@ -147,12 +149,13 @@
         )
         self.children.append(child)
         async with asyncio.timeout(EVENT_TIMEOUT):
-            # a child process sets no event of this loop
+            # The health of a child process can only be polled.
             while (await self.call(admin_port, "GET", "/healthcheck")) != 200:  # noqa: ASYNC110
                 await asyncio.sleep(0.01)
         return child, admin_port
 
     async def call(self, admin_port: int, method: str, path: str) -> int:
+        """Send an admin request and return the status; 0 without a response."""
         self.harness.admin_port = admin_port
         try:
             return (await self.harness.call_admin(method, path))[0]
@@ -193,6 +196,7 @@
 
 
 async def test_a_hot_restart_loses_no_request_and_keeps_maintenance(tmp_path: pathlib.Path) -> None:
+    """The older process completes its requests while the newer one serves new connections."""
     async with process_group(tmp_path) as processes:
         harness = processes.harness
         old, old_admin_port = await processes.start()
@@ -204,7 +208,7 @@
         waiting.send(request(1, budget=900.0))
         await harness.backends[1].wait_until(lambda: len(harness.backends[1].requests) == 1)
         _, new_admin_port = await processes.start()
-        async with asyncio.timeout(EVENT_TIMEOUT):  # until the older process stops accepting
+        async with asyncio.timeout(EVENT_TIMEOUT):  # until the older process stops accepting connections
             number = 10
             while (await processes.metrics(new_admin_port))["success.lookup"] == 0:
                 number += 1
@@ -228,6 +232,7 @@
 async def test_a_quota_in_use_goes_on_though_the_wall_clock_was_stepped(
     step: float, tmp_path: pathlib.Path
 ) -> None:
+    """Units spent in the older process stay spent in the newer one, whatever its wall clock says."""
     faults = FaultInjector(tmp_path / "faults")
     folder = tmp_path / "shared"
     folder.mkdir()
@@ -242,14 +247,14 @@
             backend.script = [respond_with(http_response(200))] * 20  # without Billed-Units
         older, _ = await processes.start()
         spent_at = asyncio.get_running_loop().time()
-        assert await status(1, "8") == await status(2, "4") == 200  # the whole burst of 12 units
+        assert await status(1, "8") == await status(2, "4") == 200  # the entire burst of 12 units
         faults.step_wall_clock(step)
         await processes.start(faults.environment)
         older.send_signal(signal.SIGTERM)
         await older.wait()
         assert await status(3, "8") == await status(4, "8") == 200
         elapsed = asyncio.get_running_loop().time() - spent_at
-        # from 4 units a second, this gateway's part of the quota, to 8, all of it, whatever the clock says
+        # The refill rate is between this gateway's part of the quota, 4 units a second, and all of it, 8.
         assert 16.0 / 8.0 <= elapsed <= 16.0 / 4.0 + 1.0
 
 
@@ -271,9 +276,8 @@
         child, _ = await processes.start()
         child.kill()
         await child.wait()
-        waiting = (
-            await processes.harness.connect_client()
-        )  # queued at the descriptor, whichever process accepts
+        # The connection waits in the backlog of the shared socket until some process accepts it.
+        waiting = await processes.harness.connect_client()
         assert (await waiting.exchange(request(1)))[0] == 200
         assert (await waiting.exchange(request(2)))[0] == 200  # the connection is kept alive
         assert (await processes.metrics(old))["success.lookup"] >= 2
@@ -284,6 +288,7 @@
 async def test_a_link_that_can_not_be_made_does_not_end_the_start(
     tmp_path: pathlib.Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """A process that can not connect to the older one (ENOMEM) starts without its state."""
     with socket.socket(socket.AF_UNIX) as older:
         older.bind(str(tmp_path / SOCKET_NAME))
         older.listen()
@@ -309,6 +314,7 @@
 async def test_a_peers_command_for_an_endpoint_that_is_not_listed_yet_counts_once_it_is(
     tmp_path: pathlib.Path,
 ) -> None:
+    """Maintenance that a peer sets for an unknown endpoint applies once the endpoint is listed."""
     async with running_gateway(2) as harness:
         process = harness.process
         listed = harness.discovery.entry("new", harness.backends[1].address)
@@ -318,7 +324,7 @@
         restarting.handle_message(ProcessLink(restarting), SetMaintenance("new", True))
         await harness.discovery.publish(listed)
         async with asyncio.timeout(EVENT_TIMEOUT):
-            while "new" not in process.dispatcher.engine.endpoints:  # noqa: ASYNC110 (no event marks it)
+            while "new" not in process.dispatcher.engine.endpoints:  # noqa: ASYNC110 - it has no event
                 await asyncio.sleep(0.01)
         assert "new" not in [endpoint.id for endpoint in process.dispatcher.engine.registry.serving]
         restarting.close()
@@ -328,6 +334,7 @@
 async def test_files_left_by_an_older_process_do_not_prevent_the_start(
     stale: str, tmp_path: pathlib.Path
 ) -> None:
+    """A file, socket or folder at the path of the shared socket does not prevent the start."""
     path = tmp_path / SOCKET_NAME
     if stale == "file":
         path.write_text("left")
@@ -344,6 +351,7 @@
 async def test_a_hanging_older_process_does_not_delay_the_start(
     tmp_path: pathlib.Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """State that arrives after the timeout is still restored."""
     monkeypatch.setattr(coordinator, "STATE_TRANSFER_TIMEOUT", 0.01)
     with socket.socket(socket.AF_UNIX) as hanging:
         hanging.bind(str(tmp_path / SOCKET_NAME))
@@ -362,10 +370,10 @@
             state = {**process.dispatcher.state_snapshot().state, "banned": []}
             link = next(iter(restarting.links))
             link.data_received(json.dumps({"estate": state, "list": []}).encode() + b"\n")
-            # the command that came before the state is in force after it
+            # A maintenance command that preceded the state still applies after the restore.
             assert process.dispatcher.engine.registry.under_maintenance == {"b0"}
             link.data_received(b"[nonsense\n")
             restarting.close()
             older.close()
             client: Client = await harness.connect_client()
-            assert (await client.exchange(READY_REQUEST))[0] == 503  # its one backend is in maintenance
+            assert (await client.exchange(READY_REQUEST))[0] == 503  # its only backend is under maintenance
