--- a/tests/process_pair.py
+++ b/tests/process_pair.py
@@ -85,7 +85,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TimerDue:
+class TimerExpiry:
     """The expiry of a timer that an engine has set."""
 
     timer: Timer
@@ -116,7 +116,7 @@
     cause: EndCause
 
 
-Effect = TimerDue | ChargeReceived | CounterReplyReceived | AttemptEnd
+Effect = TimerExpiry | ChargeReceived | CounterReplyReceived | AttemptEnd
 
 
 class ScheduledEffect(NamedTuple):
@@ -148,9 +148,9 @@
     `lines` is the transcript.
     """
 
-    def __init__(self, settings: Settings, seed: int, chance: random.Random) -> None:
+    def __init__(self, settings: Settings, seed: int, rng: random.Random) -> None:
         self.settings = settings
-        self.chance = chance
+        self.rng = rng
         self.now = START_TIME
         self.engines = [PolicyEngine(settings, seed, START_TIME)]
         self.scheduled: list[ScheduledEffect] = []
@@ -183,7 +183,7 @@
         """Schedule the effects of an action; actions without a case here have no effect in the simulation."""
         match action:
             case SetTimer():
-                self.schedule(action.delay, process, TimerDue(action.timer))
+                self.schedule(action.delay, process, TimerExpiry(action.timer))
             case StartAttempt():
                 self.start_attempt(process, action)
             case CancelAttempt():
@@ -203,7 +203,7 @@
         index = len(attempts)
         self.in_flight.setdefault(key, []).append(index)
         attempts.append(SentAttempt(action.endpoint_id, self.now))
-        duration = self.chance.choice(SERVICE_TIMES) * (0.5 + self.chance.random())
+        duration = self.rng.choice(SERVICE_TIMES) * (0.5 + self.rng.random())
         if 0 < action.timeout < duration:
             end = AttemptEnd(action.request_id, index, EndCause.TIMEOUT)
             self.schedule(action.timeout, process, end)
@@ -214,8 +214,8 @@
         """Increment a total and schedule the reply, which may include increments by other gateways."""
         total = self.totals.get(action.name, 0.0) + action.amount
         self.totals[action.name] = total
-        total += self.chance.choice([0.0, 0.0, 1.0, 5.0])
-        latency = 0.001 + 0.06 * self.chance.random() ** 3
+        total += self.rng.choice([0.0, 0.0, 1.0, 5.0])
+        latency = 0.001 + 0.06 * self.rng.random() ** 3
         self.schedule(latency, process, CounterReplyReceived(action.name, total, self.now))
 
     def run_until(self, until: float) -> None:
@@ -229,12 +229,12 @@
     def apply(self, process: int, effect: Effect) -> None:
         """Apply an effect at the current time."""
         match effect:
-            case TimerDue(timer):
+            case TimerExpiry(timer):
                 self.handle(process, TimerFired(timer))
             case ChargeReceived(charge):
                 self.handle(process, charge)
             case CounterReplyReceived(key, total, sent_at):
-                outcome = self.chance.choice(COUNTER_OUTCOMES)
+                outcome = self.rng.choice(COUNTER_OUTCOMES)
                 self.handle(process, CounterReply(key, outcome, self.now - sent_at, total))
             case AttemptEnd():
                 self.end_attempt(process, effect)
@@ -244,14 +244,14 @@
         key = RequestKey(process, end.request_id)
         if end.attempt_index not in self.in_flight.get(key, ()):
             return
-        if end.cause is EndCause.RESPONSE and self.chance.random() < STREAMED_FRACTION:
+        if end.cause is EndCause.RESPONSE and self.rng.random() < STREAMED_FRACTION:
             self.start_stream(process, end)
             return
         self.in_flight[key].remove(end.attempt_index)
-        drawn = self.chance.choice(OUTCOMES)
-        outcome = FIXED_OUTCOMES.get(end.cause, drawn)
+        random_outcome = self.rng.choice(OUTCOMES)
+        outcome = FIXED_OUTCOMES.get(end.cause, random_outcome)
         attempt = self.sent[key][end.attempt_index]
-        units = self.chance.choice([0.0, 0.0, 0.5, 1.0, 3.0])
+        units = self.rng.choice([0.0, 0.0, 0.5, 1.0, 3.0])
         event = AttemptEnded(
             request_id=end.request_id,
             attempt_index=end.attempt_index,
@@ -266,10 +266,10 @@
 
     def start_stream(self, process: int, end: AttemptEnd) -> None:
         """Start to stream a response, and schedule the end of the stream."""
-        elapsed = self.chance.choice([0.0, 0.2])
+        elapsed = self.rng.choice([0.0, 0.2])
         self.handle(process, ResponseStreamStarted(end.request_id, end.attempt_index, elapsed))
         stream_end = AttemptEnd(end.request_id, end.attempt_index, EndCause.STREAM_END)
-        self.schedule(0.5 * self.chance.random(), process, stream_end)
+        self.schedule(0.5 * self.rng.random(), process, stream_end)
 
     def start_successor(self) -> None:
         """Start the second process, and restore the endpoints and the state of the first one in it."""
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -37,7 +37,7 @@
 from tests.upstream_harness import respond_with
 
 
-def forwarded(engine: PolicyEngine, number: int, units: float) -> list[StartAttempt | UnitsCharged]:
+def forward_request(engine: PolicyEngine, number: int, units: float) -> list[StartAttempt | UnitsCharged]:
     """Handle a request at 100 s; return the attempt that it starts and the charge reported to the peer."""
     actions = engine.handle(make_request(number, units=units), 100.0)
     return [action for action in actions if isinstance(action, StartAttempt | UnitsCharged)]
@@ -48,31 +48,31 @@
     return StateSnapshot(json.loads(json.dumps(engine.snapshot(now).state)))
 
 
-def test_units_charged_by_the_older_process_are_charged_in_the_newer() -> None:
+def test_restored_state_includes_charged_units() -> None:
     old, new = make_engine(), make_engine()
     capacity = 4.0  # units; half of the plan's burst, as the fleet has two gateways
-    assert len(forwarded(old, 1, capacity)) == 1
+    assert len(forward_request(old, 1, capacity)) == 1
     new.handle(transferred_state(old), 100.0)
-    assert new.limiters.limiters["c"].balance == 0.0 and not forwarded(new, 2, 1.0)
+    assert new.limiters.limiters["c"].balance == 0.0 and not forward_request(new, 2, 1.0)
 
 
-def test_units_reserved_by_queued_requests_of_the_older_process_are_charged_in_the_newer() -> None:
+def test_restored_state_includes_units_of_queued_requests() -> None:
     old, new = make_engine(), make_engine()
-    forwarded(old, 1, 4.0)
-    assert not forwarded(old, 2, 0.5) and old.limiters.limiters["c"].queued_units == 0.5
+    forward_request(old, 1, 4.0)
+    assert not forward_request(old, 2, 0.5) and old.limiters.limiters["c"].queued_units == 0.5
     new.handle(transferred_state(old), 100.0)
     assert new.limiters.limiters["c"].balance == 0.0
 
 
-def test_units_charged_by_either_process_are_charged_in_the_other() -> None:
+def test_peer_process_applies_reported_charges() -> None:
     """A charge and its correction to the actual units reach the peer process."""
     old, new = make_engine(settles_actual_units=True), make_engine(settles_actual_units=True)
     new.handle(transferred_state(old), 100.0)
     # Without a peer process, no charge is reported.
-    assert not [a for a in forwarded(old, 1, 1.0) if isinstance(a, UnitsCharged)]
+    assert not [a for a in forward_request(old, 1, 1.0) if isinstance(a, UnitsCharged)]
     for engine in (old, new):
         engine.handle(PeerProcessChanged(True), 100.0)
-    actions = forwarded(old, 2, 2.0)
+    actions = forward_request(old, 2, 2.0)
     charge = next(a for a in actions if isinstance(a, UnitsCharged))
     assert charge == UnitsCharged("c", "small", 2, 2.0)
     new.handle(charge, 100.0)
@@ -83,7 +83,7 @@
     assert new.limiters.limiters["c"].balance == 1.0
 
 
-def test_maintenance_its_end_and_draining_are_restored() -> None:
+def test_restored_state_includes_maintenance_and_draining() -> None:
     """An endpoint whose maintenance has ended still warms up in the newer process."""
     old, new = make_engine(), make_engine(now=101.0)
     old.handle(SetMaintenance("a", True), 100.0)
@@ -99,7 +99,7 @@
     assert new.slow_start.factor(new.endpoints["b"]) < 0.5
 
 
-def test_the_later_of_two_returns_from_maintenance_counts_after_a_restore() -> None:
+def test_restore_keeps_later_return_from_maintenance() -> None:
     old, new = make_engine(), make_engine()
     for engine, returned_at in ((old, 100.0), (new, 104.0)):
         engine.handle(SetMaintenance("b", True), 100.0)
@@ -195,7 +195,7 @@
                 await peer.stop()
 
 
-async def test_a_hot_restart_loses_no_request_and_keeps_maintenance(tmp_path: pathlib.Path) -> None:
+async def test_hot_restart_keeps_requests_and_maintenance(tmp_path: pathlib.Path) -> None:
     """The older process completes its requests while the newer one serves new connections."""
     async with process_group(tmp_path) as processes:
         harness = processes.harness
@@ -229,9 +229,7 @@
 
 
 @pytest.mark.parametrize("step", [-3600.0, 3600.0])
-async def test_a_quota_in_use_goes_on_though_the_wall_clock_was_stepped(
-    step: float, tmp_path: pathlib.Path
-) -> None:
+async def test_hot_restart_keeps_quota_despite_clock_step(step: float, tmp_path: pathlib.Path) -> None:
     """Units spent in the older process stay spent in the newer one, whatever its wall clock says."""
     faults = FaultInjector(tmp_path / "faults")
     folder = tmp_path / "shared"
@@ -258,7 +256,7 @@
         assert 16.0 / 8.0 <= elapsed <= 16.0 / 4.0 + 1.0
 
 
-async def test_a_maintenance_command_to_either_process_applies_to_both(tmp_path: pathlib.Path) -> None:
+async def test_maintenance_command_applies_to_both_processes(tmp_path: pathlib.Path) -> None:
     async with process_group(tmp_path) as processes:
         _, old = await processes.start()
         _, new = await processes.start()
@@ -270,7 +268,7 @@
                         pass
 
 
-async def test_an_older_process_serves_again_if_the_newer_one_dies(tmp_path: pathlib.Path) -> None:
+async def test_older_process_serves_after_newer_one_dies(tmp_path: pathlib.Path) -> None:
     async with process_group(tmp_path) as processes:
         _, old = await processes.start()
         child, _ = await processes.start()
@@ -285,55 +283,51 @@
         assert await processes.call(new, "GET", "/healthcheck") == 200
 
 
-async def test_a_link_that_can_not_be_made_does_not_end_the_start(
-    tmp_path: pathlib.Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
+async def test_startup_survives_failed_link(tmp_path: pathlib.Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """A process that can not connect to the older one (ENOMEM) starts without its state."""
     with socket.socket(socket.AF_UNIX) as older:
         older.bind(str(tmp_path / SOCKET_NAME))
         older.listen()
         async with running_gateway() as harness:
             process = harness.process
-            restarting = coordinator.HotRestartCoordinator(
+            hot_restart = coordinator.HotRestartCoordinator(
                 str(tmp_path), process.dispatcher, process.discovery.answered, lambda superseded: None
             )
 
             class LoopWithoutMemory:
-                create_task = restarting.loop.create_task
-                sock_connect = restarting.loop.sock_connect
+                create_task = hot_restart.loop.create_task
+                sock_connect = hot_restart.loop.sock_connect
 
                 async def create_unix_connection(self, *arguments: object, **options: object) -> None:
                     raise OSError(errno.ENOMEM, "no memory")
 
-            monkeypatch.setattr(restarting, "loop", LoopWithoutMemory())
-            await restarting.restore_from_older()
-            assert not restarting.links
-            restarting.close()
+            monkeypatch.setattr(hot_restart, "loop", LoopWithoutMemory())
+            await hot_restart.restore_from_older()
+            assert not hot_restart.links
+            hot_restart.close()
 
 
-async def test_a_peers_command_for_an_endpoint_that_is_not_listed_yet_counts_once_it_is(
+async def test_peer_maintenance_command_applies_to_later_endpoint(
     tmp_path: pathlib.Path,
 ) -> None:
     """Maintenance that a peer sets for an unknown endpoint applies once the endpoint is listed."""
     async with running_gateway(2) as harness:
         process = harness.process
         listed = harness.discovery.entry("new", harness.backends[1].address)
-        restarting = coordinator.HotRestartCoordinator(
+        hot_restart = coordinator.HotRestartCoordinator(
             str(tmp_path), process.dispatcher, process.discovery.answered, lambda superseded: None
         )
-        restarting.handle_message(ProcessLink(restarting), SetMaintenance("new", True))
+        hot_restart.handle_message(ProcessLink(hot_restart), SetMaintenance("new", True))
         await harness.discovery.publish(listed)
         async with asyncio.timeout(EVENT_TIMEOUT):
             while "new" not in process.dispatcher.engine.endpoints:  # noqa: ASYNC110 - it has no event
                 await asyncio.sleep(0.01)
         assert "new" not in [endpoint.id for endpoint in process.dispatcher.engine.registry.serving]
-        restarting.close()
+        hot_restart.close()
 
 
 @pytest.mark.parametrize("stale", ["file", "socket", "folder"])
-async def test_files_left_by_an_older_process_do_not_prevent_the_start(
-    stale: str, tmp_path: pathlib.Path
-) -> None:
+async def test_stale_socket_path_does_not_prevent_startup(stale: str, tmp_path: pathlib.Path) -> None:
     """A file, socket or folder at the path of the shared socket does not prevent the start."""
     path = tmp_path / SOCKET_NAME
     if stale == "file":
@@ -341,14 +335,14 @@
     elif stale == "folder":
         path.mkdir()
     else:
-        with socket.socket(socket.AF_UNIX) as left:
-            left.bind(str(path))
+        with socket.socket(socket.AF_UNIX) as stale_socket:
+            stale_socket.bind(str(path))
     async with process_group(tmp_path) as processes:
         await processes.start()
         assert await processes.request_status(1) == 200
 
 
-async def test_a_hanging_older_process_does_not_delay_the_start(
+async def test_hanging_older_process_does_not_delay_startup(
     tmp_path: pathlib.Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """State that arrives after the timeout is still restored."""
@@ -359,21 +353,21 @@
         async with running_gateway() as harness:
             process = harness.process
             superseded: list[bool] = []
-            restarting = coordinator.HotRestartCoordinator(
+            hot_restart = coordinator.HotRestartCoordinator(
                 str(tmp_path), process.dispatcher, process.discovery.answered, superseded.append
             )
-            await restarting.restore_from_older()
-            assert len(restarting.links) == 1
+            await hot_restart.restore_from_older()
+            assert len(hot_restart.links) == 1
             process.dispatcher.set_maintenance("b0", True)
-            restarting.broadcast(SetMaintenance("b0", True))
+            hot_restart.broadcast(SetMaintenance("b0", True))
             older, _ = hanging.accept()
             state = {**process.dispatcher.state_snapshot().state, "banned": []}
-            link = next(iter(restarting.links))
+            link = next(iter(hot_restart.links))
             link.data_received(json.dumps({"estate": state, "list": []}).encode() + b"\n")
             # A maintenance command that preceded the state still applies after the restore.
             assert process.dispatcher.engine.registry.under_maintenance == {"b0"}
             link.data_received(b"[nonsense\n")
-            restarting.close()
+            hot_restart.close()
             older.close()
             client: Client = await harness.connect_client()
             assert (await client.exchange(READY_REQUEST))[0] == 503  # its only backend is under maintenance
