--- a/tests/test_held_up_process.py
+++ b/tests/test_held_up_process.py
@@ -1,6 +1,7 @@
-"""A process that is held up for some time: clients that left meanwhile, and those that still wait.
+"""A process that is paused: clients that disconnect during the pause, and clients that still wait after it.
 
-Real processes, stopped by SIGSTOP. What clients sent and closed lies in the kernel until the process goes on.
+The tests stop real processes by SIGSTOP, or block the event loop on a virtual clock. Until the process
+continues, the kernel holds the requests and disconnects of its clients.
 """
 
 from __future__ import annotations
@@ -21,17 +22,17 @@
 from tests.test_no_attempt_after_disconnect import MAX_START_DELAY, attempt_starts, waiting_request
 from tests.virtual_clock import virtual_clock_loop, virtual_unix_clock
 
-HOLD_UP = 0.4  # seconds that the process is stopped
-SEND_DELAY = 0.03  # seconds from the start of the hold-up until clients send
-SETTLE_TIME = 0.6  # seconds in which the process serves all that it will serve
+HOLD_UP = 0.4  # seconds that a process is paused
+SEND_DELAY = 0.03  # seconds from the start of a pause until clients send, and then until they disconnect
+SETTLE_TIME = 0.6  # seconds after which the process has sent all attempts that it is going to send
 CLIENT_COUNT = 16
-BUDGET = 0.9  # seconds that a client waits
-LOOP_SETTLE_TIME = 0.1  # seconds in which nothing holds up the process before a hold-up
-DEADLINE_SLACK = 0.15  # seconds by which a backend may be told more than the client has left
+BUDGET = 0.9  # seconds that a client waits for its response
+LOOP_SETTLE_TIME = 0.1  # seconds that the event loop runs before a pause
+DEADLINE_SLACK = 0.15  # seconds by which X-Budget may exceed the client's remaining time
 
 
 def close(client: Client) -> None:
-    client.writer.transport.abort()  # nothing is unread, so that this is a close without a reset
+    client.writer.transport.abort()  # without unread data, the kernel sends FIN and not RST
 
 
 def respond_without_billed_units(writer: asyncio.StreamWriter, asked: HttpMessage) -> None:
@@ -40,7 +41,7 @@
 
 @asynccontextmanager
 async def held_up(child: Any) -> AsyncIterator[None]:
-    """Stop the process, and let it go on after HOLD_UP seconds; the body of the block is run meanwhile."""
+    """Pause the process for HOLD_UP seconds, and run the body of the block during the pause."""
     child.send_signal(signal.SIGSTOP)
     ends_at = time.monotonic() + HOLD_UP
     try:
@@ -52,7 +53,7 @@
 
 
 async def connected_clients(harness: GatewayHarness, is_kept: bool) -> list[Client]:
-    """Return clients; with `is_kept` the gateway has answered each of them, and their connections rest."""
+    """Connect clients; with `is_kept`, each of them has an idle connection that served a request."""
     clients = [await harness.connect_client() for _ in range(CLIENT_COUNT)]
     if is_kept:
         for client in clients:
@@ -117,6 +118,7 @@
 async def test_the_grace_period_of_a_half_closed_client_counts_from_its_close(
     state: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """The grace period starts at the half-close, not when the event loop notices it after a pause."""
     monkeypatch.setattr("quota_gateway.gateway_process.start_clock", virtual_unix_clock)
     async with waiting_request(state, 0.0) as case:
         started = len(attempt_starts(case.harness))
@@ -125,7 +127,7 @@
         virtual_clock_loop().now += HOLD_UP
         half_closed_at = virtual_clock_loop().now - HOLD_UP
         connections = case.harness.process.listener.connections
-        while not any(c.half_close.begun for c in connections):  # noqa: ASYNC110 (no event marks it)
+        while not any(c.half_close.begun for c in connections):  # noqa: ASYNC110 - it has no event
             await asyncio.sleep(0)
         case.release()
         await asyncio.sleep(SETTLE_TIME)
--- a/tests/test_shared_folder.py
+++ b/tests/test_shared_folder.py
@@ -1,6 +1,6 @@
-"""The folder that the processes of a gateway share fails for a while, or loses what was published in it.
+"""Temporary failures of the folder that the processes of a gateway share, and loss of the socket in it.
 
-A newer process must find the older one there, whose state holds what operators took out of service.
+A newer process finds the older one by this socket, and restores which backends are under maintenance.
 """
 
 from __future__ import annotations
@@ -16,31 +16,31 @@
 from tests.fault_injection.injector import FaultInjector
 from tests.test_hot_restart import ProcessGroup, process_group
 
-OUTAGE = 0.5  # seconds
+OUTAGE = 0.5  # seconds that the folder fails
 ERRORS = [errno.EIO, errno.ENOSPC]
 
 
 def failing_folder(parent: pathlib.Path) -> tuple[FaultInjector, pathlib.Path]:
-    """Return a new shared folder, and the faults of the processes that are started with them."""
+    """Create a shared folder; return it after the fault injector for the processes that use it."""
     folder = parent / "shared"
     folder.mkdir()
     return FaultInjector(parent / "faults"), folder
 
 
 async def until_published(folder: pathlib.Path) -> None:
-    """Wait until a process listens in the folder."""
+    """Wait until a process has published its socket in the folder."""
     async with asyncio.timeout(EVENT_TIMEOUT):
-        while not (folder / SOCKET_NAME).is_socket():  # noqa: ASYNC110 (another process sets no event)
+        while not (folder / SOCKET_NAME).is_socket():  # noqa: ASYNC110 - another process sets no event
             await asyncio.sleep(0.01)
 
 
 async def take_out_of_service(processes: ProcessGroup, admin_port: int) -> None:
-    """Have an operator take one of the two backends out of service."""
+    """Put one of the two backends under maintenance, as an operator does."""
     assert await processes.call(admin_port, "POST", "/backends/b0/maint") == 200
 
 
 async def assert_out_of_service(processes: ProcessGroup, admin_port: int) -> None:
-    """Assert that the process knows of it."""
+    """Assert that the process has one backend under maintenance."""
     assert (await processes.metrics(admin_port))["targets_disabled"] == 1
 
 
@@ -48,6 +48,7 @@
 async def test_a_process_is_found_though_the_folder_failed_as_it_began_to_serve(
     error: int, tmp_path: pathlib.Path
 ) -> None:
+    """A newer process finds an older one whose folder failed when it began to serve."""
     faults, folder = failing_folder(tmp_path)
     async with process_group(folder) as processes:
         faults.fail_folder(error)
@@ -65,6 +66,7 @@
 async def test_a_process_finds_the_older_one_though_the_folder_failed_as_it_started(
     error: int, tmp_path: pathlib.Path
 ) -> None:
+    """A newer process whose folder fails during its start finds the older one nevertheless."""
     faults, folder = failing_folder(tmp_path)
     async with process_group(folder) as processes:
         _, older = await processes.start()
@@ -95,18 +97,19 @@
 async def test_a_process_learns_the_older_ones_state_though_the_folder_failed_all_through_its_start(
     tmp_path: pathlib.Path,
 ) -> None:
+    """A process whose folder fails throughout its start restores the older one's state afterwards."""
     faults, folder = failing_folder(tmp_path)
     async with process_group(folder) as processes:
         _, older = await processes.start()
         await take_out_of_service(processes, older)
         faults.fail_folder(errno.EIO)
-        _, newer = await processes.start(faults.environment)  # it serves, as clients wait
+        _, newer = await processes.start(faults.environment)  # serves without the state, because clients wait
         assert (await processes.metrics(newer))["targets_disabled"] == 0
         faults.fail_folder(0)
         async with asyncio.timeout(EVENT_TIMEOUT):
             while (await processes.metrics(newer))["targets_disabled"] != 1:  # noqa: ASYNC110
                 await asyncio.sleep(0.02)
-        # the older process knows that the newer one serves, and that one can be found in turn
+        # The older process learns that the newer one serves, and a third process finds the newer one.
         async with asyncio.timeout(EVENT_TIMEOUT):
             while (await processes.metrics(newer))["success.lookup"] == 0:
                 assert await processes.request_status(1) == 200
