--- a/tests/test_held_up_process.py
+++ b/tests/test_held_up_process.py
@@ -22,7 +22,7 @@
 from tests.test_no_attempt_after_disconnect import MAX_START_DELAY, attempt_starts, waiting_request
 from tests.virtual_clock import virtual_clock_loop, virtual_unix_clock
 
-HOLD_UP = 0.4  # seconds that a process is paused
+PAUSE_DURATION = 0.4  # seconds that a process is paused
 SEND_DELAY = 0.03  # seconds from the start of a pause until clients send, and then until they disconnect
 SETTLE_TIME = 0.6  # seconds after which the process has sent all attempts that it is going to send
 CLIENT_COUNT = 16
@@ -31,19 +31,19 @@
 DEADLINE_SLACK = 0.15  # seconds by which X-Budget may exceed the client's remaining time
 
 
-def close(client: Client) -> None:
+def close_connection(client: Client) -> None:
     client.writer.transport.abort()  # without unread data, the kernel sends FIN and not RST
 
 
-def respond_without_billed_units(writer: asyncio.StreamWriter, asked: HttpMessage) -> None:
+def respond_without_billed_units(writer: asyncio.StreamWriter, received: HttpMessage) -> None:
     writer.write(http_response(200))
 
 
 @asynccontextmanager
-async def held_up(child: Any) -> AsyncIterator[None]:
-    """Pause the process for HOLD_UP seconds, and run the body of the block during the pause."""
+async def paused(child: Any) -> AsyncIterator[None]:
+    """Pause the process for PAUSE_DURATION seconds, and run the body of the block during the pause."""
     child.send_signal(signal.SIGSTOP)
-    ends_at = time.monotonic() + HOLD_UP
+    ends_at = time.monotonic() + PAUSE_DURATION
     try:
         await asyncio.sleep(SEND_DELAY)
         yield
@@ -52,10 +52,10 @@
         child.send_signal(signal.SIGCONT)
 
 
-async def connected_clients(harness: GatewayHarness, is_kept: bool) -> list[Client]:
-    """Connect clients; with `is_kept`, each of them has an idle connection that served a request."""
+async def connected_clients(harness: GatewayHarness, keep_alive: bool) -> list[Client]:
+    """Connect clients; with `keep_alive`, each of them has an idle connection that served a request."""
     clients = [await harness.connect_client() for _ in range(CLIENT_COUNT)]
-    if is_kept:
+    if keep_alive:
         for client in clients:
             assert (await client.exchange(READY_REQUEST))[0] == 200
     return clients
@@ -65,45 +65,43 @@
     return {message.headers["x-call-id"] for message in messages}
 
 
-@pytest.mark.parametrize("leave", [close, Client.reset], ids=["close", "reset"])
-@pytest.mark.parametrize("is_kept", [False, True], ids=["new", "kept"])
-async def test_no_attempt_begins_for_a_client_that_left_during_a_hold_up(
-    is_kept: bool, leave: Callable[[Client], None], tmp_path: pathlib.Path
+@pytest.mark.parametrize("leave", [close_connection, Client.reset], ids=["close", "reset"])
+@pytest.mark.parametrize("keep_alive", [False, True], ids=["new", "kept"])
+async def test_no_attempt_for_client_disconnected_during_pause(
+    keep_alive: bool, leave: Callable[[Client], None], tmp_path: pathlib.Path
 ) -> None:
     async with process(tmp_path) as (harness, child):
-        clients = await connected_clients(harness, True) if is_kept else []
-        async with held_up(child):
-            if not is_kept:
+        clients = await connected_clients(harness, True) if keep_alive else []
+        async with paused(child):
+            if not keep_alive:
                 clients = await connected_clients(harness, False)
             for number, client in enumerate(clients):
                 client.send(request(number))
             await asyncio.sleep(SEND_DELAY)
             for client in clients:
                 leave(client)
-        staying = await harness.connect_client()
-        assert (await staying.exchange(request(99)))[0] == 200
+        remaining_client = await harness.connect_client()
+        assert (await remaining_client.exchange(request(99)))[0] == 200
         await asyncio.sleep(SETTLE_TIME)
         assert call_ids(harness.received_requests()) == {f"{99:016x}"}
 
 
-@pytest.mark.parametrize("is_kept", [False, True], ids=["new", "kept"])
-async def test_backends_are_told_no_more_than_a_client_has_left_after_a_hold_up(
-    is_kept: bool, tmp_path: pathlib.Path
-) -> None:
+@pytest.mark.parametrize("keep_alive", [False, True], ids=["new", "kept"])
+async def test_budget_sent_to_backend_excludes_pause(keep_alive: bool, tmp_path: pathlib.Path) -> None:
     async with process(tmp_path) as (harness, child):
         backend = harness.backends[0]
         excesses: list[float] = []
-        clients = await connected_clients(harness, True) if is_kept else []
+        clients = await connected_clients(harness, True) if keep_alive else []
         sent_at = 0.0
 
-        def record_excess(writer: asyncio.StreamWriter, asked: HttpMessage) -> None:
+        def record_excess(writer: asyncio.StreamWriter, received: HttpMessage) -> None:
             remaining = BUDGET - (time.monotonic() - sent_at)
-            excesses.append(float(asked.headers["x-budget"]) - remaining)
-            respond_without_billed_units(writer, asked)
+            excesses.append(float(received.headers["x-budget"]) - remaining)
+            respond_without_billed_units(writer, received)
 
         backend.script = [record_excess] * CLIENT_COUNT
-        async with held_up(child):
-            if not is_kept:
+        async with paused(child):
+            if not keep_alive:
                 clients = await connected_clients(harness, False)
             sent_at = time.monotonic()
             for number, client in enumerate(clients):
@@ -115,21 +113,21 @@
 
 @pytest.mark.parametrize("state", ["counter", "queued"])
 @pytest.mark.virtual_clock
-async def test_the_grace_period_of_a_half_closed_client_counts_from_its_close(
-    state: str, monkeypatch: pytest.MonkeyPatch
-) -> None:
+async def test_half_close_grace_period_includes_pause(state: str, monkeypatch: pytest.MonkeyPatch) -> None:
     """The grace period starts at the half-close, not when the event loop notices it after a pause."""
     monkeypatch.setattr("quota_gateway.gateway_process.start_clock", virtual_unix_clock)
     async with waiting_request(state, 0.0) as case:
         started = len(attempt_starts(case.harness))
         await asyncio.sleep(LOOP_SETTLE_TIME)
         case.client.writer.write_eof()
-        virtual_clock_loop().now += HOLD_UP
-        half_closed_at = virtual_clock_loop().now - HOLD_UP
+        virtual_clock_loop().now += PAUSE_DURATION
+        half_closed_at = virtual_clock_loop().now - PAUSE_DURATION
         connections = case.harness.process.listener.connections
         while not any(c.half_close.begun for c in connections):  # noqa: ASYNC110 - it has no event
             await asyncio.sleep(0)
         case.release()
         await asyncio.sleep(SETTLE_TIME)
-        late = [at for at in attempt_starts(case.harness)[started:] if at > half_closed_at + MAX_START_DELAY]
-        assert not late
+        late_attempts = [
+            at for at in attempt_starts(case.harness)[started:] if at > half_closed_at + MAX_START_DELAY
+        ]
+        assert not late_attempts
