--- a/tests/test_gateway_process.py
+++ b/tests/test_gateway_process.py
@@ -1,4 +1,4 @@
-"""The program itself: its configuration, SIGTERM, SIGHUP, and few file descriptors."""
+"""The gateway as a process: invalid configurations, SIGTERM, SIGHUP, few file descriptors, and the build."""
 
 from __future__ import annotations
 
@@ -25,12 +25,12 @@
 from tests.harness import READY_REQUEST, Client, GatewayHarness, high_quota_settings, request
 
 ROOT = pathlib.Path(__file__).parent.parent
-# the deploy file's command where .ci/run names it, so that what is deployed is what is tested
+# .ci/run sets GATEWAY_RUN to the run command of the deploy file, so that the tests run what is deployed.
 RUN = os.environ.get("GATEWAY_RUN") or f"exec {shlex.quote(sys.executable)} -m quota_gateway"
 
 
 def run_gateway(path: str | None) -> subprocess.CompletedProcess[str]:
-    """Run the program with this configuration file until it ends."""
+    """Run the gateway until it exits; without a path, RELAY_CONFIG is not set."""
     environment = {name: value for name, value in os.environ.items() if not name.startswith("RELAY_")}
     if path is not None:
         environment["RELAY_CONFIG"] = path
@@ -89,6 +89,7 @@
 
 
 def test_a_missing_or_unreadable_configuration_is_reported_in_one_line(tmp_path: pathlib.Path) -> None:
+    """The variable is unset or empty, or the path is a missing file, malformed JSON or a folder."""
     broken = tmp_path / "broken.json"
     broken.write_text("{")
     for path in (None, "", str(tmp_path / "none.json"), str(broken), str(tmp_path)):
@@ -105,10 +106,11 @@
     console: bool = False,
     variables: Mapping[str, str] | None = None,
 ) -> AsyncIterator[tuple[GatewayHarness, Any]]:
-    """Run the program in a process of its own, with its peers in this one; it knows the first backend.
+    """Run the gateway as a child process, with one backend, discovery and the counter in this process.
 
-    `descriptors` limits the process, `override_discovery` gives it discovery's address by the environment as
-    well, `console` gives it an admin server, and `variables` are added to its environment.
+    `descriptors` limits its file descriptors (0: no limit), `override_discovery` sets discovery's address in
+    the environment too, `console` starts an admin server and a second backend, which discovery does not list,
+    and `variables` are added to the environment.
     """
     harness = GatewayHarness(2 if console else 1)
     peers = (*harness.backends, harness.discovery, harness.counter)
@@ -156,7 +158,7 @@
 
 
 async def until_ready(harness: GatewayHarness) -> None:
-    """Wait until the gateway says that it is ready."""
+    """Wait until the gateway reports that it is ready."""
     async with asyncio.timeout(EVENT_TIMEOUT):
         while True:
             with contextlib.suppress(OSError, asyncio.IncompleteReadError):
@@ -168,7 +170,7 @@
 
 
 async def until_draining(harness: GatewayHarness) -> None:
-    """Wait until SIGTERM has reached the gateway, which then says that it is not ready."""
+    """Wait until the gateway has handled SIGTERM, and reports that it is not ready."""
     while True:
         client = await harness.connect_client()
         status, headers, _ = await client.exchange(READY_REQUEST)
@@ -205,7 +207,7 @@
 
 
 async def test_more_clients_than_descriptors_all_have_a_response(tmp_path: pathlib.Path) -> None:
-    # asyncio's own server closes a connection that it has no descriptor for, with the request on it
+    # asyncio's server would close a connection that it has no file descriptor for, and lose its request.
     async with process(tmp_path, descriptors=40) as (harness, child):
         clients = [await harness.connect_client() for _ in range(60)]
         for client in clients:
@@ -225,7 +227,7 @@
 async def test_sighup_moves_discovery_and_counter_to_the_addresses_in_the_file(
     tmp_path: pathlib.Path, override_discovery: bool
 ) -> None:
-    # without a handler the signal ends the process, with all requests in flight
+    # Without a handler, SIGHUP would end the process and every request in flight.
     async with process(tmp_path, override_discovery=override_discovery) as (harness, child):
         path = tmp_path / "config.json"
         content = json.loads(path.read_text())
@@ -243,7 +245,7 @@
         content |= {"discovery": discovery.address, "counter": counter.address}
         path.write_text(json.dumps(content))
         child.send_signal(signal.SIGHUP)
-        await discovery.wait_for_requests(2)  # its full list was applied
+        await discovery.wait_for_requests(2)  # the second poll shows that the full list was applied
         await until_counted(client, counter)
         assert child.returncode is None
         child.terminate()
@@ -255,7 +257,7 @@
 
 
 async def until_counted(client: Client, counter: FakeCounter) -> None:
-    """Send requests until the counter is called, which is once the customer is near its quota."""
+    """Send requests until the gateway calls the counter, which it does once the customer nears its quota."""
     number = 1
     async with asyncio.timeout(EVENT_TIMEOUT):
         while not counter.increments:
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -1,4 +1,4 @@
-"""Restarted gateways are ready, and serve a request, within 10 s, with discovery and the counter down."""
+"""Readiness after a restart: gateways serve within 10 s, even if discovery and the counter are down."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 from tests.test_gateway_process import ROOT, RUN
 from tests.virtual_clock import run_on_virtual_clock, virtual_unix_clock
 
-MAX_STARTUP_TIME = 10.0  # seconds, for nine gateways in ten
-MAX_DISCOVERY_WAIT = 1.5  # seconds on the virtual clock: one connect timeout, and a margin
+MAX_STARTUP_TIME = 10.0  # seconds until nine of ten gateways have to serve
+MAX_DISCOVERY_WAIT = 1.5  # seconds of virtual time: one connect timeout and a margin
 FLEET_SIZE = 12
 MAX_DESCRIPTORS = 1024
 
 
 class RestartedGateway:
-    """One gateway, and the seconds from its start until it was ready and had served a request."""
+    """A gateway, and the seconds from its start until it was ready and had served a request."""
 
     def __init__(self, harness: GatewayHarness, number: int) -> None:
         self.harness = harness
@@ -56,7 +56,7 @@
 async def start_peers(
     gateway_count: int, fault: DiscoveryFault
 ) -> tuple[list[RestartedGateway], FaultyDiscovery]:
-    """Start two backends and discovery with this fault for all gateways, whose counters are down."""
+    """Start two backends and a discovery with this fault, shared by all gateways; the counters are down."""
     discovery = FaultyDiscovery()
     backends = [FakeBackend(), FakeBackend()]
     for server in (discovery, *backends):
@@ -81,7 +81,7 @@
 
 
 def fleet_settings(gateway_count: int) -> dict[str, Any]:
-    """Return settings with small quotas: each request needs the counter, or its fallback where it is down."""
+    """Return settings with small quotas: each request needs the counter, or the fallback while it is down."""
     settings = example_settings()
     settings["balancers"] = gateway_count
     settings["limits"]["dial_timeout"] = 250.0
@@ -90,7 +90,7 @@
 
 @pytest.mark.parametrize("fault", DiscoveryFault)
 def test_a_fleet_that_restarts_at_once_is_ready_whatever_discovery_does(fault: DiscoveryFault) -> None:
-    """Run the gateways in one loop on a virtual clock: it shows the waits of a start on any machine."""
+    """Run the gateways in one loop on a virtual clock, which counts their waits on a machine of any speed."""
     startup_times: list[float] = []
 
     async def start(gateway: RestartedGateway) -> None:
@@ -114,7 +114,7 @@
 
 
 async def start_process(gateway: RestartedGateway, directory: pathlib.Path) -> asyncio.subprocess.Process:
-    """Start the gateway by the deployment's run command, on a free port."""
+    """Start the gateway with the run command of the deployment, on a free port."""
     harness = gateway.harness
     with socket.socket() as port_finder:
         port_finder.bind((HOST, 0))
@@ -137,7 +137,7 @@
 async def test_nine_in_ten_processes_that_are_started_at_once_are_ready_in_time(
     fault: DiscoveryFault, tmp_path: pathlib.Path
 ) -> None:
-    """Run the gateways as processes; the result depends on this machine's cores too."""
+    """Nine of ten processes have to be ready in time; the result also depends on the cores of the machine."""
     fleet, discovery = await start_peers(FLEET_SIZE, fault)
     processes = [await start_process(gateway, tmp_path) for gateway in fleet]
     started_at = asyncio.get_running_loop().time()
@@ -156,7 +156,7 @@
 
 @pytest.mark.virtual_clock
 async def test_a_gateway_without_endpoints_is_ready_only_once_discovery_names_one() -> None:
-    """Ready means able to serve, which a gateway without endpoints is not."""
+    """A gateway is ready if it can serve requests, which requires that discovery lists an endpoint."""
     harness = GatewayHarness(1)
     peer = harness.discovery = FaultyDiscovery()
     servers = (*harness.backends, peer, harness.counter)
--- a/tests/test_reload_failures.py
+++ b/tests/test_reload_failures.py
@@ -1,4 +1,4 @@
-"""What a gateway does once, at its start or on a signal, is done again if it fails for a moment."""
+"""Retries of actions at startup or on SIGHUP that fail because of a temporary error."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 from tests.harness import READY_REQUEST, request
 from tests.test_gateway_process import process
 
-OUTAGE = 0.5  # seconds
-FOLLOW_TIME = 4.0  # seconds after SIGHUP from which changes count as told
+OUTAGE = 0.5  # seconds that the error lasts
+FOLLOW_TIME = 4.0  # seconds after SIGHUP within which the new discovery agent has to be polled
 
 
 @pytest.mark.parametrize("error", [errno.EMFILE, errno.ENFILE, errno.EIO], ids=errno.errorcode.get)
