--- a/tests/test_gateway_process.py
+++ b/tests/test_gateway_process.py
@@ -72,7 +72,7 @@
         ("limits", {"sockets": 3}),
     ],
 )
-def test_an_invalid_configuration_is_reported_in_one_line(
+def test_invalid_configuration_is_reported_in_one_line(
     key: str, invalid: Any, tmp_path: pathlib.Path
 ) -> None:
     content = valid_configuration()
@@ -88,7 +88,7 @@
     assert not completed.stdout
 
 
-def test_a_missing_or_unreadable_configuration_is_reported_in_one_line(tmp_path: pathlib.Path) -> None:
+def test_unreadable_configuration_is_reported_in_one_line(tmp_path: pathlib.Path) -> None:
     """The variable is unset or empty, or the path is a missing file, malformed JSON or a folder."""
     broken = tmp_path / "broken.json"
     broken.write_text("{")
@@ -139,7 +139,7 @@
         stderr=asyncio.subprocess.PIPE,
     )
     try:
-        await until_ready(harness)
+        await wait_until_ready(harness)
         yield harness, child
     finally:
         if child.returncode is None:
@@ -157,7 +157,7 @@
         return first.getsockname()[1], second.getsockname()[1]
 
 
-async def until_ready(harness: GatewayHarness) -> None:
+async def wait_until_ready(harness: GatewayHarness) -> None:
     """Wait until the gateway reports that it is ready."""
     async with asyncio.timeout(EVENT_TIMEOUT):
         while True:
@@ -169,7 +169,7 @@
             await asyncio.sleep(0.01)
 
 
-async def until_draining(harness: GatewayHarness) -> None:
+async def wait_until_draining(harness: GatewayHarness) -> None:
     """Wait until the gateway has handled SIGTERM, and reports that it is not ready."""
     while True:
         client = await harness.connect_client()
@@ -180,7 +180,7 @@
             return
 
 
-async def test_sigterm_lets_every_request_have_its_response_and_exits_cleanly(tmp_path: pathlib.Path) -> None:
+async def test_sigterm_completes_requests_before_clean_exit(tmp_path: pathlib.Path) -> None:
     async with process(tmp_path) as (harness, child):
         backend_released = asyncio.Event()
         harness.backends[0].script = [send_success_after(backend_released)]
@@ -190,7 +190,7 @@
         waiting_client.send(request(1))
         await harness.backends[0].wait_until(lambda: len(harness.backends[0].requests) == 1)
         child.send_signal(signal.SIGTERM)
-        await until_draining(harness)
+        await wait_until_draining(harness)
         new_client = await harness.connect_client()  # new and idle connections are still served
         status, headers, _ = await new_client.exchange(request(2))
         assert status == 200
@@ -206,7 +206,7 @@
         assert await child.stderr.read() == b""
 
 
-async def test_more_clients_than_descriptors_all_have_a_response(tmp_path: pathlib.Path) -> None:
+async def test_clients_beyond_descriptor_limit_get_responses(tmp_path: pathlib.Path) -> None:
     # asyncio's server would close a connection that it has no file descriptor for, and lose its request.
     async with process(tmp_path, descriptors=40) as (harness, child):
         clients = [await harness.connect_client() for _ in range(60)]
@@ -224,7 +224,7 @@
 
 
 @pytest.mark.parametrize("override_discovery", [False, True])
-async def test_sighup_moves_discovery_and_counter_to_the_addresses_in_the_file(
+async def test_sighup_applies_new_discovery_and_counter_addresses(
     tmp_path: pathlib.Path, override_discovery: bool
 ) -> None:
     # Without a handler, SIGHUP would end the process and every request in flight.
@@ -246,7 +246,7 @@
         path.write_text(json.dumps(content))
         child.send_signal(signal.SIGHUP)
         await discovery.wait_for_requests(2)  # the second poll shows that the full list was applied
-        await until_counted(client, counter)
+        await exchange_until_counter_call(client, counter)
         assert child.returncode is None
         child.terminate()
         async with asyncio.timeout(EVENT_TIMEOUT):
@@ -256,7 +256,7 @@
         await counter.stop()
 
 
-async def until_counted(client: Client, counter: FakeCounter) -> None:
+async def exchange_until_counter_call(client: Client, counter: FakeCounter) -> None:
     """Send requests until the gateway calls the counter, which it does once the customer nears its quota."""
     number = 1
     async with asyncio.timeout(EVENT_TIMEOUT):
@@ -265,7 +265,7 @@
             await client.exchange(request(number, plan="pro", units="8"))
 
 
-def test_the_build_compiles_every_module(tmp_path: pathlib.Path) -> None:
+def test_build_compiles_every_module(tmp_path: pathlib.Path) -> None:
     (tmp_path / ".venv").symlink_to(ROOT / ".venv")
     copy = tmp_path / "quota_gateway"
     shutil.copytree(ROOT / "quota_gateway", copy, ignore=shutil.ignore_patterns("__pycache__"))
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -89,7 +89,7 @@
 
 
 @pytest.mark.parametrize("fault", DiscoveryFault)
-def test_a_fleet_that_restarts_at_once_is_ready_whatever_discovery_does(fault: DiscoveryFault) -> None:
+def test_restarted_fleet_is_ready_despite_discovery_fault(fault: DiscoveryFault) -> None:
     """Run the gateways in one loop on a virtual clock, which counts their waits on a machine of any speed."""
     startup_times: list[float] = []
 
@@ -134,7 +134,7 @@
 
 
 @pytest.mark.parametrize("fault", [DiscoveryFault.REFUSED, DiscoveryFault.SILENT])
-async def test_nine_in_ten_processes_that_are_started_at_once_are_ready_in_time(
+async def test_concurrently_started_processes_are_ready_in_time(
     fault: DiscoveryFault, tmp_path: pathlib.Path
 ) -> None:
     """Nine of ten processes have to be ready in time; the result also depends on the cores of the machine."""
@@ -155,7 +155,7 @@
 
 
 @pytest.mark.virtual_clock
-async def test_a_gateway_without_endpoints_is_ready_only_once_discovery_names_one() -> None:
+async def test_gateway_without_endpoints_is_not_ready() -> None:
     """A gateway is ready if it can serve requests, which requires that discovery lists an endpoint."""
     harness = GatewayHarness(1)
     peer = harness.discovery = FaultyDiscovery()
