--- a/tests/discovery_harness.py
+++ b/tests/discovery_harness.py
@@ -1,4 +1,4 @@
-"""A discovery client under test, with a scripted agent."""
+"""Runs a discovery client under test against a fake agent."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     schedule: PollSchedule = DEFAULT_POLL_SCHEDULE,
     connect_timeout: float = CONNECT_TIMEOUT,
 ) -> AsyncIterator[tuple[DiscoveryClient, Updates]]:
-    """Start the peer and a client that follows it; both are stopped at the end."""
+    """Start a fake agent and a client that polls it, and stop both at the end."""
     updates = Updates()
     await peer.start()
     client = DiscoveryClient(
--- a/tests/faulty_discovery.py
+++ b/tests/faulty_discovery.py
@@ -16,12 +16,12 @@
 
 
 class DiscoveryFault(StrEnum):
-    """What the agent does instead of answering."""
+    """How the agent fails, instead of sending a valid response."""
 
     REFUSED = "refused"  # connections are refused
     CONNECT_HANGS = "connect hangs"  # connections are neither accepted nor refused
     UNAVAILABLE = "unavailable"  # 503 with a long Retry-After
-    SILENT = "silent"  # no response
+    SILENT = "silent"  # requests are read and get no response
     TRICKLED = "trickled"  # a response that never ends, byte by byte
     TRUNCATED = "truncated"  # a reset within the response
     MALFORMED = "malformed"  # a body that is not JSON
@@ -31,14 +31,14 @@
 
 
 class FaultyDiscovery(FakeDiscovery):
-    """Discovery with a fault that can be set; the end of the fault brings a change of the list."""
+    """Fake discovery agent with a configurable fault; the end of the fault publishes a change of the list."""
 
     fault: DiscoveryFault | None = None
     unresponsive_listener: socket.socket
     backlog_filler: socket.socket
 
     async def start_fault(self, fault: DiscoveryFault) -> None:
-        """Show the fault from now on, also to watches in flight; the port stays the same."""
+        """Start a fault, which also affects watches in flight; the port stays the same."""
         self.fault = fault
         if fault in LISTENER_FAULTS:
             assert self.server is not None
@@ -54,7 +54,7 @@
             self.backlog_filler = socket.create_connection(address)
 
     async def end_fault(self, *entries: dict[str, Any]) -> None:
-        """Answer again, and add the entries to the list."""
+        """Send valid responses again, and publish the entries as a change of the list."""
         if self.fault is DiscoveryFault.CONNECT_HANGS:
             self.backlog_filler.close()
             self.unresponsive_listener.close()
@@ -75,13 +75,13 @@
                 await self.respond_with_fault(writer)
                 continue
             body = await self.response_body(request_line)
-            if self.fault is not None:  # it started during this watch
+            if self.fault is not None:  # the fault started during this watch
                 await self.respond_with_fault(writer)
                 continue
             writer.write(http_response(200, body))
 
     async def response_body(self, request_line: str) -> bytes:
-        """Return the full list, or for a watch the changes that it waited for."""
+        """Return the full list or, for a watch, the changes that it waited for."""
         since = re.search(r"since=(\d+)", request_line)
         timeout_ms = re.search(r"timeout_ms=(\d+)", request_line)
         if since is None or timeout_ms is None:
@@ -90,7 +90,7 @@
             return await self.watch(int(since[1]), int(timeout_ms[1]) / 1000)
 
     async def respond_with_fault(self, writer: asyncio.StreamWriter) -> None:
-        """Answer, or don't, as the fault says."""
+        """Send the response that the fault prescribes, or none."""
         match self.fault:
             case DiscoveryFault.UNAVAILABLE:
                 writer.write(http_response(503, b"", "Retry-After: 3600"))
--- a/tests/test_admin_api.py
+++ b/tests/test_admin_api.py
@@ -1,4 +1,4 @@
-"""The admin API over loopback: its operations, its metrics, and peers that never complete a request."""
+"""The admin API over loopback: its operations, its metrics, and connections without a complete request."""
 
 from __future__ import annotations
 
@@ -66,7 +66,7 @@
         assert len(harness.process.admin.connections) <= MAX_CONNECTIONS
         for operator in idle[:MAX_CONNECTIONS]:
             with contextlib.suppress(ConnectionResetError):
-                assert await operator.reader.read() == b""  # the oldest were closed
+                assert await operator.reader.read() == b""  # the oldest connections were closed
 
 
 async def test_an_incomplete_request_times_out(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -93,7 +93,8 @@
 
         assert await status_of(harness, 1) == 200 == await status_of(harness, 2, "extract")
         harness.backends[0].script = [fail]
-        assert await status_of(harness, 3, "extract") == 502  # it may have been executed: no rejection
+        # The backend may have executed the request, so that this does not count as a rejection.
+        assert await status_of(harness, 3, "extract") == 502
         harness.backends[0].script = [reject] * 9
         assert await status_of(harness, 4, "extract") == 429
         released = asyncio.Event()
@@ -138,7 +139,7 @@
         seen = len(disabled.requests)
         polls = len(harness.discovery.request_lines)
         restarted = harness.discovery.entry("b0", disabled.address, started=1000.0)
-        # a restart does not end maintenance
+        # A restart of the backend does not end its maintenance.
         await harness.discovery.publish({**restarted, "lifecycle": "DELETED"})
         await harness.discovery.wait_for_requests(polls + 1)
         await harness.discovery.publish(restarted)
@@ -156,6 +157,7 @@
 
 
 async def test_draining_reports_not_ready_serves_requests_and_closes_connections() -> None:
+    """It reports not ready, and closes active connections after a response, idle and unused ones without."""
     async with running_gateway() as harness:
         active, idle, unused = (
             await harness.connect_client(),
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,4 +1,4 @@
-"""The discovery client: updates in order, moves between agents, and their effect in a gateway."""
+"""The discovery client: the order of updates, changes of the agent, and their effect on a gateway."""
 
 from __future__ import annotations
 
@@ -34,6 +34,8 @@
 
 
 async def test_a_rejected_first_poll_lets_the_gateway_start_from_its_known_list() -> None:
+    """Startup waits for an answer to the first poll, even a rejection, and goes on with the known list."""
+
     class RejectingDiscovery(FakeDiscovery):
         async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             self.request_lines.append((await read_message(reader))[0])
@@ -41,7 +43,7 @@
 
     peer = RejectingDiscovery()
     async with following(peer, 1, poll_schedule_for(40, False, drain_timeout=2.0)) as (client, updates):
-        await client.answered.wait()  # what the start of the process waits for
+        await client.answered.wait()  # the event that startup waits for
         assert len(peer.request_lines) == 1
         assert updates.empty()
 
@@ -84,7 +86,7 @@
 
 
 async def test_a_new_agent_takes_over_with_its_first_full_list() -> None:
-    # until then updates of the old one still count: a drain in between must not be missed
+    # Until then, updates from the old agent still apply, so that no change to DRAINING is missed.
     old, new = FakeDiscovery(), FakeDiscovery()
     await new.start()
     async with following(old) as (client, updates):
@@ -102,7 +104,7 @@
         await new.wait_for_requests(2)
         await old.publish(old.entry("c", "127.0.0.1:7"))
         await new.publish(new.entry("d", "127.0.0.1:6"))
-        assert first_id(await updates.get()) == "d"  # and nothing of the old agent
+        assert first_id(await updates.get()) == "d"  # and no update from the old agent
         assert old_poller.task.cancelled()
     await new.stop()
 
@@ -115,7 +117,7 @@
         await updates.get()
         await old.wait_for_requests(2)
         client.move(parse_address(unreachable.address))
-        client.move(parse_address(old.address))  # reverted, as after a mistake
+        client.move(parse_address(old.address))  # as if an operator reverted a mistake
         await old.publish(old.entry("a", "127.0.0.1:9"))
         assert first_id(await updates.get()) == "a"
         assert len(client.pollers) == 1
@@ -123,7 +125,7 @@
 
 
 async def test_an_address_that_moves_to_a_new_endpoint_is_no_longer_used_for_the_old_one() -> None:
-    # the old endpoint's removal may come later: requests to it would reach, and overload, the new one
+    # The removal of the old endpoint may arrive later; requests to it would reach and overload the new one.
     async with running_gateway() as harness:
         client = await harness.connect_client()
         assert (await client.exchange(request(1)))[0] == 200
@@ -146,7 +148,7 @@
         discovery = harness.discovery
         polls = len(discovery.request_lines)
         await discovery.publish(discovery.entry("b0", draining.address, "DRAINING"))
-        await discovery.wait_for_requests(polls + 1)  # the next watch: the change was applied
+        await discovery.wait_for_requests(polls + 1)  # the next watch shows that the change was applied
         received = len(draining.requests)
         for number in range(8, 20):
             assert (await client.exchange(request(number)))[0] == 200
--- a/tests/test_endpoint_poller.py
+++ b/tests/test_endpoint_poller.py
@@ -1,4 +1,4 @@
-"""Polling of a discovery agent: retries, backoff, timeouts, and what is logged of failures."""
+"""Polling of a discovery agent: retries, backoff, timeouts, and the logging of failures."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
 async def test_a_failed_watch_is_followed_by_a_poll_that_returns_at_once(
     fault: str, keeps_generation: bool
 ) -> None:
-    # another watch would wait for the next change, and a rejected one would be rejected again
+    # Another watch would wait for the next change, and a rejected watch would be rejected again.
     peer = FakeDiscovery()
     async with following(peer) as (_, updates):
         await updates.get()
@@ -90,9 +90,9 @@
         return delays
 
     first, second = await record_delays(), await record_delays()
-    assert first != second  # gateways that failed together don't retry together
+    assert first != second  # gateways whose polls fail at the same time retry at different times
     assert all(0 < delays[0] < 0.1 for delays in (first, second))
-    # Retry-After is capped by the maximum backoff, and jittered: all gateways were given the same one
+    # Retry-After is capped by the maximum backoff, and jittered, because all gateways receive the same value.
     assert first[7] != second[7]
     assert all(0.5 <= delay <= 1.0 for delay in (*first[7:], *second[7:]))
 
@@ -101,7 +101,7 @@
 
 
 class ControlledTime:
-    """Stands in for asyncio in the poller: timeouts expire at the test's command, sleeps return at once."""
+    """Replaces asyncio in the poller: timeouts expire when a test says so, and sleeps return at once."""
 
     def __init__(self) -> None:
         self.elapsed = 0.0  # seconds of expired timeouts and of sleeps
@@ -126,7 +126,7 @@
 
 
 class StallingDiscovery(FakeDiscovery):
-    """While it stalls it leaves requests unanswered, or starts responses that never end."""
+    """Agent that, while `stalls` is set, sends no responses or, with `trickles`, incomplete ones."""
 
     stalls = False
 
@@ -156,7 +156,7 @@
 async def test_a_stalled_watch_is_replaced_within_the_propagation_delay(
     gateway_count: int, pushed: bool, trickles: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # counted from the start of the stall, and also if the next poll stalls too
+    # The delay counts from the start of the stall, and includes a second poll that stalls.
     peer, time = StallingDiscovery(trickles), ControlledTime()
     peer.entries = {"a": peer.entry("a", "127.0.0.1:9")}
     schedule = poll_schedule_for(gateway_count, pushed, DRAIN_TIMEOUT)
@@ -166,11 +166,11 @@
         await updates.get()
         await peer.wait_for_requests(2)
         peer.stalls = True
-        time.expire_last_timeout()  # of the watch
+        time.expire_last_timeout()  # the timeout of the watch
         await peer.wait_for_requests(3)
         peer.stalls = False
         await peer.publish(peer.entry("a", "127.0.0.1:9", "DRAINING"))
-        time.expire_last_timeout()  # of the poll after it
+        time.expire_last_timeout()  # the timeout of the poll after the watch
         assert first_status(await updates.get()) is EndpointStatus.DRAINING
         assert time.elapsed <= MAX_PROPAGATION_DELAY
 
@@ -188,6 +188,7 @@
 
 
 async def test_only_timeouts_extend_the_answer_timeout_and_only_bad_lists_reset_the_generation() -> None:
+    """Only timeouts extend the answer timeout, and only unusable lists reset the generation."""
     poller = idle_poller()
     for timeouts in (1, 2):
         poller.handle_failure(TimeoutError())
@@ -240,7 +241,7 @@
 
 
 class SilentTransport:
-    """Takes what is written."""
+    """Transport that discards all written data."""
 
     def write(self, data: bytes) -> None:
         pass
--- a/tests/test_endpoint_updates.py
+++ b/tests/test_endpoint_updates.py
@@ -1,7 +1,8 @@
-"""How soon a change of the endpoint list is known after a fault of discovery, on a virtual clock.
+"""The propagation delay of endpoint list changes after a fault of discovery, on a virtual clock.
 
-A change must be known 6 s after discovery has it and can be reached. Each test exposes gateways, with starts
-spread over one watch, to a fault, and measures the time from its end until the last gateway knows.
+Gateways must know a change at most 6 s after discovery has it and can be reached. Each test starts gateways
+spread over the duration of one watch, exposes them to a fault, and measures the time from the end of the
+fault until the last gateway knows a change.
 """
 
 from __future__ import annotations
@@ -29,7 +30,7 @@
 
 
 class DrainObserver:
-    """The discovery client of one gateway, and when it first knew that an endpoint is draining."""
+    """A gateway's discovery client, and the loop time at which it first knew of a draining endpoint."""
 
     def __init__(self, address: str, schedule: PollSchedule) -> None:
         self.known_at = 0.0
@@ -48,7 +49,7 @@
 async def start_observers(
     address: str, count: int, schedule: PollSchedule, interval: float
 ) -> list[DrainObserver]:
-    """Start so many observers, `interval` seconds apart."""
+    """Start `count` observers, `interval` seconds apart."""
     observers = [DrainObserver(address, schedule) for _ in range(count)]
     for observer in observers:
         observer.client.start()
@@ -57,7 +58,7 @@
 
 
 async def propagation_delay(observers: list[DrainObserver], since: float) -> float:
-    """Wait until each observer knows; return the longest time in seconds that one took."""
+    """Wait until all observers know of the draining endpoint; return the longest delay in seconds."""
     for observer in observers:
         await observer.knows.wait()
     for observer in observers:
@@ -93,7 +94,7 @@
 @pytest.mark.parametrize("pushed", [False, True])
 @pytest.mark.parametrize("fault", DiscoveryFault)
 def test_a_change_is_known_in_time_after_any_fault(fault: DiscoveryFault, pushed: bool) -> None:
-    # a 503 with a long Retry-After delayed the next poll by 4 s, and each lost poll took 4.5 s
+    # A 503 with a long Retry-After used to delay the next poll by 4 s, and each lost poll took 4.5 s.
     schedule = poll_schedule_for(LARGE_FLEET, pushed, DRAIN_TIMEOUT)
     longest = max(
         propagation_delay_after(fault, duration, schedule, seed)
@@ -104,7 +105,7 @@
 
 
 class ResettingDiscovery(FaultyDiscovery):
-    """Resets one response after `reset_after` bytes; None: answers in full."""
+    """Agent that resets the connection after `reset_after` bytes of one response; None: sends all of it."""
 
     reset_after: int | None = None
 
@@ -118,7 +119,7 @@
             self.reset_after = None
             if reset_after is None:
                 writer.write(self.full_response())
-                await asyncio.sleep(0.1)  # else an endless series of watches would be answered at once
+                await asyncio.sleep(0.1)  # prevents a busy loop of watches that are answered at once
                 continue
             writer.write(self.full_response()[:reset_after])
             await writer.drain()
@@ -127,6 +128,7 @@
 
 
 def test_a_response_that_is_reset_at_any_byte_is_discarded_and_the_next_one_is_used() -> None:
+    """The response is reset after each possible number of bytes in turn."""
     delays: list[float] = []
     schedule = poll_schedule_for(LARGE_FLEET, False, DRAIN_TIMEOUT)
 
@@ -158,7 +160,7 @@
 
 
 def test_a_new_address_is_followed_in_time_though_its_first_poll_hangs() -> None:
-    # after SIGHUP changes of the new agent must be known within 4 s
+    # After SIGHUP, a change at the new agent must be known within 4 s.
     delays = []
 
     async def test() -> None:
@@ -186,7 +188,7 @@
 
 
 class RateLimitedDiscovery(FaultyDiscovery):
-    """Answers a limited number of polls a second from one queue, and rejects those it can't answer in 1 s."""
+    """Agent with one queue and a limited rate of polls; rejects those that would wait for more than 1 s."""
 
     rate = 150.0  # polls a second
     max_queueing_delay = 1.0  # seconds
@@ -212,6 +214,7 @@
 
 @pytest.mark.parametrize("fault", [DiscoveryFault.UNAVAILABLE, DiscoveryFault.SILENT, DiscoveryFault.REFUSED])
 def test_two_hundred_gateways_that_poll_at_once_know_in_time(fault: DiscoveryFault) -> None:
+    """The gateways of a large fleet start at the same time, and discovery limits the rate of polls."""
     delays = []
 
     async def test() -> None:
@@ -235,7 +238,7 @@
 
 
 def test_no_request_reaches_a_draining_backend_once_discovery_is_back() -> None:
-    """Measure when a draining backend last received a request, from when discovery is reachable."""
+    """Measure the time from the end of the outage until the last request to a draining backend."""
     late_requests: list[float] = []
 
     async def test() -> None:
--- a/tests/test_poll_schedule.py
+++ b/tests/test_poll_schedule.py
@@ -17,7 +17,7 @@
 
 
 def test_large_fleets_back_off_longer_than_small_ones() -> None:
-    # discovery answers a fixed number of polls a second; those beyond it queue until they time out
+    # Discovery answers a fixed number of polls a second; polls beyond it queue until they time out.
     small = poll_schedule_for(4, False, DRAIN_TIMEOUT)
     large = poll_schedule_for(40, False, DRAIN_TIMEOUT)
     assert large.first_backoff == 0.75
@@ -34,7 +34,7 @@
 
 @pytest.mark.parametrize("drain_timeout", [0.5, 2.0])
 def test_two_polls_of_an_agent_with_pushed_lists_fit_into_the_drain_timeout(drain_timeout: float) -> None:
-    # its answers are cheap, and what it knows when it returns, or at a start, has to be acted on at once
+    # Polls of such an agent are cheap, and its list at startup or after an outage has to be applied at once.
     for gateway_count in (1, 3, 40, 200):
         schedule = poll_schedule_for(gateway_count, True, drain_timeout)
         assert 2 * schedule.answer_timeout + schedule.max_backoff < drain_timeout
@@ -47,7 +47,7 @@
         polled = poll_schedule_for(gateway_count, False, DRAIN_TIMEOUT)
         assert polled.propagation_bound <= MAX_PROPAGATION_DELAY
         assert 0 < polled.first_backoff <= polled.max_backoff
-        assert polled == poll_schedule_for(gateway_count, False, 0.5)  # the drain timeout is not used up
+        assert polled == poll_schedule_for(gateway_count, False, 0.5)  # independent of the drain timeout
 
 
 def test_the_propagation_bound_holds_for_every_drain_timeout() -> None:
@@ -70,6 +70,6 @@
         for _ in range(200)
     ]
     assert max(delays) <= schedule.max_backoff
-    assert len(set(delays)) > 700  # gateways that were given the same Retry-After spread out
+    assert len(set(delays)) > 700  # gateways with the same Retry-After retry at different times
     min_delay = min(0.1, schedule.max_backoff * MIN_JITTER)
     assert min(schedule.jittered_delay(schedule.first_backoff, 0.1) for _ in range(200)) >= min_delay - 1e-9
