--- a/tests/discovery_harness.py
+++ b/tests/discovery_harness.py
@@ -19,7 +19,7 @@
 
 
 @asynccontextmanager
-async def following(
+async def running_client(
     peer: FakeDiscovery,
     known_generation: int | None = None,
     schedule: PollSchedule = DEFAULT_POLL_SCHEDULE,
--- a/tests/test_admin_api.py
+++ b/tests/test_admin_api.py
@@ -36,7 +36,7 @@
         ("POST", "/backends/b0/ready", 200),
     ],
 )
-async def test_each_operation_has_its_status(method: str, path: str, status: int) -> None:
+async def test_operation_returns_expected_status(method: str, path: str, status: int) -> None:
     async with running_gateway() as harness:
         operator = await harness.connect_admin()
         operator.send(f"{method} {path} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
@@ -48,7 +48,7 @@
 
 
 @pytest.mark.parametrize("data", [b"nonsense\r\n\r\n", b"GET /stats", b"\x16\x03\x01\x00", OVERSIZED])
-async def test_an_invalid_request_gets_an_error_and_has_no_effect(data: bytes) -> None:
+async def test_invalid_request_is_rejected_without_effect(data: bytes) -> None:
     async with running_gateway() as harness:
         operator = await harness.connect_admin()
         operator.send(data)
@@ -57,7 +57,7 @@
         assert (await harness.call_admin("GET", "/healthcheck"))[0] == 200
 
 
-async def test_idle_connections_do_not_keep_others_out() -> None:
+async def test_idle_connections_do_not_block_new_ones() -> None:
     async with running_gateway() as harness:
         idle = [await harness.connect_admin() for _ in range(2 * MAX_CONNECTIONS)]
         for operator in idle[::2]:
@@ -69,7 +69,7 @@
                 assert await operator.reader.read() == b""  # the oldest connections were closed
 
 
-async def test_an_incomplete_request_times_out(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_incomplete_request_times_out(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(connection, "REQUEST_TIMEOUT", 0.0)
     async with running_gateway() as harness:
         operator = await harness.connect_admin()
@@ -77,26 +77,26 @@
         assert (await operator.read_response())[0] == 408
 
 
-async def status_of(harness: GatewayHarness, number: int, request_class: str = "lookup") -> int:
+async def response_status(harness: GatewayHarness, number: int, request_class: str = "lookup") -> int:
     client = await harness.connect_client()
     return (await client.exchange(request(number, request_class)))[0]
 
 
-async def test_each_final_response_is_counted_once() -> None:
+async def test_final_response_is_counted_once() -> None:
     async with running_gateway() as harness:
 
-        def fail(writer: asyncio.StreamWriter, asked: HttpMessage) -> None:
+        def fail(writer: asyncio.StreamWriter, received: HttpMessage) -> None:
             writer.write(http_response(500))
 
-        def reject(writer: asyncio.StreamWriter, asked: HttpMessage) -> None:
+        def reject(writer: asyncio.StreamWriter, received: HttpMessage) -> None:
             writer.write(http_response(503, b"", "X-Rejected: 1"))
 
-        assert await status_of(harness, 1) == 200 == await status_of(harness, 2, "extract")
+        assert await response_status(harness, 1) == 200 == await response_status(harness, 2, "extract")
         harness.backends[0].script = [fail]
         # The backend may have executed the request, so that this does not count as a rejection.
-        assert await status_of(harness, 3, "extract") == 502
+        assert await response_status(harness, 3, "extract") == 502
         harness.backends[0].script = [reject] * 9
-        assert await status_of(harness, 4, "extract") == 429
+        assert await response_status(harness, 4, "extract") == 429
         released = asyncio.Event()
         harness.backends[0].script = [send_success_after(released)]
         waiting, attempts = await harness.connect_client(), len(harness.received_requests())
@@ -114,7 +114,7 @@
         assert metrics["success.lookup"] == 2 and metrics["concurrent"] == 0
 
 
-async def test_a_client_that_disconnects_is_not_counted() -> None:
+async def test_disconnected_client_is_not_counted() -> None:
     async with running_gateway() as harness:
         released = asyncio.Event()
         harness.backends[0].script = [send_success_after(released)]
@@ -128,11 +128,11 @@
         assert metrics["success.lookup"] == metrics["error.lookup"] == metrics["overload.lookup"] == 0
 
 
-async def test_a_backend_in_maintenance_gets_no_requests_until_maintenance_ends() -> None:
+async def test_backend_under_maintenance_gets_no_requests() -> None:
     async with running_gateway(backends=2) as harness:
         disabled = harness.backends[0]
         for number in range(8):
-            assert await status_of(harness, number) == 200
+            assert await response_status(harness, number) == 200
         for _ in range(2):
             assert (await harness.call_admin("POST", "/backends/b0/maint"))[0] == 200
         assert (await harness.metrics())["targets_disabled"] == 1
@@ -145,18 +145,18 @@
         await harness.discovery.publish(restarted)
         await harness.discovery.wait_for_requests(polls + 2)
         for number in range(10, 30):
-            assert await status_of(harness, number) == 200
+            assert await response_status(harness, number) == 200
         assert len(disabled.requests) == seen
         assert (await harness.call_admin("POST", "/backends/b0/ready"))[0] == 200
         number = 30
         async with asyncio.timeout(EVENT_TIMEOUT):
             while len(disabled.requests) == seen:
                 number += 1
-                assert await status_of(harness, number) == 200
+                assert await response_status(harness, number) == 200
         assert (await harness.metrics())["targets_disabled"] == 0
 
 
-async def test_draining_reports_not_ready_serves_requests_and_closes_connections() -> None:
+async def test_draining_gateway_serves_requests_and_closes_connections() -> None:
     """It reports not ready, and closes active connections after a response, idle and unused ones without."""
     async with running_gateway() as harness:
         active, idle, unused = (
@@ -182,7 +182,7 @@
         assert (await client.exchange(request(4)))[0] == 200
 
 
-async def test_a_request_in_flight_when_draining_starts_gets_its_response() -> None:
+async def test_draining_completes_request_in_flight() -> None:
     async with running_gateway() as harness:
         released = asyncio.Event()
         harness.backends[0].script = [send_success_after(released)]
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -11,15 +11,15 @@
 from quota_gateway.errors import EndpointListError
 from quota_gateway.model.endpoints import EndpointListKind, EndpointStatus
 from quota_gateway.sockets.addresses import parse_address
-from tests.discovery_harness import first_id, first_status, following
+from tests.discovery_harness import first_id, first_status, running_client
 from tests.fakes import FakeDiscovery, http_response, read_message
 from tests.harness import GatewayHarness, high_quota_settings, request, running_gateway
 
 
-async def test_the_full_list_is_followed_by_watches_on_one_connection() -> None:
+async def test_watches_follow_full_list_on_one_connection() -> None:
     peer = FakeDiscovery()
     peer.entries = {"a": peer.entry("a", "127.0.0.1:9")}
-    async with following(peer) as (_, updates):
+    async with running_client(peer) as (_, updates):
         full = await updates.get()
         assert full.is_full
         assert full.entries[0].address == ("127.0.0.1", 9)
@@ -33,7 +33,7 @@
         assert peer.connection_count == 1
 
 
-async def test_a_rejected_first_poll_lets_the_gateway_start_from_its_known_list() -> None:
+async def test_rejected_first_poll_does_not_block_startup() -> None:
     """Startup waits for an answer to the first poll, even a rejection, and goes on with the known list."""
 
     class RejectingDiscovery(FakeDiscovery):
@@ -42,13 +42,13 @@
             writer.write(http_response(503))
 
     peer = RejectingDiscovery()
-    async with following(peer, 1, poll_schedule_for(40, False, drain_timeout=2.0)) as (client, updates):
+    async with running_client(peer, 1, poll_schedule_for(40, False, drain_timeout=2.0)) as (client, updates):
         await client.answered.wait()  # the event that startup waits for
         assert len(peer.request_lines) == 1
         assert updates.empty()
 
 
-async def test_startup_waits_for_discovery_no_longer_than_the_connect_timeout() -> None:
+async def test_startup_waits_at_most_the_connect_timeout() -> None:
     class SilentDiscovery(FakeDiscovery):
         async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             self.request_lines.append((await read_message(reader))[0])
@@ -78,18 +78,18 @@
 async def test_polling_starts_from_the_known_generation() -> None:
     peer = FakeDiscovery()
     await peer.publish(peer.entry("a", "127.0.0.1:9", "DRAINING"))
-    async with following(peer, known_generation=1) as (_, updates):
+    async with running_client(peer, known_generation=1) as (_, updates):
         assert (await updates.get()).kind is EndpointListKind.DELTA
         await peer.wait_for_requests(2)
         assert "since=1&timeout_ms=0 " in peer.request_lines[0]
         assert "since=2&timeout_ms=2000 " in peer.request_lines[1]
 
 
-async def test_a_new_agent_takes_over_with_its_first_full_list() -> None:
+async def test_new_agent_takes_over_after_full_list() -> None:
     # Until then, updates from the old agent still apply, so that no change to DRAINING is missed.
     old, new = FakeDiscovery(), FakeDiscovery()
     await new.start()
-    async with following(old) as (client, updates):
+    async with running_client(old) as (client, updates):
         await updates.get()
         await old.wait_for_requests(2)
         (old_poller,) = client.pollers
@@ -109,11 +109,11 @@
     await new.stop()
 
 
-async def test_an_unreachable_new_agent_leaves_the_old_one_in_place() -> None:
+async def test_unreachable_new_agent_keeps_the_old_one() -> None:
     old, unreachable = FakeDiscovery(), FakeDiscovery()
     await unreachable.start()
     await unreachable.stop()
-    async with following(old) as (client, updates):
+    async with running_client(old) as (client, updates):
         await updates.get()
         await old.wait_for_requests(2)
         client.move(parse_address(unreachable.address))
@@ -124,7 +124,7 @@
         assert old.connection_count == 1
 
 
-async def test_an_address_that_moves_to_a_new_endpoint_is_no_longer_used_for_the_old_one() -> None:
+async def test_reassigned_address_replaces_the_old_endpoint() -> None:
     # The removal of the old endpoint may arrive later; requests to it would reach and overload the new one.
     async with running_gateway() as harness:
         client = await harness.connect_client()
@@ -139,7 +139,7 @@
         assert harness.backends[0].connection_count == 2  # the old endpoint's connection is not reused
 
 
-async def test_a_draining_backend_receives_no_requests() -> None:
+async def test_draining_backend_receives_no_requests() -> None:
     async with running_gateway(backends=2) as harness:
         client = await harness.connect_client()
         for number in range(8):
@@ -157,7 +157,7 @@
 
 
 @pytest.mark.parametrize(
-    ("document", "problem"),
+    ("document", "message"),
     [
         ({}, "instances is missing"),
         ([], "not a JSON object"),
@@ -177,7 +177,7 @@
         ),
     ],
 )
-def test_a_malformed_list_is_rejected_with_the_name_of_the_field(document: object, problem: str) -> None:
+def test_malformed_list_error_names_the_field(document: object, message: str) -> None:
     with pytest.raises(EndpointListError) as raised:
         read_endpoint_update(document)
-    assert str(raised.value) == problem
+    assert str(raised.value) == message
--- a/tests/test_endpoint_poller.py
+++ b/tests/test_endpoint_poller.py
@@ -14,7 +14,7 @@
 from quota_gateway.discovery.poller import EndpointPoller
 from quota_gateway.errors import DiscoveryUnavailableError, EndpointListError
 from quota_gateway.model.endpoints import EndpointStatus
-from tests.discovery_harness import first_id, first_status, following
+from tests.discovery_harness import first_id, first_status, running_client
 from tests.fakes import FakeDiscovery, http_response, read_message
 from tests.harness import run
 
@@ -44,12 +44,10 @@
         ("older generation", False),
     ],
 )
-async def test_a_failed_watch_is_followed_by_a_poll_that_returns_at_once(
-    fault: str, keeps_generation: bool
-) -> None:
+async def test_failed_watch_is_followed_by_immediate_poll(fault: str, keeps_generation: bool) -> None:
     # Another watch would wait for the next change, and a rejected watch would be rejected again.
     peer = FakeDiscovery()
-    async with following(peer) as (_, updates):
+    async with running_client(peer) as (_, updates):
         await updates.get()
         await peer.wait_for_requests(2)
         (writer,) = peer.open_writers
@@ -100,7 +98,7 @@
 VIRTUAL_CONNECT_TIMEOUT = 0.25  # seconds
 
 
-class ControlledTime:
+class ControlledAsyncio:
     """Replaces asyncio in the poller: timeouts expire when a test says so, and sleeps return at once."""
 
     def __init__(self) -> None:
@@ -153,31 +151,31 @@
 @pytest.mark.parametrize("trickles", [False, True])
 @pytest.mark.parametrize("pushed", [False, True])
 @pytest.mark.parametrize("gateway_count", [1, 3, 40, 200])
-async def test_a_stalled_watch_is_replaced_within_the_propagation_delay(
+async def test_stalled_watch_is_replaced_within_propagation_delay(
     gateway_count: int, pushed: bool, trickles: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # The delay counts from the start of the stall, and includes a second poll that stalls.
-    peer, time = StallingDiscovery(trickles), ControlledTime()
+    peer, clock = StallingDiscovery(trickles), ControlledAsyncio()
     peer.entries = {"a": peer.entry("a", "127.0.0.1:9")}
     schedule = poll_schedule_for(gateway_count, pushed, DRAIN_TIMEOUT)
-    monkeypatch.setattr(poller_module, "asyncio", time)
+    monkeypatch.setattr(poller_module, "asyncio", clock)
     monkeypatch.setattr("quota_gateway.discovery.poll_schedule.random.uniform", lambda lower, upper: upper)
-    async with following(peer, None, schedule, VIRTUAL_CONNECT_TIMEOUT) as (_, updates):
+    async with running_client(peer, None, schedule, VIRTUAL_CONNECT_TIMEOUT) as (_, updates):
         await updates.get()
         await peer.wait_for_requests(2)
         peer.stalls = True
-        time.expire_last_timeout()  # the timeout of the watch
+        clock.expire_last_timeout()  # the timeout of the watch
         await peer.wait_for_requests(3)
         peer.stalls = False
         await peer.publish(peer.entry("a", "127.0.0.1:9", "DRAINING"))
-        time.expire_last_timeout()  # the timeout of the poll after the watch
+        clock.expire_last_timeout()  # the timeout of the poll after the watch
         assert first_status(await updates.get()) is EndpointStatus.DRAINING
-        assert time.elapsed <= MAX_PROPAGATION_DELAY
+        assert clock.elapsed <= MAX_PROPAGATION_DELAY
 
 
-async def test_polling_survives_deeply_nested_json_and_infinite_numbers() -> None:
+async def test_polling_survives_nested_json_and_infinite_numbers() -> None:
     peer = FakeDiscovery()
-    async with following(peer) as (_, updates):
+    async with running_client(peer) as (_, updates):
         await updates.get()
         bodies = (b"[" * 200_000, b'{"generation": 1e999, "reset": true, "instances": []}')
         for number, body in enumerate(bodies):
@@ -187,7 +185,7 @@
             assert (await updates.get()).is_full
 
 
-async def test_only_timeouts_extend_the_answer_timeout_and_only_bad_lists_reset_the_generation() -> None:
+async def test_failure_type_determines_timeout_and_generation() -> None:
     """Only timeouts extend the answer timeout, and only unusable lists reset the generation."""
     poller = idle_poller()
     for timeouts in (1, 2):
@@ -200,10 +198,10 @@
     poller.stop()
 
 
-def test_an_unusable_list_is_logged_on_one_line(caplog: pytest.LogCaptureFixture) -> None:
+def test_unusable_list_is_logged_on_one_line(caplog: pytest.LogCaptureFixture) -> None:
     async def test() -> None:
         peer = FakeDiscovery()
-        async with following(peer) as (_, updates):
+        async with running_client(peer) as (_, updates):
             await updates.get()
             for body in (b'{"generation": 2,\n "instances": 7}', b"rubbish" * 99):
                 await peer.wait_for_requests(len(peer.request_lines))
@@ -218,7 +216,7 @@
     assert all("\n" not in text and len(text) < 300 for text in messages)
 
 
-def test_a_series_of_failures_is_logged_once(caplog: pytest.LogCaptureFixture) -> None:
+def test_failure_series_is_logged_once(caplog: pytest.LogCaptureFixture) -> None:
     async def test() -> None:
         poller = idle_poller()
         errors = (TimeoutError(), EndpointListError("bad\nlist"), DiscoveryUnavailableError("status 503"))
@@ -236,11 +234,11 @@
     ("value", "seconds"),
     [(b"1.5", 1.5), (b"nan", 0), (b"inf", 0), (b"-3", 0), (b"Tue, 01 Dec 2026", 0)],
 )
-def test_only_a_positive_number_of_seconds_is_taken_as_retry_after(value: bytes, seconds: float) -> None:
+def test_retry_after_must_be_positive_seconds(value: bytes, seconds: float) -> None:
     assert parse_retry_after(value) == seconds
 
 
-class SilentTransport:
+class DiscardingTransport:
     """Transport that discards all written data."""
 
     def write(self, data: bytes) -> None:
@@ -250,14 +248,14 @@
         pass
 
 
-async def test_the_retry_after_of_an_answer_does_not_count_for_a_later_error() -> None:
+async def test_retry_after_does_not_affect_later_error() -> None:
     connection = DiscoveryConnection()
-    connection.connection_made(cast(asyncio.Transport, SilentTransport()))
-    answer = connection.request("/", "host")
+    connection.connection_made(cast(asyncio.Transport, DiscardingTransport()))
+    response = connection.request("/", "host")
     connection.data_received(http_response(200, b"{}", "Retry-After: 5"))
-    assert await answer == b"{}"
-    refused = connection.request("/", "host")
+    assert await response == b"{}"
+    rejected = connection.request("/", "host")
     connection.data_received(http_response(503))
     with pytest.raises(DiscoveryUnavailableError) as raised:
-        await refused
+        await rejected
     assert raised.value.retry_after == 0.0
--- a/tests/test_endpoint_updates.py
+++ b/tests/test_endpoint_updates.py
@@ -34,16 +34,16 @@
 
     def __init__(self, address: str, schedule: PollSchedule) -> None:
         self.known_at = 0.0
-        self.knows = asyncio.Event()
+        self.change_known = asyncio.Event()
         self.client = DiscoveryClient(
             parse_address(address), CONNECT_TIMEOUT, self.handle_update, known_generation=1, schedule=schedule
         )
 
     def handle_update(self, update: EndpointUpdate) -> None:
         is_draining = any(entry.endpoint.status is EndpointStatus.DRAINING for entry in update.entries)
-        if is_draining and not self.knows.is_set():
+        if is_draining and not self.change_known.is_set():
             self.known_at = asyncio.get_running_loop().time()
-            self.knows.set()
+            self.change_known.set()
 
 
 async def start_observers(
@@ -60,7 +60,7 @@
 async def propagation_delay(observers: list[DrainObserver], since: float) -> float:
     """Wait until all observers know of the draining endpoint; return the longest delay in seconds."""
     for observer in observers:
-        await observer.knows.wait()
+        await observer.change_known.wait()
     for observer in observers:
         observer.client.stop()
     return max(observer.known_at for observer in observers) - since
@@ -93,7 +93,7 @@
 
 @pytest.mark.parametrize("pushed", [False, True])
 @pytest.mark.parametrize("fault", DiscoveryFault)
-def test_a_change_is_known_in_time_after_any_fault(fault: DiscoveryFault, pushed: bool) -> None:
+def test_change_is_known_in_time_after_fault(fault: DiscoveryFault, pushed: bool) -> None:
     # A 503 with a long Retry-After used to delay the next poll by 4 s, and each lost poll took 4.5 s.
     schedule = poll_schedule_for(LARGE_FLEET, pushed, DRAIN_TIMEOUT)
     longest = max(
@@ -127,7 +127,7 @@
             return
 
 
-def test_a_response_that_is_reset_at_any_byte_is_discarded_and_the_next_one_is_used() -> None:
+def test_partial_response_is_discarded_and_poll_retried() -> None:
     """The response is reset after each possible number of bytes in turn."""
     delays: list[float] = []
     schedule = poll_schedule_for(LARGE_FLEET, False, DRAIN_TIMEOUT)
@@ -159,7 +159,7 @@
     assert max(delays) <= schedule.max_backoff + 0.05
 
 
-def test_a_new_address_is_followed_in_time_though_its_first_poll_hangs() -> None:
+def test_new_agent_is_used_despite_hanging_poll() -> None:
     # After SIGHUP, a change at the new agent must be known within 4 s.
     delays = []
 
@@ -213,7 +213,7 @@
 
 
 @pytest.mark.parametrize("fault", [DiscoveryFault.UNAVAILABLE, DiscoveryFault.SILENT, DiscoveryFault.REFUSED])
-def test_two_hundred_gateways_that_poll_at_once_know_in_time(fault: DiscoveryFault) -> None:
+def test_change_is_known_in_time_in_large_fleet(fault: DiscoveryFault) -> None:
     """The gateways of a large fleet start at the same time, and discovery limits the rate of polls."""
     delays = []
 
@@ -237,7 +237,7 @@
     assert delays[0] <= MAX_PROPAGATION_DELAY
 
 
-def test_no_request_reaches_a_draining_backend_once_discovery_is_back() -> None:
+def test_draining_backend_gets_no_requests_after_outage() -> None:
     """Measure the time from the end of the outage until the last request to a draining backend."""
     late_requests: list[float] = []
 
@@ -278,7 +278,7 @@
 
 
 @pytest.mark.virtual_clock
-async def test_the_virtual_clock_advances_only_while_the_loop_is_idle() -> None:
+async def test_virtual_clock_advances_only_in_idle_loop() -> None:
     peer = FaultyDiscovery()
     loop = asyncio.get_running_loop()
     await peer.start()
--- a/tests/test_poll_schedule.py
+++ b/tests/test_poll_schedule.py
@@ -16,7 +16,7 @@
 MAX_GATEWAY_COUNT = 7800
 
 
-def test_large_fleets_back_off_longer_than_small_ones() -> None:
+def test_large_fleets_back_off_longer() -> None:
     # Discovery answers a fixed number of polls a second; polls beyond it queue until they time out.
     small = poll_schedule_for(4, False, DRAIN_TIMEOUT)
     large = poll_schedule_for(40, False, DRAIN_TIMEOUT)
@@ -26,14 +26,14 @@
     assert poll_schedule_for(1000, False, DRAIN_TIMEOUT) == large
 
 
-def test_the_default_schedule_is_that_of_a_single_gateway() -> None:
+def test_default_schedule_is_for_single_gateway() -> None:
     schedule = poll_schedule_for(1, False, DRAIN_TIMEOUT)
     assert schedule == DEFAULT_POLL_SCHEDULE
     assert schedule == PollSchedule(2.0, 1.0, 2, 0.05, 1.0)
 
 
 @pytest.mark.parametrize("drain_timeout", [0.5, 2.0])
-def test_two_polls_of_an_agent_with_pushed_lists_fit_into_the_drain_timeout(drain_timeout: float) -> None:
+def test_pushed_schedule_fits_two_polls_into_drain_timeout(drain_timeout: float) -> None:
     # Polls of such an agent are cheap, and its list at startup or after an outage has to be applied at once.
     for gateway_count in (1, 3, 40, 200):
         schedule = poll_schedule_for(gateway_count, True, drain_timeout)
@@ -42,7 +42,7 @@
         assert schedule == poll_schedule_for(1, True, drain_timeout)
 
 
-def test_the_propagation_bound_holds_for_every_fleet_size() -> None:
+def test_propagation_bound_holds_for_every_fleet_size() -> None:
     for gateway_count in range(1, MAX_GATEWAY_COUNT + 1):
         polled = poll_schedule_for(gateway_count, False, DRAIN_TIMEOUT)
         assert polled.propagation_bound <= MAX_PROPAGATION_DELAY
@@ -50,7 +50,7 @@
         assert polled == poll_schedule_for(gateway_count, False, 0.5)  # independent of the drain timeout
 
 
-def test_the_propagation_bound_holds_for_every_drain_timeout() -> None:
+def test_propagation_bound_holds_for_every_drain_timeout() -> None:
     for drain_timeout in (0.1, 0.5, 2.0, 6.0, 60.0):
         pushed = poll_schedule_for(1, True, drain_timeout)
         assert pushed.propagation_bound <= MAX_PROPAGATION_DELAY
@@ -62,7 +62,7 @@
 
 @pytest.mark.parametrize("pushed", [False, True])
 @pytest.mark.parametrize("gateway_count", [1, 3, 40, 200, MAX_GATEWAY_COUNT])
-def test_retry_after_is_respected_up_to_the_maximum_backoff(gateway_count: int, pushed: bool) -> None:
+def test_retry_after_is_capped_by_maximum_backoff(gateway_count: int, pushed: bool) -> None:
     schedule = poll_schedule_for(gateway_count, pushed, DRAIN_TIMEOUT)
     delays = [
         schedule.jittered_delay(schedule.first_backoff, retry_after)
