--- a/tests/test_endpoint_updates.py
+++ b/tests/test_endpoint_updates.py
@@ -1,8 +1,8 @@
 """The propagation delay of endpoint list changes after a fault of discovery, on a virtual clock.
 
-Gateways must know a change at most 6 s after discovery has it and can be reached. Each test starts gateways
-spread over the duration of one watch, exposes them to a fault, and measures the time from the end of the
-fault until the last gateway knows a change.
+Gateways must know a change at most 6 s after discovery has it and can be reached. Most tests start gateways
+spread over the duration of one watch, expose them to a fault, and measure the time from the end of the fault
+until the last gateway knows the change.
 """
 
 from __future__ import annotations
--- a/tests/test_held_up_process.py
+++ b/tests/test_held_up_process.py
@@ -27,7 +27,7 @@
 SETTLE_TIME = 0.6  # seconds after which the process has sent all attempts that it is going to send
 CLIENT_COUNT = 16
 BUDGET = 0.9  # seconds that a client waits for its response
-LOOP_SETTLE_TIME = 0.1  # seconds that the event loop runs before a pause
+LOOP_SETTLE_TIME = 0.1  # seconds that the event loop runs undisturbed before a pause
 DEADLINE_SLACK = 0.15  # seconds by which X-Budget may exceed the client's remaining time
 
 
@@ -123,7 +123,8 @@
         virtual_clock_loop().now += PAUSE_DURATION
         half_closed_at = virtual_clock_loop().now - PAUSE_DURATION
         connections = case.harness.process.listener.connections
-        while not any(c.half_close.begun for c in connections):  # noqa: ASYNC110 - it has no event
+        # The state of a connection can only be polled.
+        while not any(c.half_close.begun for c in connections):  # noqa: ASYNC110
             await asyncio.sleep(0)
         case.release()
         await asyncio.sleep(SETTLE_TIME)
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -163,10 +163,12 @@
             return 0  # not listening yet
 
     async def metrics(self, admin_port: int) -> dict[str, int]:
+        """Return the metrics of the process with this admin port."""
         self.harness.admin_port = admin_port
         return await self.harness.metrics()
 
     async def request_status(self, number: int) -> int:
+        """Send a request on a new connection and return the status of the response."""
         client = await self.harness.connect_client()
         status, _, _ = await client.exchange(request(number, customer=f"{number:016x}"))
         client.writer.close()
@@ -175,6 +177,7 @@
 
 @asynccontextmanager
 async def process_group(folder: pathlib.Path) -> AsyncIterator[ProcessGroup]:
+    """Start the peers of a gateway, and yield a group without processes; stop all of them at the end."""
     harness = GatewayHarness(2)
     for peer in (*harness.backends, harness.discovery, harness.counter):
         await peer.start()
@@ -284,7 +287,7 @@
 
 
 async def test_startup_survives_failed_link(tmp_path: pathlib.Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """A process that can not connect to the older one (ENOMEM) starts without its state."""
+    """A process that cannot connect to the older one (ENOMEM) starts without its state."""
     with socket.socket(socket.AF_UNIX) as older:
         older.bind(str(tmp_path / SOCKET_NAME))
         older.listen()
@@ -320,7 +323,8 @@
         hot_restart.handle_message(ProcessLink(hot_restart), SetMaintenance("new", True))
         await harness.discovery.publish(listed)
         async with asyncio.timeout(EVENT_TIMEOUT):
-            while "new" not in process.dispatcher.engine.endpoints:  # noqa: ASYNC110 - it has no event
+            # The endpoints of the engine can only be polled.
+            while "new" not in process.dispatcher.engine.endpoints:  # noqa: ASYNC110
                 await asyncio.sleep(0.01)
         assert "new" not in [endpoint.id for endpoint in process.dispatcher.engine.registry.serving]
         hot_restart.close()
@@ -345,7 +349,7 @@
 async def test_hanging_older_process_does_not_delay_startup(
     tmp_path: pathlib.Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """State that arrives after the timeout is still restored."""
+    """The state is still restored if it arrives after the timeout."""
     monkeypatch.setattr(coordinator, "STATE_TRANSFER_TIMEOUT", 0.01)
     with socket.socket(socket.AF_UNIX) as hanging:
         hanging.bind(str(tmp_path / SOCKET_NAME))
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -17,7 +17,7 @@
 from tests.test_gateway_process import ROOT, RUN
 from tests.virtual_clock import run_on_virtual_clock, virtual_unix_clock
 
-MAX_STARTUP_TIME = 10.0  # seconds until nine of ten gateways have to serve
+MAX_STARTUP_TIME = 10.0  # seconds within which nine of ten gateways have to serve
 MAX_DISCOVERY_WAIT = 1.5  # seconds of virtual time: one connect timeout and a margin
 FLEET_SIZE = 12
 MAX_DESCRIPTORS = 1024
--- a/tests/test_shared_folder.py
+++ b/tests/test_shared_folder.py
@@ -21,7 +21,7 @@
 
 
 def create_shared_folder(parent: pathlib.Path) -> tuple[FaultInjector, pathlib.Path]:
-    """Create a shared folder; return it after the fault injector for the processes that use it."""
+    """Create a shared folder, and a fault injector for the processes that use it."""
     folder = parent / "shared"
     folder.mkdir()
     return FaultInjector(parent / "faults"), folder
