--- a/tests/test_admin_api.py
+++ b/tests/test_admin_api.py
@@ -130,15 +130,15 @@
 
 async def test_backend_under_maintenance_gets_no_requests() -> None:
     async with running_gateway(backends=2) as harness:
-        disabled = harness.backends[0]
+        backend = harness.backends[0]
         for number in range(8):
             assert await response_status(harness, number) == 200
         for _ in range(2):
             assert (await harness.call_admin("POST", "/backends/b0/maint"))[0] == 200
         assert (await harness.metrics())["targets_disabled"] == 1
-        seen = len(disabled.requests)
+        requests_before = len(backend.requests)
         polls = len(harness.discovery.request_lines)
-        restarted = harness.discovery.entry("b0", disabled.address, started=1000.0)
+        restarted = harness.discovery.entry("b0", backend.address, started=1000.0)
         # A restart of the backend does not end its maintenance.
         await harness.discovery.publish({**restarted, "lifecycle": "DELETED"})
         await harness.discovery.wait_for_requests(polls + 1)
@@ -146,11 +146,11 @@
         await harness.discovery.wait_for_requests(polls + 2)
         for number in range(10, 30):
             assert await response_status(harness, number) == 200
-        assert len(disabled.requests) == seen
+        assert len(backend.requests) == requests_before
         assert (await harness.call_admin("POST", "/backends/b0/ready"))[0] == 200
         number = 30
         async with asyncio.timeout(EVENT_TIMEOUT):
-            while len(disabled.requests) == seen:
+            while len(backend.requests) == requests_before:
                 number += 1
                 assert await response_status(harness, number) == 200
         assert (await harness.metrics())["targets_disabled"] == 0
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -150,11 +150,11 @@
         self.children.append(child)
         async with asyncio.timeout(EVENT_TIMEOUT):
             # The health of a child process can only be polled.
-            while (await self.call(admin_port, "GET", "/healthcheck")) != 200:  # noqa: ASYNC110
+            while (await self.admin_status(admin_port, "GET", "/healthcheck")) != 200:  # noqa: ASYNC110
                 await asyncio.sleep(0.01)
         return child, admin_port
 
-    async def call(self, admin_port: int, method: str, path: str) -> int:
+    async def admin_status(self, admin_port: int, method: str, path: str) -> int:
         """Send an admin request and return the status; 0 without a response."""
         self.harness.admin_port = admin_port
         try:
@@ -205,7 +205,7 @@
         old, old_admin_port = await processes.start()
         idle, waiting = await harness.connect_client(), await harness.connect_client()
         assert (await idle.exchange(READY_REQUEST))[0] == 200
-        assert await processes.call(old_admin_port, "POST", "/backends/b0/maint") == 200
+        assert await processes.admin_status(old_admin_port, "POST", "/backends/b0/maint") == 200
         released = asyncio.Event()
         harness.backends[1].script = [send_success_after(released)]
         waiting.send(request(1, budget=900.0))
@@ -216,9 +216,9 @@
             while (await processes.metrics(new_admin_port))["success.lookup"] == 0:
                 number += 1
                 assert await processes.request_status(number) == 200
-        before = await processes.metrics(old_admin_port)
+        metrics_before = await processes.metrics(old_admin_port)
         assert [await processes.request_status(n) for n in range(50, 60)] == [200] * 10
-        assert (await processes.metrics(old_admin_port))["success.lookup"] == before["success.lookup"]
+        assert (await processes.metrics(old_admin_port))["success.lookup"] == metrics_before["success.lookup"]
         status, headers, _ = await idle.exchange(READY_REQUEST)
         assert status == 200 and headers["connection"] == "close" and await idle.wait_closed()
         old.send_signal(signal.SIGTERM)
@@ -263,9 +263,9 @@
     async with process_group(tmp_path) as processes:
         _, old = await processes.start()
         _, new = await processes.start()
-        for commanded, other in ((old, new), (new, old)):
+        for target, other in ((old, new), (new, old)):
             for command, disabled in (("maint", 1), ("ready", 0)):
-                assert await processes.call(commanded, "POST", f"/backends/b0/{command}") == 200
+                assert await processes.admin_status(target, "POST", f"/backends/b0/{command}") == 200
                 async with asyncio.timeout(EVENT_TIMEOUT):
                     while (await processes.metrics(other))["targets_disabled"] != disabled:
                         pass
@@ -283,7 +283,7 @@
         assert (await waiting.exchange(request(2)))[0] == 200  # the connection is kept alive
         assert (await processes.metrics(old))["success.lookup"] >= 2
         _, new = await processes.start()
-        assert await processes.call(new, "GET", "/healthcheck") == 200
+        assert await processes.admin_status(new, "GET", "/healthcheck") == 200
 
 
 async def test_startup_survives_failed_link(tmp_path: pathlib.Path, monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_shared_folder.py
+++ b/tests/test_shared_folder.py
@@ -36,7 +36,7 @@
 
 async def start_maintenance(processes: ProcessGroup, admin_port: int) -> None:
     """Put one of the two backends under maintenance, as an operator does."""
-    assert await processes.call(admin_port, "POST", "/backends/b0/maint") == 200
+    assert await processes.admin_status(admin_port, "POST", "/backends/b0/maint") == 200
 
 
 async def assert_under_maintenance(processes: ProcessGroup, admin_port: int) -> None:
@@ -84,7 +84,7 @@
             await newer.wait()
         await start_maintenance(processes, oldest)
         async with asyncio.timeout(EVENT_TIMEOUT):
-            while await processes.call(oldest, "GET", "/healthcheck") != 200:  # noqa: ASYNC110
+            while await processes.admin_status(oldest, "GET", "/healthcheck") != 200:  # noqa: ASYNC110
                 await asyncio.sleep(0.01)
         _, newest = await processes.start()
         await assert_under_maintenance(processes, newest)
