--- a/tests/test_held_up_process.py
+++ b/tests/test_held_up_process.py
@@ -62,6 +62,7 @@
 
 
 def call_ids(messages: list[HttpMessage]) -> set[str]:
+    """Return the X-Call-Id values of the messages."""
     return {message.headers["x-call-id"] for message in messages}
 
 
@@ -123,7 +124,7 @@
         virtual_clock_loop().now += PAUSE_DURATION
         half_closed_at = virtual_clock_loop().now - PAUSE_DURATION
         connections = case.harness.process.listener.connections
-        # The state of a connection can only be polled.
+        # No event announces that the gateway noticed the half-close.
         while not any(c.half_close.begun for c in connections):  # noqa: ASYNC110
             await asyncio.sleep(0)
         case.release()
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -149,7 +149,7 @@
         )
         self.children.append(child)
         async with asyncio.timeout(EVENT_TIMEOUT):
-            # The health of a child process can only be polled.
+            # No event of this loop announces that a child process is healthy.
             while (await self.admin_status(admin_port, "GET", "/healthcheck")) != 200:  # noqa: ASYNC110
                 await asyncio.sleep(0.01)
         return child, admin_port
@@ -310,9 +310,7 @@
             hot_restart.close()
 
 
-async def test_peer_maintenance_command_applies_to_later_endpoint(
-    tmp_path: pathlib.Path,
-) -> None:
+async def test_peer_maintenance_command_applies_to_later_endpoint(tmp_path: pathlib.Path) -> None:
     """Maintenance that a peer sets for an unknown endpoint applies once the endpoint is listed."""
     async with running_gateway(2) as harness:
         process = harness.process
@@ -323,7 +321,7 @@
         hot_restart.handle_message(ProcessLink(hot_restart), SetMaintenance("new", True))
         await harness.discovery.publish(listed)
         async with asyncio.timeout(EVENT_TIMEOUT):
-            # The endpoints of the engine can only be polled.
+            # No event announces a change of the engine's endpoints.
             while "new" not in process.dispatcher.engine.endpoints:  # noqa: ASYNC110
                 await asyncio.sleep(0.01)
         assert "new" not in [endpoint.id for endpoint in process.dispatcher.engine.registry.serving]
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -32,6 +32,7 @@
         self.startup_time = float("inf")
 
     async def wait_until_serving(self, started_at: float) -> None:
+        """Wait until the gateway serves, and set `startup_time` to the seconds since `started_at`."""
         while not await self.is_serving():  # noqa: ASYNC110 - readiness can only be polled, over HTTP
             await asyncio.sleep(0.05)
         self.startup_time = asyncio.get_running_loop().time() - started_at
--- a/tests/test_shared_folder.py
+++ b/tests/test_shared_folder.py
@@ -90,16 +90,14 @@
         await assert_under_maintenance(processes, newest)
 
 
-async def test_state_is_restored_after_startup_without_folder(
-    tmp_path: pathlib.Path,
-) -> None:
+async def test_state_is_restored_after_startup_without_folder(tmp_path: pathlib.Path) -> None:
     """A process whose folder fails throughout its start restores the older one's state afterwards."""
     faults, folder = create_shared_folder(tmp_path)
     async with process_group(folder) as processes:
         _, older = await processes.start()
         await start_maintenance(processes, older)
         faults.fail_folder(errno.EIO)
-        _, newer = await processes.start(faults.environment)  # serves without the state, because clients wait
+        _, newer = await processes.start(faults.environment)  # serves without the state, as clients wait
         assert (await processes.metrics(newer))["targets_disabled"] == 0
         faults.fail_folder(0)
         async with asyncio.timeout(EVENT_TIMEOUT):
