--- a/tests/test_endpoint_updates.py
+++ b/tests/test_endpoint_updates.py
@@ -213,7 +213,7 @@
 
 
 @pytest.mark.parametrize("fault", [DiscoveryFault.UNAVAILABLE, DiscoveryFault.SILENT, DiscoveryFault.REFUSED])
-def test_change_is_known_in_time_in_large_fleet(fault: DiscoveryFault) -> None:
+def test_large_fleet_knows_change_in_time(fault: DiscoveryFault) -> None:
     """The gateways of a large fleet start at the same time, and discovery limits the rate of polls."""
     delays = []
 
--- a/tests/test_poll_schedule.py
+++ b/tests/test_poll_schedule.py
@@ -33,7 +33,7 @@
 
 
 @pytest.mark.parametrize("drain_timeout", [0.5, 2.0])
-def test_pushed_schedule_fits_two_polls_into_drain_timeout(drain_timeout: float) -> None:
+def test_two_pushed_polls_fit_into_drain_timeout(drain_timeout: float) -> None:
     # Polls of such an agent are cheap, and its list at startup or after an outage has to be applied at once.
     for gateway_count in (1, 3, 40, 200):
         schedule = poll_schedule_for(gateway_count, True, drain_timeout)
