--- a/tests/test_endpoint_updates.py
+++ b/tests/test_endpoint_updates.py
@@ -1,7 +1,8 @@
-"""How soon a change of the endpoint list is known after a fault of discovery, on a virtual clock.
+"""The propagation delay of endpoint list changes after a fault of discovery, on a virtual clock.
 
-A change must be known 6 s after discovery has it and can be reached. Each test exposes gateways, with starts
-spread over one watch, to a fault, and measures the time from its end until the last gateway knows.
+Gateways must know a change at most 6 s after discovery has it and can be reached. Most tests start gateways
+spread over the duration of one watch, expose them to a fault, and measure the time from the end of the fault
+until the last gateway knows the change.
 """
 
 from __future__ import annotations
@@ -29,26 +30,26 @@
 
 
 class DrainObserver:
-    """The discovery client of one gateway, and when it first knew that an endpoint is draining."""
+    """A gateway's discovery client, and the loop time at which it first knew of a draining endpoint."""
 
     def __init__(self, address: str, schedule: PollSchedule) -> None:
         self.known_at = 0.0
-        self.knows = asyncio.Event()
+        self.change_known = asyncio.Event()
         self.client = DiscoveryClient(
             parse_address(address), CONNECT_TIMEOUT, self.handle_update, known_generation=1, schedule=schedule
         )
 
     def handle_update(self, update: EndpointUpdate) -> None:
         is_draining = any(entry.endpoint.status is EndpointStatus.DRAINING for entry in update.entries)
-        if is_draining and not self.knows.is_set():
+        if is_draining and not self.change_known.is_set():
             self.known_at = asyncio.get_running_loop().time()
-            self.knows.set()
+            self.change_known.set()
 
 
 async def start_observers(
     address: str, count: int, schedule: PollSchedule, interval: float
 ) -> list[DrainObserver]:
-    """Start so many observers, `interval` seconds apart."""
+    """Start `count` observers, `interval` seconds apart."""
     observers = [DrainObserver(address, schedule) for _ in range(count)]
     for observer in observers:
         observer.client.start()
@@ -57,9 +58,9 @@
 
 
 async def propagation_delay(observers: list[DrainObserver], since: float) -> float:
-    """Wait until each observer knows; return the longest time in seconds that one took."""
+    """Wait until all observers know of the draining endpoint; return the longest delay in seconds."""
     for observer in observers:
-        await observer.knows.wait()
+        await observer.change_known.wait()
     for observer in observers:
         observer.client.stop()
     return max(observer.known_at for observer in observers) - since
@@ -92,8 +93,8 @@
 
 @pytest.mark.parametrize("pushed", [False, True])
 @pytest.mark.parametrize("fault", DiscoveryFault)
-def test_a_change_is_known_in_time_after_any_fault(fault: DiscoveryFault, pushed: bool) -> None:
-    # a 503 with a long Retry-After delayed the next poll by 4 s, and each lost poll took 4.5 s
+def test_change_is_known_in_time_after_fault(fault: DiscoveryFault, pushed: bool) -> None:
+    # A 503 with a long Retry-After used to delay the next poll by 4 s, and each lost poll took 4.5 s.
     schedule = poll_schedule_for(LARGE_FLEET, pushed, DRAIN_TIMEOUT)
     longest = max(
         propagation_delay_after(fault, duration, schedule, seed)
@@ -104,7 +105,7 @@
 
 
 class ResettingDiscovery(FaultyDiscovery):
-    """Resets one response after `reset_after` bytes; None: answers in full."""
+    """Agent that resets the connection after `reset_after` bytes of one response; None: sends all of it."""
 
     reset_after: int | None = None
 
@@ -118,7 +119,7 @@
             self.reset_after = None
             if reset_after is None:
                 writer.write(self.full_response())
-                await asyncio.sleep(0.1)  # else an endless series of watches would be answered at once
+                await asyncio.sleep(0.1)  # prevents a busy loop of watches that are answered at once
                 continue
             writer.write(self.full_response()[:reset_after])
             await writer.drain()
@@ -126,7 +127,8 @@
             return
 
 
-def test_a_response_that_is_reset_at_any_byte_is_discarded_and_the_next_one_is_used() -> None:
+def test_partial_response_is_discarded_and_poll_retried() -> None:
+    """The response is reset after each possible number of bytes in turn."""
     delays: list[float] = []
     schedule = poll_schedule_for(LARGE_FLEET, False, DRAIN_TIMEOUT)
 
@@ -157,8 +159,8 @@
     assert max(delays) <= schedule.max_backoff + 0.05
 
 
-def test_a_new_address_is_followed_in_time_though_its_first_poll_hangs() -> None:
-    # after SIGHUP changes of the new agent must be known within 4 s
+def test_new_agent_is_used_despite_hanging_poll() -> None:
+    # After SIGHUP, a change at the new agent must be known within 4 s.
     delays = []
 
     async def test() -> None:
@@ -186,7 +188,7 @@
 
 
 class RateLimitedDiscovery(FaultyDiscovery):
-    """Answers a limited number of polls a second from one queue, and rejects those it can't answer in 1 s."""
+    """Agent with one queue and a limited rate of polls; rejects those that would wait for more than 1 s."""
 
     rate = 150.0  # polls a second
     max_queueing_delay = 1.0  # seconds
@@ -211,7 +213,8 @@
 
 
 @pytest.mark.parametrize("fault", [DiscoveryFault.UNAVAILABLE, DiscoveryFault.SILENT, DiscoveryFault.REFUSED])
-def test_two_hundred_gateways_that_poll_at_once_know_in_time(fault: DiscoveryFault) -> None:
+def test_large_fleet_knows_change_in_time(fault: DiscoveryFault) -> None:
+    """The gateways of a large fleet start at the same time, and discovery limits the rate of polls."""
     delays = []
 
     async def test() -> None:
@@ -234,8 +237,8 @@
     assert delays[0] <= MAX_PROPAGATION_DELAY
 
 
-def test_no_request_reaches_a_draining_backend_once_discovery_is_back() -> None:
-    """Measure when a draining backend last received a request, from when discovery is reachable."""
+def test_draining_backend_gets_no_requests_after_outage() -> None:
+    """Measure the time from the end of the outage until the last request to a draining backend."""
     late_requests: list[float] = []
 
     async def test() -> None:
@@ -275,7 +278,7 @@
 
 
 @pytest.mark.virtual_clock
-async def test_the_virtual_clock_advances_only_while_the_loop_is_idle() -> None:
+async def test_virtual_clock_advances_only_in_idle_loop() -> None:
     peer = FaultyDiscovery()
     loop = asyncio.get_running_loop()
     await peer.start()
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -37,8 +37,8 @@
 from tests.upstream_harness import respond_with
 
 
-def forwarded(engine: PolicyEngine, number: int, units: float) -> list[StartAttempt | UnitsCharged]:
-    """Return the attempt that a request at 100 s starts, and the charge that is reported for it."""
+def forward_request(engine: PolicyEngine, number: int, units: float) -> list[StartAttempt | UnitsCharged]:
+    """Handle a request at 100 s; return the attempt that it starts and the charge reported to the peer."""
     actions = engine.handle(make_request(number, units=units), 100.0)
     return [action for action in actions if isinstance(action, StartAttempt | UnitsCharged)]
 
@@ -48,30 +48,31 @@
     return StateSnapshot(json.loads(json.dumps(engine.snapshot(now).state)))
 
 
-def test_units_charged_by_the_older_process_are_charged_in_the_newer() -> None:
+def test_restored_state_includes_charged_units() -> None:
     old, new = make_engine(), make_engine()
-    capacity = 4.0  # half of the plan's burst, for one of two gateways
-    assert len(forwarded(old, 1, capacity)) == 1
+    capacity = 4.0  # units; half of the plan's burst, as the fleet has two gateways
+    assert len(forward_request(old, 1, capacity)) == 1
     new.handle(transferred_state(old), 100.0)
-    assert new.limiters.limiters["c"].balance == 0.0 and not forwarded(new, 2, 1.0)
+    assert new.limiters.limiters["c"].balance == 0.0 and not forward_request(new, 2, 1.0)
 
 
-def test_units_reserved_by_queued_requests_of_the_older_process_are_charged_in_the_newer() -> None:
+def test_restored_state_includes_units_of_queued_requests() -> None:
     old, new = make_engine(), make_engine()
-    forwarded(old, 1, 4.0)
-    assert not forwarded(old, 2, 0.5) and old.limiters.limiters["c"].queued_units == 0.5
+    forward_request(old, 1, 4.0)
+    assert not forward_request(old, 2, 0.5) and old.limiters.limiters["c"].queued_units == 0.5
     new.handle(transferred_state(old), 100.0)
     assert new.limiters.limiters["c"].balance == 0.0
 
 
-def test_units_charged_by_either_process_are_charged_in_the_other() -> None:
+def test_peer_process_applies_reported_charges() -> None:
+    """A charge and its correction to the actual units reach the peer process."""
     old, new = make_engine(settles_actual_units=True), make_engine(settles_actual_units=True)
     new.handle(transferred_state(old), 100.0)
-    # without a peer nothing is reported
-    assert not [a for a in forwarded(old, 1, 1.0) if isinstance(a, UnitsCharged)]
+    # Without a peer process, no charge is reported.
+    assert not [a for a in forward_request(old, 1, 1.0) if isinstance(a, UnitsCharged)]
     for engine in (old, new):
         engine.handle(PeerProcessChanged(True), 100.0)
-    actions = forwarded(old, 2, 2.0)
+    actions = forward_request(old, 2, 2.0)
     charge = next(a for a in actions if isinstance(a, UnitsCharged))
     assert charge == UnitsCharged("c", "small", 2, 2.0)
     new.handle(charge, 100.0)
@@ -82,7 +83,8 @@
     assert new.limiters.limiters["c"].balance == 1.0
 
 
-def test_maintenance_its_end_and_draining_are_restored() -> None:
+def test_restored_state_includes_maintenance_and_draining() -> None:
+    """An endpoint whose maintenance has ended still warms up in the newer process."""
     old, new = make_engine(), make_engine(now=101.0)
     old.handle(SetMaintenance("a", True), 100.0)
     old.handle(SetMaintenance("b", True), 100.0)
@@ -97,7 +99,7 @@
     assert new.slow_start.factor(new.endpoints["b"]) < 0.5
 
 
-def test_the_later_of_two_returns_from_maintenance_counts_after_a_restore() -> None:
+def test_restore_keeps_later_return_from_maintenance() -> None:
     old, new = make_engine(), make_engine()
     for engine, returned_at in ((old, 100.0), (new, 104.0)):
         engine.handle(SetMaintenance("b", True), 100.0)
@@ -107,7 +109,7 @@
 
 
 class ProcessGroup:
-    """Processes of one gateway at one listening socket, as the platform starts them."""
+    """Processes of one gateway that share a listening socket, as the platform starts them."""
 
     def __init__(self, harness: GatewayHarness, listener: socket.socket, folder: pathlib.Path) -> None:
         self.harness, self.listener, self.folder = harness, listener, folder
@@ -117,7 +119,7 @@
     async def start(
         self, variables: Mapping[str, str] | None = None
     ) -> tuple[asyncio.subprocess.Process, int]:
-        """Start a process, wait until it serves, and return it with its admin port.
+        """Start a process, wait until it is healthy, and return it with its admin port.
 
         `variables` are added to its environment.
         """
@@ -147,12 +149,13 @@
         )
         self.children.append(child)
         async with asyncio.timeout(EVENT_TIMEOUT):
-            # a child process sets no event of this loop
-            while (await self.call(admin_port, "GET", "/healthcheck")) != 200:  # noqa: ASYNC110
+            # No event of this loop announces that a child process is healthy.
+            while (await self.admin_status(admin_port, "GET", "/healthcheck")) != 200:  # noqa: ASYNC110
                 await asyncio.sleep(0.01)
         return child, admin_port
 
-    async def call(self, admin_port: int, method: str, path: str) -> int:
+    async def admin_status(self, admin_port: int, method: str, path: str) -> int:
+        """Send an admin request and return the status; 0 without a response."""
         self.harness.admin_port = admin_port
         try:
             return (await self.harness.call_admin(method, path))[0]
@@ -160,10 +163,12 @@
             return 0  # not listening yet
 
     async def metrics(self, admin_port: int) -> dict[str, int]:
+        """Return the metrics of the process with this admin port."""
         self.harness.admin_port = admin_port
         return await self.harness.metrics()
 
     async def request_status(self, number: int) -> int:
+        """Send a request on a new connection and return the status of the response."""
         client = await self.harness.connect_client()
         status, _, _ = await client.exchange(request(number, customer=f"{number:016x}"))
         client.writer.close()
@@ -172,6 +177,7 @@
 
 @asynccontextmanager
 async def process_group(folder: pathlib.Path) -> AsyncIterator[ProcessGroup]:
+    """Start the peers of a gateway, and yield a group without processes; stop all of them at the end."""
     harness = GatewayHarness(2)
     for peer in (*harness.backends, harness.discovery, harness.counter):
         await peer.start()
@@ -192,26 +198,27 @@
                 await peer.stop()
 
 
-async def test_a_hot_restart_loses_no_request_and_keeps_maintenance(tmp_path: pathlib.Path) -> None:
+async def test_hot_restart_keeps_requests_and_maintenance(tmp_path: pathlib.Path) -> None:
+    """The older process completes its requests while the newer one serves new connections."""
     async with process_group(tmp_path) as processes:
         harness = processes.harness
         old, old_admin_port = await processes.start()
         idle, waiting = await harness.connect_client(), await harness.connect_client()
         assert (await idle.exchange(READY_REQUEST))[0] == 200
-        assert await processes.call(old_admin_port, "POST", "/backends/b0/maint") == 200
+        assert await processes.admin_status(old_admin_port, "POST", "/backends/b0/maint") == 200
         released = asyncio.Event()
         harness.backends[1].script = [send_success_after(released)]
         waiting.send(request(1, budget=900.0))
         await harness.backends[1].wait_until(lambda: len(harness.backends[1].requests) == 1)
         _, new_admin_port = await processes.start()
-        async with asyncio.timeout(EVENT_TIMEOUT):  # until the older process stops accepting
+        async with asyncio.timeout(EVENT_TIMEOUT):  # until the older process stops accepting connections
             number = 10
             while (await processes.metrics(new_admin_port))["success.lookup"] == 0:
                 number += 1
                 assert await processes.request_status(number) == 200
-        before = await processes.metrics(old_admin_port)
+        metrics_before = await processes.metrics(old_admin_port)
         assert [await processes.request_status(n) for n in range(50, 60)] == [200] * 10
-        assert (await processes.metrics(old_admin_port))["success.lookup"] == before["success.lookup"]
+        assert (await processes.metrics(old_admin_port))["success.lookup"] == metrics_before["success.lookup"]
         status, headers, _ = await idle.exchange(READY_REQUEST)
         assert status == 200 and headers["connection"] == "close" and await idle.wait_closed()
         old.send_signal(signal.SIGTERM)
@@ -225,9 +232,8 @@
 
 
 @pytest.mark.parametrize("step", [-3600.0, 3600.0])
-async def test_a_quota_in_use_goes_on_though_the_wall_clock_was_stepped(
-    step: float, tmp_path: pathlib.Path
-) -> None:
+async def test_hot_restart_keeps_quota_despite_clock_step(step: float, tmp_path: pathlib.Path) -> None:
+    """Units spent in the older process stay spent in the newer one, whatever its wall clock says."""
     faults = FaultInjector(tmp_path / "faults")
     folder = tmp_path / "shared"
     folder.mkdir()
@@ -242,108 +248,106 @@
             backend.script = [respond_with(http_response(200))] * 20  # without Billed-Units
         older, _ = await processes.start()
         spent_at = asyncio.get_running_loop().time()
-        assert await status(1, "8") == await status(2, "4") == 200  # the whole burst of 12 units
+        assert await status(1, "8") == await status(2, "4") == 200  # the entire burst of 12 units
         faults.step_wall_clock(step)
         await processes.start(faults.environment)
         older.send_signal(signal.SIGTERM)
         await older.wait()
         assert await status(3, "8") == await status(4, "8") == 200
         elapsed = asyncio.get_running_loop().time() - spent_at
-        # from 4 units a second, this gateway's part of the quota, to 8, all of it, whatever the clock says
+        # The refill rate is between this gateway's part of the quota, 4 units a second, and all of it, 8.
         assert 16.0 / 8.0 <= elapsed <= 16.0 / 4.0 + 1.0
 
 
-async def test_a_maintenance_command_to_either_process_applies_to_both(tmp_path: pathlib.Path) -> None:
+async def test_maintenance_command_applies_to_both_processes(tmp_path: pathlib.Path) -> None:
     async with process_group(tmp_path) as processes:
         _, old = await processes.start()
         _, new = await processes.start()
-        for commanded, other in ((old, new), (new, old)):
+        for target, other in ((old, new), (new, old)):
             for command, disabled in (("maint", 1), ("ready", 0)):
-                assert await processes.call(commanded, "POST", f"/backends/b0/{command}") == 200
+                assert await processes.admin_status(target, "POST", f"/backends/b0/{command}") == 200
                 async with asyncio.timeout(EVENT_TIMEOUT):
                     while (await processes.metrics(other))["targets_disabled"] != disabled:
                         pass
 
 
-async def test_an_older_process_serves_again_if_the_newer_one_dies(tmp_path: pathlib.Path) -> None:
+async def test_older_process_serves_after_newer_one_dies(tmp_path: pathlib.Path) -> None:
     async with process_group(tmp_path) as processes:
         _, old = await processes.start()
         child, _ = await processes.start()
         child.kill()
         await child.wait()
-        waiting = (
-            await processes.harness.connect_client()
-        )  # queued at the descriptor, whichever process accepts
+        # The connection waits in the backlog of the shared socket until some process accepts it.
+        waiting = await processes.harness.connect_client()
         assert (await waiting.exchange(request(1)))[0] == 200
         assert (await waiting.exchange(request(2)))[0] == 200  # the connection is kept alive
         assert (await processes.metrics(old))["success.lookup"] >= 2
         _, new = await processes.start()
-        assert await processes.call(new, "GET", "/healthcheck") == 200
+        assert await processes.admin_status(new, "GET", "/healthcheck") == 200
 
 
-async def test_a_link_that_can_not_be_made_does_not_end_the_start(
-    tmp_path: pathlib.Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
+async def test_startup_survives_failed_link(tmp_path: pathlib.Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    """A process that cannot connect to the older one (ENOMEM) starts without its state."""
     with socket.socket(socket.AF_UNIX) as older:
         older.bind(str(tmp_path / SOCKET_NAME))
         older.listen()
         async with running_gateway() as harness:
             process = harness.process
-            restarting = coordinator.HotRestartCoordinator(
+            hot_restart = coordinator.HotRestartCoordinator(
                 str(tmp_path), process.dispatcher, process.discovery.answered, lambda superseded: None
             )
 
             class LoopWithoutMemory:
-                create_task = restarting.loop.create_task
-                sock_connect = restarting.loop.sock_connect
+                create_task = hot_restart.loop.create_task
+                sock_connect = hot_restart.loop.sock_connect
 
                 async def create_unix_connection(self, *arguments: object, **options: object) -> None:
                     raise OSError(errno.ENOMEM, "no memory")
 
-            monkeypatch.setattr(restarting, "loop", LoopWithoutMemory())
-            await restarting.restore_from_older()
-            assert not restarting.links
-            restarting.close()
+            monkeypatch.setattr(hot_restart, "loop", LoopWithoutMemory())
+            await hot_restart.restore_from_older()
+            assert not hot_restart.links
+            hot_restart.close()
 
 
-async def test_a_peers_command_for_an_endpoint_that_is_not_listed_yet_counts_once_it_is(
-    tmp_path: pathlib.Path,
-) -> None:
+async def test_peer_maintenance_command_applies_to_later_endpoint(tmp_path: pathlib.Path) -> None:
+    """Maintenance that a peer sets for an unknown endpoint applies once the endpoint is listed."""
     async with running_gateway(2) as harness:
         process = harness.process
         listed = harness.discovery.entry("new", harness.backends[1].address)
-        restarting = coordinator.HotRestartCoordinator(
+        hot_restart = coordinator.HotRestartCoordinator(
             str(tmp_path), process.dispatcher, process.discovery.answered, lambda superseded: None
         )
-        restarting.handle_message(ProcessLink(restarting), SetMaintenance("new", True))
+        hot_restart.handle_message(ProcessLink(hot_restart), SetMaintenance("new", True))
         await harness.discovery.publish(listed)
         async with asyncio.timeout(EVENT_TIMEOUT):
-            while "new" not in process.dispatcher.engine.endpoints:  # noqa: ASYNC110 (no event marks it)
+            # No event announces a change of the engine's endpoints.
+            while "new" not in process.dispatcher.engine.endpoints:  # noqa: ASYNC110
                 await asyncio.sleep(0.01)
         assert "new" not in [endpoint.id for endpoint in process.dispatcher.engine.registry.serving]
-        restarting.close()
+        hot_restart.close()
 
 
 @pytest.mark.parametrize("stale", ["file", "socket", "folder"])
-async def test_files_left_by_an_older_process_do_not_prevent_the_start(
-    stale: str, tmp_path: pathlib.Path
-) -> None:
+async def test_stale_socket_path_does_not_prevent_startup(stale: str, tmp_path: pathlib.Path) -> None:
+    """A file, socket or folder at the path of the shared socket does not prevent the start."""
     path = tmp_path / SOCKET_NAME
     if stale == "file":
         path.write_text("left")
     elif stale == "folder":
         path.mkdir()
     else:
-        with socket.socket(socket.AF_UNIX) as left:
-            left.bind(str(path))
+        with socket.socket(socket.AF_UNIX) as stale_socket:
+            stale_socket.bind(str(path))
     async with process_group(tmp_path) as processes:
         await processes.start()
         assert await processes.request_status(1) == 200
 
 
-async def test_a_hanging_older_process_does_not_delay_the_start(
+async def test_hanging_older_process_does_not_delay_startup(
     tmp_path: pathlib.Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """The state is still restored if it arrives after the timeout."""
     monkeypatch.setattr(coordinator, "STATE_TRANSFER_TIMEOUT", 0.01)
     with socket.socket(socket.AF_UNIX) as hanging:
         hanging.bind(str(tmp_path / SOCKET_NAME))
@@ -351,21 +355,21 @@
         async with running_gateway() as harness:
             process = harness.process
             superseded: list[bool] = []
-            restarting = coordinator.HotRestartCoordinator(
+            hot_restart = coordinator.HotRestartCoordinator(
                 str(tmp_path), process.dispatcher, process.discovery.answered, superseded.append
             )
-            await restarting.restore_from_older()
-            assert len(restarting.links) == 1
+            await hot_restart.restore_from_older()
+            assert len(hot_restart.links) == 1
             process.dispatcher.set_maintenance("b0", True)
-            restarting.broadcast(SetMaintenance("b0", True))
+            hot_restart.broadcast(SetMaintenance("b0", True))
             older, _ = hanging.accept()
             state = {**process.dispatcher.state_snapshot().state, "banned": []}
-            link = next(iter(restarting.links))
+            link = next(iter(hot_restart.links))
             link.data_received(json.dumps({"estate": state, "list": []}).encode() + b"\n")
-            # the command that came before the state is in force after it
+            # A maintenance command that preceded the state still applies after the restore.
             assert process.dispatcher.engine.registry.under_maintenance == {"b0"}
             link.data_received(b"[nonsense\n")
-            restarting.close()
+            hot_restart.close()
             older.close()
             client: Client = await harness.connect_client()
-            assert (await client.exchange(READY_REQUEST))[0] == 503  # its one backend is in maintenance
+            assert (await client.exchange(READY_REQUEST))[0] == 503  # its only backend is under maintenance
