--- a/quota_gateway/upstream/response_headers.py
+++ b/quota_gateway/upstream/response_headers.py
@@ -1,14 +1,15 @@
-"""The header fields of a response that the gateway acts on."""
+"""The response header fields that the gateway interprets."""
 
 from __future__ import annotations
 
 from quota_gateway.body_streaming import MAX_BODY_BYTES
 
-MAX_BILLED_UNITS = 1e6  # exclusive; more is a fault of the endpoint
+# Exclusive upper limit of the units billed for one request; a larger value is an error of the endpoint.
+MAX_BILLED_UNITS = 1e6
 
 
 class ResponseHeaders:
-    """What the header lines of one message say."""
+    """The relevant header fields of one message."""
 
     __slots__ = (
         "billed_units",
@@ -21,22 +22,22 @@
     )
 
     def __init__(self) -> None:
-        """Start without any header line."""
+        """Initialize without any header fields."""
         self.billed_units = 0.0
-        self.content_length: int | None = None  # bytes; None: not declared
-        self.forwarded = b""  # the lines that the client gets with the body
+        self.content_length: int | None = None  # in bytes; None if not declared
+        self.forwarded = b""  # header lines to forward to the client
         self.has_connection_close = False
         self.is_chunked = False
         self.is_malformed = False
-        self.is_rejection = False  # `X-Rejected: 1`
+        self.is_rejection = False  # whether there is `X-Rejected: 1`
 
     @property
     def is_ended_by_eof(self) -> bool:
-        """Whether the body lasts to the end of the stream, and the endpoint announced that it closes."""
+        """Whether the body extends to the end of the stream, as announced by `Connection: close`."""
         return self.has_connection_close and self.content_length is None and not self.is_chunked
 
     def add(self, name: bytes, value: bytes) -> None:
-        """Take one header line as httptools reports it."""
+        """Add a header field as reported by httptools."""
         name = name.lower()
         value = value.strip()  # httptools leaves trailing whitespace in place
         match name:
@@ -56,11 +57,11 @@
     def _set_content_length(self, value: bytes) -> None:
         self.content_length = int(value) if value.isdigit() else None
         if self.content_length is None or self.content_length > MAX_BODY_BYTES:
-            self.is_malformed = True  # a response that is too long is not waited for
+            self.is_malformed = True  # fails an invalid or overlong response at once
 
 
 def parse_billed_units(value: bytes) -> float:
-    """Return the units that an endpoint billed; 0 for a value that makes no sense."""
+    """Return the units that an endpoint billed; 0 if the value is invalid."""
     try:
         units = float(value)
     except ValueError:
--- a/quota_gateway/upstream/response_parser.py
+++ b/quota_gateway/upstream/response_parser.py
@@ -1,8 +1,8 @@
-"""The response to one attempt: what httptools reports of it, and the limits that it must keep.
+"""Parses the response to an attempt with httptools and enforces limits on its size.
 
-A response of moderate length is buffered. A longer one is passed to a sink as it comes, if there is one for
-it. Interim (1xx) responses are skipped, and bytes behind the response only make the connection unfit for
-another request.
+A response of up to MAX_BUFFERED_BYTES is buffered. A longer one is forwarded to a sink as it arrives, if
+there is one. Interim (1xx) responses are skipped, and bytes after the response only prevent the connection
+from being reused.
 """
 
 from __future__ import annotations
@@ -16,9 +16,12 @@
 from quota_gateway.upstream.attempt import AttemptResult
 from quota_gateway.upstream.response_headers import ResponseHeaders
 
-MAX_HEAD_BYTES = 32 * 1024  # before the body, interim responses included; normal ones take a hundredth of it
-MAX_FRAMING_PER_BODY_BYTE = 64  # bytes; a chunk may be as small as one byte
-REJECTION_STATUSES = (503, 504)  # those with which `X-Rejected: 1` says that the request was not executed
+# Most bytes before the body, including interim responses; a normal head takes a hundredth of it.
+MAX_HEAD_BYTES = 32 * 1024
+# Most bytes of chunk framing per byte of the body, since a chunk may be as small as one byte.
+MAX_FRAMING_PER_BODY_BYTE = 64
+# Response statuses with which `X-Rejected: 1` means that the request was not executed.
+REJECTION_STATUSES = (503, 504)
 
 
 class ResponseParser:
@@ -42,7 +45,7 @@
     )
 
     def __init__(self, open_stream: Callable[[ResponseHead], StreamSink | None]) -> None:
-        """Take the function that provides a sink for a long response, or None if it can't be forwarded."""
+        """Initialize; `open_stream` returns a sink for a long response, or None if it can't be forwarded."""
         self._open_stream: Callable[[ResponseHead], StreamSink | None] | None = open_stream
         self._parser: httptools.HttpResponseParser | None = httptools.HttpResponseParser(self)
         self._reset_message()
@@ -52,14 +55,14 @@
         """Prepare for the response to the next attempt."""
         self.bytes_received = 0
         self.is_complete = False
-        self.is_in_progress = False  # a message has begun and not ended
-        self.sink: StreamSink | None = None  # where a long response goes
+        self.is_in_progress = False  # whether a message has begun but not ended
+        self.sink: StreamSink | None = None  # receives the body of a long response
         self._status = 0
         self._keep_alive = False
-        self._has_surplus = False  # a second message began behind the response
+        self._has_surplus = False  # whether another message began after the response
         self._is_malformed = False
         self._is_in_body = False
-        self._body_chunks: list[bytes] = []  # the headers are replaced in on_message_begin
+        self._body_chunks: list[bytes] = []  # the headers are reset in on_message_begin
         self._body_size = 0
 
     def _reset_message(self) -> None:
@@ -68,7 +71,7 @@
         self._body_size = 0
 
     def release(self) -> None:
-        """Break the reference cycles with the parser and the connection, so that all are freed at once."""
+        """Break the reference cycles with the parser and the connection, so that they are freed at once."""
         self._parser = None
         self._open_stream = None
 
@@ -79,7 +82,7 @@
             try:
                 self._parser.feed_data(data)
             except httptools.HttpParserUpgrade as upgrade:
-                # A 101 that nobody asked for. The real response follows it, and needs a fresh parser.
+                # An unsolicited 101 response. The final response follows it, and needs a new parser.
                 self._parser = httptools.HttpResponseParser(self)
                 data = data[upgrade.args[0] :]
             except httptools.HttpParserError:
@@ -89,7 +92,7 @@
                 return
 
     def is_invalid(self) -> bool:
-        """Return whether the response is malformed or over a limit, so that it can't become complete."""
+        """Return whether the response is malformed or exceeds a limit, so that it can't be completed."""
         max_bytes = MAX_HEAD_BYTES
         if self._is_in_body:
             max_bytes += 2 * MAX_BUFFERED_BYTES + MAX_FRAMING_PER_BODY_BYTE * self._body_size
@@ -97,10 +100,10 @@
         return self._is_malformed or self.bytes_received > max_bytes or self._body_size > max_body_bytes
 
     def complete_at_eof(self) -> bool:
-        """Take the end of the stream; return whether it completes the response.
+        """Handle the end of the stream and return whether it completes the response.
 
-        It does only if the response has no length and announced `Connection: close`: otherwise a broken
-        connection could not be distinguished from the response's end.
+        It does so only if the response has no length and announced `Connection: close`. Otherwise a broken
+        connection could not be distinguished from the end of the response.
         """
         if self.is_complete or self._is_malformed:
             return False
@@ -113,7 +116,7 @@
         return self._keep_alive and not has_fault and self._was_received_whole()
 
     def take_result(self) -> AttemptResult:
-        """Return the result of a complete response, and drop what was buffered of it."""
+        """Return the result of a complete response, and release its buffer and sink."""
         was_received_whole = self._was_received_whole()
         body_chunks = self._body_chunks
         headers = self._headers
@@ -129,28 +132,29 @@
         return AttemptResult(Outcome.ERROR)
 
     def _was_received_whole(self) -> bool:
+        """Return whether the entire body was buffered or forwarded."""
         return self.sink is not None or self._body_size <= MAX_BUFFERED_BYTES
 
-    # Callbacks of httptools.
+    # Callbacks for httptools.
 
     def on_message_begin(self) -> None:
-        """Start a message: an interim response, the response itself, or one that nobody asked for."""
+        """Start a message: an interim response, the final response, or an unsolicited one."""
         self.is_in_progress = True
         if self.is_complete:
             self._has_surplus = True
         else:
-            self._reset_message()  # drops what an interim response brought
+            self._reset_message()  # discards the content of an interim response
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take a header line; trailers, and headers of what follows the response, are ignored."""
+        """Add a header field; trailers and the headers of unsolicited messages are ignored."""
         if self.is_complete or self._is_in_body:
             return
         self._headers.add(name, value)
         if self._headers.is_malformed:
-            self._is_malformed = True  # also by an interim response
+            self._is_malformed = True  # also if an interim response is malformed
 
     def on_headers_complete(self) -> None:
-        """Start the body of the response, as a stream if its declared length is over the buffer's limit."""
+        """Start the response body; stream it if its declared length exceeds the buffer limit."""
         if self.is_complete or self._parser is None:
             return
         status = self._parser.get_status_code()
@@ -177,11 +181,11 @@
             self._start_streaming()
 
     def _may_be_streamed(self) -> bool:
-        """Return False for an error, whose body nobody reads, and for a malformed response."""
+        """Return False for an error, whose body is not forwarded, and for a malformed response."""
         return self._status == 200 and not self._is_malformed
 
     def _start_streaming(self) -> None:
-        """Open a sink and forward what was buffered; without a sink the response is too long."""
+        """Open a sink and forward the buffered data; without a sink, the response is malformed."""
         if self._open_stream is not None and self._may_be_streamed():
             headers = self._headers
             head = ResponseHead(headers.content_length, headers.forwarded, headers.billed_units)
@@ -195,7 +199,7 @@
             self.sink.write_body(chunk)
 
     def on_message_complete(self) -> None:
-        """End a message, and with it the response unless it was an interim one."""
+        """End a message, which completes the response unless it is an interim one."""
         if self.is_complete or self._parser is None:
             return
         self.is_in_progress = False
@@ -207,5 +211,5 @@
 
 
 def is_interim(status: int) -> bool:
-    """Return whether the response is followed by the real one."""
+    """Return whether a response with this status is followed by the final response."""
     return 100 <= status < 200
