--- a/quota_gateway/dispatch/action_executor.py
+++ b/quota_gateway/dispatch/action_executor.py
@@ -45,8 +45,8 @@
     def post(self, event: Event) -> None:
         """Report an event to the policy engine."""
 
-    def timer_fired(self, timer: Timer, due: float) -> None:
-        """Report that a timer which was due at `due` seconds has fired."""
+    def timer_fired(self, timer: Timer, due_at: float) -> None:
+        """Report that a timer which was due at `due_at` seconds has fired."""
 
 
 class ActionExecutor:
@@ -137,8 +137,8 @@
             self._registry.remove_if_complete(active_request)
 
     def _set_timer(self, action: SetTimer) -> None:
-        due = self._clock() + action.delay
-        self._loop.call_later(action.delay, self._context.timer_fired, action.timer, due)
+        due_at = self._clock() + action.delay
+        self._loop.call_later(action.delay, self._context.timer_fired, action.timer, due_at)
 
     def _increment_counter(self, action: IncrementCounter) -> None:
         counter = self._context.counter
--- a/quota_gateway/dispatch/dispatcher.py
+++ b/quota_gateway/dispatch/dispatcher.py
@@ -48,7 +48,7 @@
     """An event that waits until the actions of another event are executed."""
 
     event: Event
-    due: float  # the earliest time in seconds that the engine may be given for it
+    not_before: float  # the earliest time in seconds at which the engine may see the event
 
 
 class RequestDispatcher:
@@ -179,29 +179,29 @@
         """Report the result of a counter call to the engine."""
         self.post(reply)
 
-    def timer_fired(self, timer: Timer, due: float) -> None:
-        """Report that a timer of the engine which was due at `due` seconds has fired."""
+    def timer_fired(self, timer: Timer, due_at: float) -> None:
+        """Report that a timer of the engine which was due at `due_at` seconds has fired."""
         # the event loop rounds to milliseconds and may call early; the engine relies on this never happening
-        self.post(TimerFired(timer), due)
+        self.post(TimerFired(timer), due_at)
 
-    def post(self, event: Event, due: float = 0.0) -> None:
+    def post(self, event: Event, not_before: float = 0.0) -> None:
         """Handle an event, or queue it while another event is being handled."""
         if self._is_handling_events:
-            self._event_queue.append(QueuedEvent(event, due))
+            self._event_queue.append(QueuedEvent(event, not_before))
             return
         self._is_handling_events = True
         try:
-            self.handle(event, due)
+            self.handle(event, not_before)
             while self._event_queue:
                 queued = self._event_queue.popleft()
-                self.handle(queued.event, queued.due)
+                self.handle(queued.event, queued.not_before)
         finally:
             self._is_handling_events = False
 
-    def handle(self, event: Event, due: float) -> None:
-        """Pass an event to the engine at the later of `due` and now, and execute the resulting actions."""
+    def handle(self, event: Event, not_before: float) -> None:
+        """Pass an event to the engine at the later of `not_before` and now, and execute its actions."""
         try:
-            for action in self.engine.handle(event, max(self.clock(), due)):
+            for action in self.engine.handle(event, max(self.clock(), not_before)):
                 self._executor.execute(action)
         except Exception:  # a failure on one event must not affect other requests
             log.exception("failed to handle the event %r", event)
