--- a/quota_gateway/dispatch/endpoint_updates.py
+++ b/quota_gateway/dispatch/endpoint_updates.py
@@ -16,7 +16,7 @@
     for entry in update.entries:
         endpoint = entry.endpoint
         if endpoint.status is EndpointStatus.SERVING:
-            endpoints += _remove_previous_endpoints(pool, entry)
+            endpoints += _retire_previous_endpoints(pool, entry)
             pool.set_address(endpoint.endpoint_id, entry.address, endpoint.started_at)
         else:
             pool.retire(endpoint.endpoint_id)
@@ -26,7 +26,7 @@
     return EndpointListUpdate(update.kind, tuple(endpoints))
 
 
-def _remove_previous_endpoints(pool: ConnectionPool, entry: EndpointEntry) -> list[Endpoint]:
+def _retire_previous_endpoints(pool: ConnectionPool, entry: EndpointEntry) -> list[Endpoint]:
     """Retire other endpoints at the entry's address, whose removal discovery may report only later."""
     endpoint = entry.endpoint
     removed = []
--- a/quota_gateway/dispatch/request_log.py
+++ b/quota_gateway/dispatch/request_log.py
@@ -31,20 +31,20 @@
 
     def refused(self, active_request: ActiveRequest, attempt: UpstreamAttempt, refusal: Refusal) -> None:
         """Log why an attempt was not sent."""
-        self._write(active_request, f"refused {describe(attempt)} why={refusal}")
+        self._write(active_request, f"refused {attempt_fields(attempt)} why={refusal}")
 
     def started(self, active_request: ActiveRequest, attempt: UpstreamAttempt, now: float) -> None:
         """Log an attempt that may be sent, with the seconds left until its deadline."""
-        left = attempt.deadline - now
-        self._write(active_request, f"started {describe(attempt)} left={left:.4f}")
+        time_left = attempt.deadline - now
+        self._write(active_request, f"started {attempt_fields(attempt)} left={time_left:.4f}")
 
     def ended(self, active_request: ActiveRequest, attempt: UpstreamAttempt, result: AttemptResult) -> None:
         """Log the outcome of an attempt."""
-        self._write(active_request, f"ended {describe(attempt)} outcome={result.outcome.name.lower()}")
+        self._write(active_request, f"ended {attempt_fields(attempt)} outcome={result.outcome.name.lower()}")
 
-    def answered(self, active_request: ActiveRequest, status: int | None, why: str) -> None:
+    def answered(self, active_request: ActiveRequest, status: int | None, reason: str) -> None:
         """Log the final response; a status of None means that the client gets none."""
-        self._write(active_request, f"answered status={status or 'none'} why={why or '-'}")
+        self._write(active_request, f"answered status={status or 'none'} why={reason or '-'}")
 
     def half_closed(self, active_request: ActiveRequest, start_limit: float, now: float) -> None:
         """Log that the client has half-closed its connection, with the seconds left to start an attempt."""
@@ -56,6 +56,6 @@
         log.debug("at=%.6f request=%d call=%s event=%s", time.monotonic(), request_id, call_id, event)
 
 
-def describe(attempt: UpstreamAttempt) -> str:
+def attempt_fields(attempt: UpstreamAttempt) -> str:
     """Return the log fields that identify an attempt."""
     return f"attempt={attempt.index} endpoint={attempt.endpoint_id}"
--- a/quota_gateway/dispatch/request_registry.py
+++ b/quota_gateway/dispatch/request_registry.py
@@ -50,7 +50,7 @@
         active_request.answered = True
         self.unanswered_count -= 1
         if status is not None:
-            self._check_time(active_request)
+            self._check_response_time(active_request)
         if status is not None:
             self._metrics.request_ended(active_request.request.request_class, status)
         if not self.unanswered_count:
@@ -59,14 +59,14 @@
         active_request.respond(status, body, headers)
         active_request.cancel_obsolete_attempts()
 
-    def _check_time(self, active_request: ActiveRequest) -> None:
+    def _check_response_time(self, active_request: ActiveRequest) -> None:
         """Check that a response is in time.
 
         It must be sent within ANSWER_SLACK of the client's deadline, or of when the request was read if that
         was later. A streamed response has no deadline.
         """
-        late_by = self._clock() - ANSWER_SLACK
-        if late_by <= active_request.client_deadline or late_by <= active_request.request.read_at:
+        missed_before = self._clock() - ANSWER_SLACK
+        if missed_before <= active_request.client_deadline or missed_before <= active_request.request.read_at:
             return
         if active_request.streaming_attempt is None:
             self._invariants.violated(Invariant.ANSWERED_IN_TIME, active_request.request.call_id)
