--- a/quota_gateway/dispatch/active_request.py
+++ b/quota_gateway/dispatch/active_request.py
@@ -55,7 +55,7 @@
         "attempts",
         "client_deadline",
         "deadline",
-        "in_flight",
+        "in_flight_count",
         "observer",
         "request",
         "request_id",
@@ -81,7 +81,7 @@
             math.inf if request.body_stream is not None else self.arrived_at + request.budget
         )
         self.attempts: list[UpstreamAttempt] = []
-        self.in_flight = 0  # number of attempts that have not ended
+        self.in_flight_count = 0  # number of attempts that have not ended
         self.answered = False
         self.streaming_attempt: UpstreamAttempt | None = None  # the attempt whose response is streamed
         # When attempts may no longer start, in seconds. Set when the client half-closes its connection.
@@ -95,7 +95,7 @@
         return budget - min(RESPONSE_MARGIN, MAX_MARGIN_FRACTION * budget)
 
     @property
-    def watchdog_due(self) -> float:
+    def watchdog_deadline(self) -> float:
         """When the watchdog fails the request, in seconds."""
         request = self.request
         margin = min(WATCHDOG_MARGIN, MAX_MARGIN_FRACTION * request.budget / 2)
@@ -147,18 +147,18 @@
             self,
         )
         attempt.body_stream = self.request.body_stream
-        attempt.start_stream = self.start_stream
+        attempt.sink_factory = self.open_response_stream
         if action.send_within > 0:
             attempt.send_deadline = now + action.send_within
         self.attempts.append(attempt)
-        self.in_flight += 1
+        self.in_flight_count += 1
         return attempt
 
     def attempt_ended(self, attempt: UpstreamAttempt, result: AttemptResult) -> None:
         """Report the end of an attempt to the observer; called once by the attempt itself."""
         self.observer.attempt_ended(self, attempt, result)
 
-    def start_stream(self, attempt: UpstreamAttempt, head: ResponseHead) -> StreamSink | None:
+    def open_response_stream(self, attempt: UpstreamAttempt, head: ResponseHead) -> StreamSink | None:
         """Return the sink for a response too long to buffer, or None if it can't be forwarded."""
         return self.observer.start_response_stream(self, attempt, head)
 
--- a/quota_gateway/dispatch/attempt_handler.py
+++ b/quota_gateway/dispatch/attempt_handler.py
@@ -42,7 +42,7 @@
         self, active_request: ActiveRequest, attempt: UpstreamAttempt, result: AttemptResult
     ) -> None:
         """Answer the request if the result determines its response; report the end to the policy engine."""
-        active_request.in_flight -= 1
+        active_request.in_flight_count -= 1
         self._metrics.attempts_ended[result.outcome] += 1
         if self._request_log.enabled:
             self._request_log.ended(active_request, attempt, result)
--- a/quota_gateway/dispatch/dispatcher.py
+++ b/quota_gateway/dispatch/dispatcher.py
@@ -231,7 +231,7 @@
         return await self._registry.wait_until_answered(timeout)
 
     def _start_watchdog(self, active_request: ActiveRequest) -> None:
-        delay = max(active_request.watchdog_due - self.clock(), 0.0)
+        delay = max(active_request.watchdog_deadline - self.clock(), 0.0)
         active_request.watchdog = self._loop.call_later(delay, self._fail_unanswered, active_request)
 
     def _fail_unanswered(self, active_request: ActiveRequest) -> None:
--- a/quota_gateway/dispatch/request_registry.py
+++ b/quota_gateway/dispatch/request_registry.py
@@ -73,7 +73,7 @@
 
     def remove_if_complete(self, active_request: ActiveRequest) -> None:
         """Remove a request that is answered and has no attempt in flight."""
-        if not active_request.answered or active_request.in_flight:
+        if not active_request.answered or active_request.in_flight_count:
             return
         if self.active_requests.pop(active_request.request_id, None) is not None:
             self.open_call_ids.discard(active_request.request.call_id)
--- a/quota_gateway/upstream/attempt.py
+++ b/quota_gateway/upstream/attempt.py
@@ -79,7 +79,7 @@
     send_deadline: float | None = None  # for sending after a connect; None if only `deadline` applies
     # Opens a sink for a response that is too long to buffer. If it is None or returns None, such a response
     # is an error.
-    start_stream: Callable[[UpstreamAttempt, ResponseHead], StreamSink | None] | None = None
+    sink_factory: Callable[[UpstreamAttempt, ResponseHead], StreamSink | None] | None = None
     connection: AttemptConnection | None = None  # set when sending starts
     written_at: float | None = None  # when the kernel accepted the request's last byte
     connect_task: asyncio.Task[None] | None = None
@@ -109,7 +109,7 @@
 
     def open_stream(self, head: ResponseHead) -> StreamSink | None:
         """Return the sink for a long response, or None if it can't be forwarded."""
-        return self.start_stream(self, head) if self.start_stream is not None else None
+        return self.sink_factory(self, head) if self.sink_factory is not None else None
 
     def end(self, result: AttemptResult) -> None:
         """End the attempt: cancel its connect, close its connection and pass the result to the owner.
