--- a/quota_gateway/upstream/connection.py
+++ b/quota_gateway/upstream/connection.py
@@ -96,8 +96,8 @@
 
     def _continue_sending(self, attempt: UpstreamAttempt) -> None:
         """Send what the kernel accepts of a streamed body; record when the request is completely written."""
-        is_over = attempt.written_at is not None or self.attempt is not attempt
-        if self._is_writing_body or is_over or self.transport is None:
+        is_finished = attempt.written_at is not None or self.attempt is not attempt
+        if self._is_writing_body or is_finished or self.transport is None:
             return
         body_stream = attempt.body_stream
         if body_stream is not None:
--- a/quota_gateway/upstream/response_headers.py
+++ b/quota_gateway/upstream/response_headers.py
@@ -14,7 +14,7 @@
     __slots__ = (
         "billed_units",
         "content_length",
-        "forwarded",
+        "forwarded_headers",
         "has_connection_close",
         "is_chunked",
         "is_malformed",
@@ -25,7 +25,7 @@
         """Initialize without any header fields."""
         self.billed_units = 0.0
         self.content_length: int | None = None  # in bytes; None if not declared
-        self.forwarded = b""  # header lines to forward to the client
+        self.forwarded_headers = b""  # header lines to forward to the client
         self.has_connection_close = False
         self.is_chunked = False
         self.is_malformed = False
@@ -52,7 +52,7 @@
             case b"connection":
                 self.has_connection_close = value.lower() == b"close"
             case b"content-type" | b"content-encoding":
-                self.forwarded += b"%b: %b\r\n" % (name.title(), value)
+                self.forwarded_headers += b"%b: %b\r\n" % (name.title(), value)
 
     def _set_content_length(self, value: bytes) -> None:
         self.content_length = int(value) if value.isdigit() else None
--- a/quota_gateway/upstream/response_parser.py
+++ b/quota_gateway/upstream/response_parser.py
@@ -30,7 +30,7 @@
     __slots__ = (
         "_body_chunks",
         "_body_size",
-        "_has_surplus",
+        "_has_extra_message",
         "_headers",
         "_is_in_body",
         "_is_malformed",
@@ -59,7 +59,7 @@
         self.sink: StreamSink | None = None  # receives the body of a long response
         self._status = 0
         self._keep_alive = False
-        self._has_surplus = False  # whether another message began after the response
+        self._has_extra_message = False  # whether another message began after the response
         self._is_malformed = False
         self._is_in_body = False
         self._body_chunks: list[bytes] = []  # the headers are reset in on_message_begin
@@ -112,26 +112,26 @@
 
     def allows_reuse(self) -> bool:
         """Return whether the connection may carry another request after this complete response."""
-        has_fault = self._has_surplus or self._is_malformed
-        return self._keep_alive and not has_fault and self._was_received_whole()
+        has_fault = self._has_extra_message or self._is_malformed
+        return self._keep_alive and not has_fault and self._has_full_body()
 
     def take_result(self) -> AttemptResult:
         """Return the result of a complete response, and release its buffer and sink."""
-        was_received_whole = self._was_received_whole()
+        has_full_body = self._has_full_body()
         body_chunks = self._body_chunks
         headers = self._headers
         self._body_chunks = []
         self.sink = None
-        if not was_received_whole:
+        if not has_full_body:
             return AttemptResult(Outcome.BROKEN_RESPONSE)
         if self._status == 200:
             body = b"".join(body_chunks)
-            return AttemptResult(Outcome.SUCCESS, body, headers.billed_units, headers.forwarded)
+            return AttemptResult(Outcome.SUCCESS, body, headers.billed_units, headers.forwarded_headers)
         if headers.is_rejection and self._status in REJECTION_STATUSES:
             return AttemptResult(Outcome.REJECTED)
         return AttemptResult(Outcome.ERROR)
 
-    def _was_received_whole(self) -> bool:
+    def _has_full_body(self) -> bool:
         """Return whether the entire body was buffered or forwarded."""
         return self.sink is not None or self._body_size <= MAX_BUFFERED_BYTES
 
@@ -141,7 +141,7 @@
         """Start a message: an interim response, the final response, or an unsolicited one."""
         self.is_in_progress = True
         if self.is_complete:
-            self._has_surplus = True
+            self._has_extra_message = True
         else:
             self._reset_message()  # discards the content of an interim response
 
@@ -188,7 +188,7 @@
         """Open a sink and forward the buffered data; without a sink, the response is malformed."""
         if self._open_stream is not None and self._may_be_streamed():
             headers = self._headers
-            head = ResponseHead(headers.content_length, headers.forwarded, headers.billed_units)
+            head = ResponseHead(headers.content_length, headers.forwarded_headers, headers.billed_units)
             self.sink = self._open_stream(head)
         if self.sink is None:
             self._is_malformed = True
