--- a/quota_gateway/dispatch/action_executor.py
+++ b/quota_gateway/dispatch/action_executor.py
@@ -87,7 +87,7 @@
             case IncrementCounter():
                 self._increment_counter(action)
             case CloseIdleConnections():
-                self._pool.close_idle(action.endpoint_id)
+                self._pool.retire_connections(action.endpoint_id)
             case DrainClientConnections():
                 if self._context.drain_clients is not None:
                     self._context.drain_clients(action.enabled)
--- a/quota_gateway/dispatch/endpoint_updates.py
+++ b/quota_gateway/dispatch/endpoint_updates.py
@@ -30,7 +30,7 @@
     """Retire other endpoints at the entry's address, whose removal discovery may report only later."""
     endpoint = entry.endpoint
     removed = []
-    for endpoint_id in pool.endpoints_at(entry.address):
+    for endpoint_id in pool.endpoint_ids_at(entry.address):
         if endpoint_id != endpoint.endpoint_id:
             pool.retire(endpoint_id)
             removed.append(replace(endpoint, endpoint_id=endpoint_id, status=EndpointStatus.REMOVED))
--- a/quota_gateway/upstream/connection.py
+++ b/quota_gateway/upstream/connection.py
@@ -205,7 +205,7 @@
         if allows_reuse:
             self.attempt = None
             attempt.connection = None
-            self.pool.idle_timeout.record_live(self.idle_time)
+            self.pool.idle_timeout.record_reuse(self.idle_time)
             self.pool.release(self)
         attempt.end(result)
 
--- a/quota_gateway/upstream/connection_pool.py
+++ b/quota_gateway/upstream/connection_pool.py
@@ -59,7 +59,7 @@
             self.retire(endpoint_id)
             self.endpoints[endpoint_id] = EndpointConnections(endpoint_id, address, started_at)
 
-    def endpoints_at(self, address: Address) -> list[str]:
+    def endpoint_ids_at(self, address: Address) -> list[str]:
         """Return the ids of the endpoints that listen at `address`."""
         return [endpoint.endpoint_id for endpoint in self.endpoints.values() if endpoint.address == address]
 
@@ -76,7 +76,7 @@
         for attempt in attempts:
             attempt.end(AttemptResult(Outcome.CONNECT_FAILED))
 
-    def close_idle(self, endpoint_id: str) -> None:
+    def retire_connections(self, endpoint_id: str) -> None:
         """Retire the connections to an endpoint that remains available at its address."""
         endpoint = self.endpoints.get(endpoint_id)
         if endpoint is not None:
@@ -191,9 +191,9 @@
 
     def sweep(self) -> None:
         """Close the connections that exceed the idle timeout, now and every SWEEP_INTERVAL seconds."""
-        idle_since_limit = self.clock() - self.idle_timeout.seconds
+        cutoff = self.clock() - self.idle_timeout.seconds
         for endpoint in self.endpoints.values():
-            endpoint.close_idle_before(idle_since_limit)
+            endpoint.close_idle_before(cutoff)
         self._sweep_timer = self.loop.call_later(SWEEP_INTERVAL, self.sweep)
 
     def close(self) -> None:
--- a/quota_gateway/upstream/endpoint_connections.py
+++ b/quota_gateway/upstream/endpoint_connections.py
@@ -74,9 +74,9 @@
         """Close the connection that has been idle longest; there must be one."""
         self.idle.pop(0).close()
 
-    def close_idle_before(self, time: float) -> None:
-        """Close the connections that have been idle since before `time`, in seconds."""
-        while self.idle and self.idle[0].idle_since < time:
+    def close_idle_before(self, cutoff: float) -> None:
+        """Close the connections that have been idle since before `cutoff`, in seconds."""
+        while self.idle and self.idle[0].idle_since < cutoff:
             self.close_oldest_idle()
 
     def drop_idle(self) -> None:
--- a/quota_gateway/upstream/idle_timeout.py
+++ b/quota_gateway/upstream/idle_timeout.py
@@ -35,7 +35,7 @@
             return
         self.seconds = max(min(self.seconds, idle_time) * DECREASE_FACTOR, MIN_IDLE_TIMEOUT)
 
-    def record_live(self, idle_time: float) -> None:
+    def record_reuse(self, idle_time: float) -> None:
         """Record that a connection worked after `idle_time` seconds; a short time proves nothing."""
         if idle_time > self.seconds / 2:
             self.seconds = min(self.seconds * INCREASE_FACTOR, self.maximum)
