--- a/quota_gateway/dispatch/dispatcher.py
+++ b/quota_gateway/dispatch/dispatcher.py
@@ -216,7 +216,7 @@
             "dispatches": self.pool.attempts_written,
             "concurrent": self.unanswered_count,
             "targets": len(self.engine.endpoints),
-            "targets_disabled": self.engine.unavailable_endpoints(),
+            "targets_disabled": self.engine.count_unavailable_endpoints(),
             "violations": sum(self.invariants.violations.values()),
             **{f"violations.{name}": count for name, count in self.invariants.violations.items()},
         }
--- a/quota_gateway/engine/policy_engine.py
+++ b/quota_gateway/engine/policy_engine.py
@@ -38,37 +38,44 @@
         validate_settings(settings)
         self.context = context = EngineContext(settings, random.Random(seed), now, now)
         self.draining = False
-        self.limiters = LimiterRegistry(context)
-        self.registry = EndpointRegistry(context)
-        self.latency = LatencyEstimates(context)
+        self.limiter_registry = LimiterRegistry(context)
+        self.endpoint_registry = EndpointRegistry(context)
+        self.latency_estimates = LatencyEstimates(context)
         self.retry_budget = RetryBudget()
-        self.peer = PeerProcess(context)
-        self.admission = AdmissionController(context, self.registry, now)
+        self.peer_process = PeerProcess(context)
+        self.admission = AdmissionController(context, self.endpoint_registry, now)
         sampling_ratio = min(1.0, FULL_SERVICE_GATEWAYS / settings.gateway_count)
-        self.counter = CounterHealth(context, settings.counter_timeout, sampling_ratio, now)
-        self.quota = QuotaSynchronizer(context, self.counter)
-        self.fine_grained = FineGrainedQuota(context, self.counter, initial_grant_ratios(settings))
-        self.slow_start = SlowStart(context, self.registry)
-        self.balancer = LoadBalancer(context, self.registry, self.slow_start, self.latency)
+        self.counter_health = CounterHealth(context, settings.counter_timeout, sampling_ratio, now)
+        self.quota_synchronizer = QuotaSynchronizer(context, self.counter_health)
+        self.fine_grained = FineGrainedQuota(context, self.counter_health, initial_grant_ratios(settings))
+        self.slow_start = SlowStart(context, self.endpoint_registry)
+        self.balancer = LoadBalancer(context, self.endpoint_registry, self.slow_start, self.latency_estimates)
         self.forwarder = Forwarder(
             context,
             self.admission,
             self.balancer,
-            self.latency,
+            self.latency_estimates,
             self.retry_budget,
             self.fine_grained,
-            self.peer,
+            self.peer_process,
         )
-        self.queue = RequestQueue(context, self.admission, self.fine_grained, self.forwarder)
-        self.results = AttemptResults(context, self.admission, self.latency, self.forwarder, self.queue)
-        self.lifecycle = RequestLifecycle(
-            context, self.limiters, self.quota, self.admission, self.latency, self.queue
+        self.request_queue = RequestQueue(context, self.admission, self.fine_grained, self.forwarder)
+        self.attempt_results = AttemptResults(
+            context, self.admission, self.latency_estimates, self.forwarder, self.request_queue
+        )
+        self.request_lifecycle = RequestLifecycle(
+            context,
+            self.limiter_registry,
+            self.quota_synchronizer,
+            self.admission,
+            self.latency_estimates,
+            self.request_queue,
         )
 
     @property
     def endpoints(self) -> dict[str, EndpointState]:
         """The endpoints in the endpoint list, by id."""
-        return self.registry.endpoints
+        return self.endpoint_registry.endpoints
 
     @property
     def settings(self) -> Settings:
@@ -84,21 +91,21 @@
         self.context.actions = []
         match event:
             case events.RequestReceived():
-                self.lifecycle.request_received(event)
+                self.request_lifecycle.request_received(event)
             case events.AttemptEnded():
-                self.results.attempt_ended(event)
+                self.attempt_results.attempt_ended(event)
             case events.TimerFired(timer):
                 self._handle_timer(timer)
             case events.CounterReply():
                 self._handle_counter_reply(event)
             case events.EndpointListUpdate():
-                self.registry.apply(event)
+                self.endpoint_registry.apply(event)
             case charges.UnitsCharged():
                 self._apply_peer_charge(event)
             case events.PeerProcessChanged(present):
-                self.peer.present = present
+                self.peer_process.present = present
             case events.SetMaintenance():
-                self.registry.set_maintenance(event)
+                self.endpoint_registry.set_maintenance(event)
             case events.SetDraining(enabled):
                 self.draining = enabled
                 self.context.emit(actions.DrainClientConnections(enabled))
@@ -116,15 +123,15 @@
             return
         match event:
             case events.ClientDisconnected():
-                self.lifecycle.client_disconnected(request)
+                self.request_lifecycle.client_disconnected(request)
             case events.ClientHalfClosed():
-                self.lifecycle.client_half_closed(request)
+                self.request_lifecycle.client_half_closed(request)
             case events.ResponseStreamStarted():
-                self.results.stream_started(request, event)
+                self.attempt_results.stream_started(request, event)
             case events.RequestBodyConsumed():
                 request.not_resendable = True
             case events.RequestBodyReceived(deadline=deadline):
-                self.lifecycle.body_received(request, deadline)
+                self.request_lifecycle.body_received(request, deadline)
 
     def _handle_timer(self, timer: timers.Timer) -> None:
         match timer:
@@ -132,46 +139,48 @@
                 self.context.emit(actions.PollEndpoints())
             case timers.LateAttemptTimer(request_id, attempt_index):
                 if (request := self.forwarder.requests.get(request_id)) is not None:
-                    self.results.attempt_late(request, attempt_index)
+                    self.attempt_results.attempt_late(request, attempt_index)
             case timers.QueueTimeoutTimer(request_id):
                 if (request := self.forwarder.requests.get(request_id)) is not None:
-                    self.queue.time_out(request)
+                    self.request_queue.time_out(request)
             case _:
-                if (limiter := self.limiters.limiters.get(timer.customer)) is not None:
+                if (limiter := self.limiter_registry.limiters.get(timer.customer)) is not None:
                     self._handle_limiter_timer(limiter, timer)
 
     def _handle_limiter_timer(self, limiter: Limiter, timer: timers.LimiterTimer) -> None:
         match timer:
             case timers.ReleaseQueueTimer():
                 limiter.release_due = 0.0
-                self.queue.release(limiter)
+                self.request_queue.release(limiter)
             case timers.ReportDemandTimer():
                 limiter.report_scheduled = False
                 if limiter.is_fine_grained:
                     self.fine_grained.report_unreported(limiter)
                 else:
-                    self.quota.report_demand(limiter)
-                    self.queue.release(limiter)
+                    self.quota_synchronizer.report_demand(limiter)
+                    self.request_queue.release(limiter)
             case timers.ReadDemandTimer(period=period):
-                self.quota.read_demand(limiter, period)
+                self.quota_synchronizer.read_demand(limiter, period)
 
     def _handle_counter_reply(self, reply: events.CounterReply) -> None:
-        self.counter.record(reply)
-        limiter = self.limiters.limiters.get(reply.name.rpartition(".")[0])
+        self.counter_health.record(reply)
+        limiter = self.limiter_registry.limiters.get(reply.name.rpartition(".")[0])
         if limiter is None:
             return
         if limiter.is_fine_grained:
             changed = self.fine_grained.apply_reply(limiter, reply)
         else:
             is_expected = reply.outcome is Outcome.SUCCESS and reply.name == limiter.expected_reading
-            changed = is_expected and self.quota.apply_reading(limiter, reply.total)
+            changed = is_expected and self.quota_synchronizer.apply_reading(limiter, reply.total)
         if changed:
-            self.queue.release(limiter)
+            self.request_queue.release(limiter)
 
     def _apply_peer_charge(self, event: charges.UnitsCharged) -> None:
         plan = self.context.plans.get(event.plan)
         if plan is not None:
-            self.peer.charge(self.limiters.get(event.customer, event.quota_spread, plan), event.units)
+            self.peer_process.charge(
+                self.limiter_registry.get(event.customer, event.quota_spread, plan), event.units
+            )
 
     def _restore(self, state: dict[str, object]) -> None:
         saved = load_state(state)
@@ -186,17 +195,22 @@
 
     def knows_endpoint(self, endpoint_id: str) -> bool:
         """Return whether the endpoint is listed or under maintenance."""
-        return endpoint_id in self.registry.endpoints or endpoint_id in self.registry.under_maintenance
+        return (
+            endpoint_id in self.endpoint_registry.endpoints
+            or endpoint_id in self.endpoint_registry.under_maintenance
+        )
 
-    def unavailable_endpoints(self) -> int:
+    def count_unavailable_endpoints(self) -> int:
         """Return how many listed endpoints get no requests due to status, maintenance, ejection or subset."""
-        available_count = sum(1 for endpoint in self.registry.candidates if not self._is_ejected(endpoint))
-        return len(self.registry.endpoints) - available_count
+        available_count = sum(
+            1 for endpoint in self.endpoint_registry.candidates if not self._is_ejected(endpoint)
+        )
+        return len(self.endpoint_registry.endpoints) - available_count
 
     def _is_ejected(self, endpoint: EndpointState) -> bool:
         decay(endpoint, self.context.now)
         return is_outlier(endpoint) and self.context.now - endpoint.last_used_at >= RECENT_USE_WINDOW
 
-    def accepts_clients(self) -> bool:
+    def is_accepting_clients(self) -> bool:
         """Return whether a load balancer may send clients to this gateway."""
-        return bool(self.registry.serving) and not self.draining
+        return bool(self.endpoint_registry.serving) and not self.draining
--- a/quota_gateway/engine/state_snapshot.py
+++ b/quota_gateway/engine/state_snapshot.py
@@ -37,43 +37,43 @@
     """The parts of a policy engine whose state is saved and restored."""
 
     context: EngineContext
-    limiters: LimiterRegistry
-    registry: EndpointRegistry
-    latency: LatencyEstimates
+    limiter_registry: LimiterRegistry
+    endpoint_registry: EndpointRegistry
+    latency_estimates: LatencyEstimates
     admission: AdmissionController
     retry_budget: RetryBudget
-    counter: CounterHealth
+    counter_health: CounterHealth
     fine_grained: FineGrainedQuota
     draining: bool
 
 
 def save_state(engine: StatefulEngine, now: float) -> StateSnapshot:
     """Return the state at `now` as plain values, to be sent to the next process."""
-    limiters = [list(_saved_limiter(limiter)) for limiter in engine.limiters.limiters.values()]
+    limiters = [list(_saved_limiter(limiter)) for limiter in engine.limiter_registry.limiters.values()]
     return StateSnapshot(
         {
             "born": engine.context.started_at,
             "throttles": limiters,
-            "servers": _endpoint_rows(engine.registry),
-            "banned": sorted(engine.registry.under_maintenance),
-            "returned": engine.registry.returned_at,
-            "kinds": engine.latency.machine_type_factors,
-            "patience": engine.latency.client_timeouts,
-            "usual": [[*key, value] for key, value in engine.latency.durations.items()],
+            "servers": _endpoint_rows(engine.endpoint_registry),
+            "banned": sorted(engine.endpoint_registry.under_maintenance),
+            "returned": engine.endpoint_registry.returned_at,
+            "kinds": engine.latency_estimates.machine_type_factors,
+            "patience": engine.latency_estimates.client_timeouts,
+            "usual": [[*key, value] for key, value in engine.latency_estimates.durations.items()],
             "granted": [[*key, value] for key, value in engine.fine_grained.grant_ratios.items()],
             "fleet_fails": engine.admission.fleet_failure_rate,
             "retry_credit": engine.retry_budget.balance,
             "passed": engine.admission.admit_ratio,
             "limit": engine.admission.concurrency_limit,
-            "quiet_until": engine.counter.paused_until,
-            "count_fails": engine.counter.consecutive_failures,
-            "shortest": engine.counter.fastest_reply,
-            "counted_part": engine.counter.sampling_ratio,
+            "quiet_until": engine.counter_health.paused_until,
+            "count_fails": engine.counter_health.consecutive_failures,
+            "shortest": engine.counter_health.fastest_reply,
+            "counted_part": engine.counter_health.sampling_ratio,
             "draining": engine.draining,
             # older versions do not save the values below
             "now": now,
             "quota_time": now + engine.context.quota_time_offset,
-            "starts": _start_rows(engine.registry),
+            "starts": _start_rows(engine.endpoint_registry),
         }
     )
 
@@ -157,17 +157,17 @@
     saved = saved.moved_by(clock_difference)
     engine.context.started_at = min(engine.context.started_at, saved.started_at)
     _restore_estimates(engine, saved)
-    engine.registry.under_maintenance.update(saved.under_maintenance)
+    engine.endpoint_registry.under_maintenance.update(saved.under_maintenance)
     for start in saved.starts:
         known_start = KnownStart(start.listed_at, start.counts_from)
-        engine.registry.start_times.merge(start.endpoint_id, known_start)
-    engine.registry.merge_returns(saved.returned_at)
+        engine.endpoint_registry.start_times.merge(start.endpoint_id, known_start)
+    engine.endpoint_registry.merge_returns(saved.returned_at)
     for endpoint in saved.endpoints:
-        engine.registry.restore(endpoint)
+        engine.endpoint_registry.restore(endpoint)
     for limiter in saved.limiters:
         if limiter.plan in engine.context.plans:
             _restore_limiter(engine, limiter)
-    engine.registry.refresh_serving()
+    engine.endpoint_registry.refresh_serving()
 
 
 def _restore_quota_time(context: EngineContext, quota_time: float, saved_at: float) -> None:
@@ -181,26 +181,26 @@
     engine.admission.admit_ratio = saved.admit_ratio
     engine.admission.concurrency_limit = saved.concurrency_limit
     engine.retry_budget.balance = saved.retry_budget
-    engine.counter.paused_until = saved.counter_paused_until
-    engine.counter.consecutive_failures = saved.counter_failures
-    engine.counter.fastest_reply = saved.fastest_reply
-    engine.counter.sampling_ratio = saved.sampling_ratio
-    engine.latency.machine_type_factors.update(saved.machine_type_factors)
-    engine.latency.client_timeouts.update(saved.client_timeouts)
-    engine.latency.durations.update(saved.durations)
+    engine.counter_health.paused_until = saved.counter_paused_until
+    engine.counter_health.consecutive_failures = saved.counter_failures
+    engine.counter_health.fastest_reply = saved.fastest_reply
+    engine.counter_health.sampling_ratio = saved.sampling_ratio
+    engine.latency_estimates.machine_type_factors.update(saved.machine_type_factors)
+    engine.latency_estimates.client_timeouts.update(saved.client_timeouts)
+    engine.latency_estimates.durations.update(saved.durations)
     grant_ratios = engine.fine_grained.grant_ratios
     for key, ratio in grant_ratios.items():
         grant_ratios[key] = saved.grant_ratios.get(key, ratio)
 
 
 def _restore_limiter(engine: StatefulEngine, saved: SavedLimiter) -> None:
-    existing = engine.limiters.limiters.get(saved.customer)
+    existing = engine.limiter_registry.limiters.get(saved.customer)
     balance = saved.balance + saved.queued_units
     if existing is not None:
         existing.merge_balance(balance, engine.context.now)
         return
     plan = engine.context.plans[saved.plan]
-    limiter = engine.limiters.get(saved.customer, saved.quota_spread, plan)
+    limiter = engine.limiter_registry.get(saved.customer, saved.quota_spread, plan)
     limiter.quota_fraction = saved.quota_fraction
     limiter.rate = saved.rate
     limiter.capacity = saved.capacity
--- a/quota_gateway/gateway_process.py
+++ b/quota_gateway/gateway_process.py
@@ -131,7 +131,7 @@
 
     def is_serving(self) -> bool:
         """Return whether requests can be forwarded, for the readiness check of clients at `/ready`."""
-        return self.is_endpoint_list_ready and self.dispatcher.engine.accepts_clients()
+        return self.is_endpoint_list_ready and self.dispatcher.engine.is_accepting_clients()
 
     def is_healthy(self) -> bool:
         """Return whether this process is serving and not shutting down, for the health check of operators."""
--- a/quota_gateway/policy/admission.py
+++ b/quota_gateway/policy/admission.py
@@ -34,7 +34,7 @@
     """Adjusts the limit on attempts in flight and the fraction of requests that are admitted."""
 
     context: EngineContext
-    registry: EndpointRegistry
+    endpoint_registry: EndpointRegistry
     last_sample_at: float
     admit_ratio: float = 1.0
     in_flight: int = 0  # attempts in flight that are not late yet
@@ -80,7 +80,7 @@
         endpoint.concurrency_limit = _adjusted_limit(
             endpoint.concurrency_limit, late, endpoint.in_flight, endpoint.min_concurrency_limit
         )
-        fleet_minimum = FLEET_INITIAL_LIMIT * MINIMUM_TO_INITIAL_LIMIT * len(self.registry.serving)
+        fleet_minimum = FLEET_INITIAL_LIMIT * MINIMUM_TO_INITIAL_LIMIT * len(self.endpoint_registry.serving)
         minimum = max(MIN_CONCURRENCY_LIMIT, fleet_minimum / self.context.settings.gateway_count)
         self.concurrency_limit = _adjusted_limit(self.concurrency_limit, late, self.in_flight, minimum)
         weight = min(1.0, (self.context.now - self.last_sample_at) / SAMPLE_INTERVAL)
--- a/quota_gateway/policy/attempt_results.py
+++ b/quota_gateway/policy/attempt_results.py
@@ -21,9 +21,9 @@
 
     context: EngineContext
     admission: AdmissionController
-    latency: LatencyEstimates
+    latency_estimates: LatencyEstimates
     forwarder: Forwarder
-    queue: RequestQueue
+    request_queue: RequestQueue
 
     def attempt_ended(self, event: AttemptEnded) -> None:
         """Record the outcome, charge the actual units, and retry, answer or remove the request."""
@@ -48,7 +48,7 @@
             self._retry_or_answer(request, event.outcome)
         self.forwarder.remove_if_finished(request)
         if request.limiter.queue and request.plan.concurrency > 0:
-            self.queue.release(request.limiter)
+            self.request_queue.release(request.limiter)
 
     def attempt_late(self, request: PendingRequest, attempt_index: int) -> None:
         """Record a late sample for an attempt that is still waiting for its response."""
@@ -73,11 +73,11 @@
         limiter = request.limiter
         limiter.refill(self.context.now)
         unused = request.units - actual_units
-        self.forwarder.peer.report(limiter, -unused)
+        self.forwarder.peer_process.report(limiter, -unused)
         limiter.refund(unused)
         if limiter.is_fine_grained and request.reported_units > 0:
             limiter.unreported_units -= unused * request.reported_units / request.units
-        self.queue.release(limiter)
+        self.request_queue.release(limiter)
 
     def _retry_or_answer(self, request: PendingRequest, outcome: Outcome) -> None:
         retry_deadline = min(request.request.deadline, request.first_sent_at + request.latency_objective)
@@ -86,7 +86,7 @@
         budget_exempt = (
             outcome.proves_not_executed and self.context.random.random() < self.admission.admit_ratio
         )
-        in_time = retry_deadline - self.context.now > self.latency.expected(request)
+        in_time = retry_deadline - self.context.now > self.latency_estimates.expected(request)
         affordable = budget_exempt or self.forwarder.retry_budget.is_available()
         if outcome is Outcome.TIMED_OUT or not in_time or not affordable:
             self.forwarder.answer(request, QUOTA_PERIOD, Reason.NO_RETRY)
@@ -112,6 +112,6 @@
             self.admission.record_sample(late, endpoint)
         if not failed:
             outlier_detection.record_success(endpoint, request)
-            self.latency.record(request, attempt, elapsed)
+            self.latency_estimates.record(request, attempt, elapsed)
         elif outlier_detection.record_failure(endpoint, outcome):
-            self.admission.registry.refresh_candidates()
+            self.admission.endpoint_registry.refresh_candidates()
--- a/quota_gateway/policy/fine_grained_quota.py
+++ b/quota_gateway/policy/fine_grained_quota.py
@@ -40,7 +40,7 @@
     """Reads and reports the units of quotas that are too small to split."""
 
     context: EngineContext
-    counter: CounterHealth
+    counter_health: CounterHealth
     # Fraction of the sampled requests that the quota covered, by plan name, by whether this gateway's part of
     # the quota covered them, and by whether they were retries, which most likely were rejected by another
     # gateway for lack of quota.
@@ -53,20 +53,20 @@
         expired = now >= limiter.reading_valid_until
         if expired and limiter.quota_fraction == 1.0:
             limiter.set_quota_fraction(1.0 / limiter.quota_spread, now)
-        if limiter.awaiting_reading or now < limiter.reading_fresh_until or self.counter.is_paused():
+        if limiter.awaiting_reading or now < limiter.reading_fresh_until or self.counter_health.is_paused():
             return
         wait = limiter.wait_time(request.units)
         if not expired and wait > request.queue_deadline - now:
             return  # the quota does not cover it in time, even if no other gateway has used any since
         covered = wait <= 0 and (expired or limiter.balance >= limiter.capacity / 2)
         worth_forwarding = self._is_worth_forwarding_unsampled(request, covered)
-        if self.context.random.random() >= self.counter.sampling_ratio:
+        if self.context.random.random() >= self.counter_health.sampling_ratio:
             request.reported_units = -1.0
             request.admitted_unsampled = worth_forwarding
             return
         request.covered_locally = covered
         request.reported_units = (
-            request.units / self.counter.sampling_ratio if worth_forwarding else request.units
+            request.units / self.counter_health.sampling_ratio if worth_forwarding else request.units
         )
         limiter.awaiting_reading = True
         self._call_counter(limiter, request.reported_units)
@@ -86,7 +86,7 @@
 
     def report_unreported(self, limiter: Limiter) -> None:
         """Report units that have not been reported yet to the counter."""
-        if limiter.unreported_units and not self.counter.is_paused():
+        if limiter.unreported_units and not self.counter_health.is_paused():
             self._call_counter(limiter, 0.0)
 
     def request_forwarded(self, request: PendingRequest) -> None:
@@ -105,7 +105,7 @@
         limiter.unreported_units += units
         if not limiter.report_scheduled:
             limiter.report_scheduled = True
-            delay = REPORT_DELAY / self.counter.sampling_ratio
+            delay = REPORT_DELAY / self.counter_health.sampling_ratio
             self.context.set_timer(delay, ReportDemandTimer(limiter.customer))
 
     def apply_reply(self, limiter: Limiter, reply: CounterReply) -> bool:
--- a/quota_gateway/policy/forwarding.py
+++ b/quota_gateway/policy/forwarding.py
@@ -26,10 +26,10 @@
     context: EngineContext
     admission: AdmissionController
     balancer: LoadBalancer
-    latency: LatencyEstimates
+    latency_estimates: LatencyEstimates
     retry_budget: RetryBudget
     fine_grained: FineGrainedQuota
-    peer: PeerProcess
+    peer_process: PeerProcess
     requests: dict[int, PendingRequest] = field(default_factory=dict)  # by request id
 
     def forward(self, request: PendingRequest) -> None:
@@ -50,7 +50,7 @@
     def _start(self, request: PendingRequest, endpoint: EndpointState) -> None:
         if not request.attempts:
             self._count_first_attempt(request)
-        attempt = AttemptState(endpoint, self.context.now, self.latency.expected(request))
+        attempt = AttemptState(endpoint, self.context.now, self.latency_estimates.expected(request))
         send_within = remaining_idempotency_window(request, self.context.now)
         self.admission.attempt_started(endpoint)
         request.limiter.in_flight += 1
@@ -64,7 +64,7 @@
         if request.plan.hard_limit_rate > 0:
             request.limiter.hard_limit_balance -= request.units
         self.retry_budget.deposit()
-        self.peer.report(request.limiter, 0.0 if request.over_quota else request.units)
+        self.peer_process.report(request.limiter, 0.0 if request.over_quota else request.units)
 
     def set_late_timer(self, request: PendingRequest, attempt_index: int) -> None:
         """Set the timer after which an attempt is late, unless the request's body is still being received."""
@@ -100,7 +100,7 @@
         Retry-After is `wait`, after which this gateway can serve the request, if the response is then still
         useful. Otherwise it is short: another gateway may have quota, or an endpoint a free slot.
         """
-        remaining = useful_until(request) - self.context.now - self.latency.expected(request)
+        remaining = useful_until(request) - self.context.now - self.latency_estimates.expected(request)
         short_wait = SHORT_RETRY_AFTER_FRACTION * request.latency_objective
         self.answer(request, wait if wait <= remaining else short_wait, reason)
 
@@ -121,4 +121,4 @@
             request.limiter.refill(self.context.now)
             request.limiter.refund(request.units)
             self.fine_grained.request_withdrawn(request)
-            self.peer.report(request.limiter, -request.units)
+            self.peer_process.report(request.limiter, -request.units)
--- a/quota_gateway/policy/load_balancing.py
+++ b/quota_gateway/policy/load_balancing.py
@@ -23,9 +23,9 @@
     """Chooses an endpoint for each attempt."""
 
     context: EngineContext
-    registry: EndpointRegistry
+    endpoint_registry: EndpointRegistry
     slow_start: SlowStart
-    latency: LatencyEstimates
+    latency_estimates: LatencyEstimates
 
     def choose(self, request: PendingRequest) -> EndpointState | None:
         """Return the better of two endpoints drawn at random, or None if none may be used.
@@ -66,7 +66,7 @@
         past_deadline = self.context.now >= request.request.deadline and not request.request.body_incomplete
         if request.answered or request.streaming or request.not_resendable or past_deadline:
             return False
-        if not self.registry.is_usable(endpoint):
+        if not self.endpoint_registry.is_usable(endpoint):
             return False
         if len(request.attempts) >= settings.max_attempts:
             return False
@@ -81,7 +81,7 @@
         return request.units <= request.limiter.hard_limit_balance + EPSILON
 
     def _eligible_endpoints(self, request: PendingRequest) -> Sequence[EndpointState]:
-        candidates = self.registry.candidates
+        candidates = self.endpoint_registry.candidates
         first = request.first_possibly_executed
         if first is None or not request.has_idempotency_key:
             return candidates
@@ -97,7 +97,7 @@
         return self.slow_start.draw(endpoint, warm_endpoints_full) and self.may_send(request, endpoint)
 
     def _first_usable(self, request: PendingRequest, pool: Sequence[EndpointState]) -> EndpointState | None:
-        fallbacks = (*pool, *self.registry.serving)
+        fallbacks = (*pool, *self.endpoint_registry.serving)
         return next((endpoint for endpoint in fallbacks if self.may_send(request, endpoint)), None)
 
     def _cost(self, request: PendingRequest, endpoint: EndpointState) -> float:
@@ -105,7 +105,9 @@
         decay(endpoint, self.context.now)
         repeats = sum(1 for attempt in request.attempts if attempt.endpoint is endpoint)
         repeats += is_rejecting(endpoint, request, self.context.now)
-        relative_latency = self.latency.machine_type_factor(endpoint.endpoint.machine_type)
+        relative_latency = self.latency_estimates.machine_type_factor(endpoint.endpoint.machine_type)
         relative_latency *= endpoint.in_flight + 1.0
         penalty = endpoint.failure_score + endpoint.late_in_flight + repeats
-        return self.latency.expected(request) * relative_latency + penalty * request.latency_objective
+        return (
+            self.latency_estimates.expected(request) * relative_latency + penalty * request.latency_objective
+        )
--- a/quota_gateway/policy/quota_sync.py
+++ b/quota_gateway/policy/quota_sync.py
@@ -72,7 +72,7 @@
     """Reports each customer's demand to the counter once a period, and reads the fleet's demand."""
 
     context: EngineContext
-    counter: CounterHealth
+    counter_health: CounterHealth
 
     def schedule_report(self, limiter: Limiter) -> None:
         """Schedule the customer's next report, in the same slot of the period as at the other gateways."""
@@ -98,7 +98,7 @@
         is_active = limiter.local_demand > ACTIVE_DEMAND_FRACTION * limiter.plan.rate
         if demand > 0 or limiter.current_demand > 0 or is_active:
             self.schedule_report(limiter)
-        if not self.counter.is_paused() and _is_near_quota(limiter):
+        if not self.counter_health.is_paused() and _is_near_quota(limiter):
             limiter.reported_demand = demand
             if demand > 0:
                 name = f"{limiter.customer}.{period}"
@@ -108,7 +108,7 @@
 
     def read_demand(self, limiter: Limiter, period: int) -> None:
         """Request the fleet's demand in a period from the counter."""
-        if not self.counter.is_paused():
+        if not self.counter_health.is_paused():
             limiter.expected_reading = f"{limiter.customer}.{period}"
             self.context.emit(IncrementCounter(limiter.expected_reading, 0.0, COUNT_LIFETIME))
 
--- a/quota_gateway/policy/request_lifecycle.py
+++ b/quota_gateway/policy/request_lifecycle.py
@@ -22,15 +22,15 @@
     """Receives requests, and ends those whose client has disconnected."""
 
     context: EngineContext
-    limiters: LimiterRegistry
-    quota: QuotaSynchronizer
+    limiter_registry: LimiterRegistry
+    quota_synchronizer: QuotaSynchronizer
     admission: AdmissionController
-    latency: LatencyEstimates
-    queue: RequestQueue
+    latency_estimates: LatencyEstimates
+    request_queue: RequestQueue
 
     def request_received(self, event: RequestReceived) -> None:
         """Forward, queue or reject a request."""
-        if event.request_id in self.queue.forwarder.requests:
+        if event.request_id in self.request_queue.forwarder.requests:
             return
         now = self.context.now
         request_class = self.context.request_classes.get(event.request_class)
@@ -38,32 +38,32 @@
         if request_class is None or plan is None or event.deadline <= now:
             self.context.emit(Reject(event.request_id, 0.0))
             return
-        limiter = self.limiters.get(event.customer, event.quota_spread, plan)
+        limiter = self.limiter_registry.get(event.customer, event.quota_spread, plan)
         limiter.refill(now)
         limiter.record_demand(event.units, self.context.quota_time)
-        first_sent_at = now - self.latency.retry_age(event, request_class)
+        first_sent_at = now - self.latency_estimates.retry_age(event, request_class)
         request = PendingRequest(event, request_class, limiter, now, first_sent_at, now)
-        self.queue.forwarder.requests[request.id] = request
+        self.request_queue.forwarder.requests[request.id] = request
         self._apply_rate_limit(request)
 
     def _apply_rate_limit(self, request: PendingRequest) -> None:
         limiter = request.limiter
         if self._is_late_retry(request) and not self._can_afford_late_retry(request):
-            self.queue.forwarder.answer(request, QUOTA_PERIOD, Reason.LATE_RETRY)
+            self.request_queue.forwarder.answer(request, QUOTA_PERIOD, Reason.LATE_RETRY)
             return
-        max_wait = self.queue.set_queue_deadline(request)
+        max_wait = self.request_queue.set_queue_deadline(request)
         if limiter.is_fine_grained:
-            self.queue.fine_grained.request_reading(request)
+            self.request_queue.fine_grained.request_reading(request)
         else:
-            self.quota.schedule_report(limiter)
+            self.quota_synchronizer.schedule_report(limiter)
         if request.reported_units < 0 and not request.admitted_unsampled:
-            self.queue.forwarder.answer_with_retry_after(request, QUOTA_PERIOD, Reason.QUOTA)
+            self.request_queue.forwarder.answer_with_retry_after(request, QUOTA_PERIOD, Reason.QUOTA)
             return
-        self.queue.admit(request, max_wait)
+        self.request_queue.admit(request, max_wait)
 
     def _is_late_retry(self, request: PendingRequest) -> bool:
         """Return whether this is a retry whose response would be late; it would displace a new request."""
-        finished_at = self.context.now + self.latency.expected(request)
+        finished_at = self.context.now + self.latency_estimates.expected(request)
         return request.request.is_retry and finished_at > useful_until(request)
 
     def _can_afford_late_retry(self, request: PendingRequest) -> bool:
@@ -79,22 +79,22 @@
         request.first_sent_at += self.context.now - request.received_at
         for index, attempt in enumerate(request.attempts):
             if attempt.in_flight:
-                self.queue.forwarder.set_late_timer(request, index)
+                self.request_queue.forwarder.set_late_timer(request, index)
 
     def client_disconnected(self, request: PendingRequest) -> None:
         """Cancel the request's attempts and remove it from the queue."""
         request.answered = True
-        self.queue.forwarder.cancel_attempts(request)
-        self.queue.remove(request)
-        self.queue.release(request.limiter)
-        self.queue.forwarder.remove_if_finished(request)
+        self.request_queue.forwarder.cancel_attempts(request)
+        self.request_queue.remove(request)
+        self.request_queue.release(request.limiter)
+        self.request_queue.forwarder.remove_if_finished(request)
 
     def client_half_closed(self, request: PendingRequest) -> None:
         """Start no more attempts; one in flight may still serve a client that has only half-closed."""
         if request.answered or request.streaming:
             return
         request.not_resendable = True
-        self.queue.remove(request)
+        self.request_queue.remove(request)
         if not request.in_flight:
-            self.queue.forwarder.answer(request, QUOTA_PERIOD, Reason.CLIENT_GONE)
-        self.queue.release(request.limiter)
+            self.request_queue.forwarder.answer(request, QUOTA_PERIOD, Reason.CLIENT_GONE)
+        self.request_queue.release(request.limiter)
--- a/quota_gateway/policy/slow_start.py
+++ b/quota_gateway/policy/slow_start.py
@@ -21,7 +21,7 @@
     """Decides at random which attempts go to endpoints that are warming up."""
 
     context: EngineContext
-    registry: EndpointRegistry
+    endpoint_registry: EndpointRegistry
     accepted_endpoint: EndpointState | None = None  # endpoint that the last draw accepted
 
     def factor(self, endpoint: EndpointState) -> float:
@@ -43,9 +43,9 @@
 
     def budget(self, endpoint: EndpointState) -> float:
         """Return the highest allowed probability of accepting a draw of the endpoint."""
-        if endpoint not in self.registry.assigned_subset:
+        if endpoint not in self.endpoint_registry.assigned_subset:
             return 0.0
-        widening = len(self.registry.candidates) / len(self.registry.assigned_subset)
+        widening = len(self.endpoint_registry.candidates) / len(self.endpoint_registry.assigned_subset)
         ratio = self.context.settings.slow_start_overload_ratio
         return BUDGET_FRACTION * ratio * self.factor(endpoint) * widening
 
@@ -54,7 +54,7 @@
 
         Endpoints get load in proportion to their capacity: more where few others are healthy and warm.
         """
-        candidates = self.registry.candidates
+        candidates = self.endpoint_registry.candidates
         capacity = sum(self.factor(candidate) for candidate in candidates if not is_outlier(candidate))
         even_probability = self.factor(endpoint) * len(candidates) / max(capacity, 1.0)
         return min(even_probability, self.budget(endpoint))
--- a/tests/policy_assertions.py
+++ b/tests/policy_assertions.py
@@ -30,4 +30,4 @@
 
 
 def limiter_of(engine: PolicyEngine, customer: str = "c") -> Limiter:
-    return engine.limiters.limiters[customer]
+    return engine.limiter_registry.limiters[customer]
--- a/tests/process_pair.py
+++ b/tests/process_pair.py
@@ -289,5 +289,5 @@
     def write_status(self, process: int) -> None:
         """Record what a process says of itself."""
         engine = self.engines[process]
-        unavailable = engine.unavailable_endpoints()
-        self.write(f"  avoided {unavailable} takes clients {engine.accepts_clients()}")
+        unavailable = engine.count_unavailable_endpoints()
+        self.write(f"  avoided {unavailable} takes clients {engine.is_accepting_clients()}")
--- a/tests/test_client_disconnect.py
+++ b/tests/test_client_disconnect.py
@@ -108,7 +108,7 @@
     # a close reads as a half-close at first
     async with waiting_request(state) as (harness, client):
         dispatcher, seen = harness.process.dispatcher, len(harness.received_requests())
-        limiter = next(iter(dispatcher.engine.limiters.limiters.values()))
+        limiter = next(iter(dispatcher.engine.limiter_registry.limiters.values()))
         before = limiter.balance
         if how == "closes":
             client.writer.close()
--- a/tests/test_fleet_of_engines.py
+++ b/tests/test_fleet_of_engines.py
@@ -255,7 +255,7 @@
         number += 1
         index = number * 37 % 100
         forwarded_before = len(fleet.forwarded)
-        fleet.engines[index].counter.sampling_ratio = 0.4
+        fleet.engines[index].counter_health.sampling_ratio = 0.4
         fleet.send(index, number, 1.0, is_retry=send > 1)
         if len(fleet.forwarded) == forwarded_before and send < MAX_SENDS:
             heapq.heappush(sends, ClientSend(at + RETRY_DELAY, send + 1))
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -53,15 +53,15 @@
     capacity = 4.0  # half of the plan's burst, for one of two gateways
     assert len(forwarded(old, 1, capacity)) == 1
     new.handle(transferred_state(old), 100.0)
-    assert new.limiters.limiters["c"].balance == 0.0 and not forwarded(new, 2, 1.0)
+    assert new.limiter_registry.limiters["c"].balance == 0.0 and not forwarded(new, 2, 1.0)
 
 
 def test_units_reserved_by_queued_requests_of_the_older_process_are_charged_in_the_newer() -> None:
     old, new = make_engine(), make_engine()
     forwarded(old, 1, 4.0)
-    assert not forwarded(old, 2, 0.5) and old.limiters.limiters["c"].queued_units == 0.5
+    assert not forwarded(old, 2, 0.5) and old.limiter_registry.limiters["c"].queued_units == 0.5
     new.handle(transferred_state(old), 100.0)
-    assert new.limiters.limiters["c"].balance == 0.0
+    assert new.limiter_registry.limiters["c"].balance == 0.0
 
 
 def test_units_charged_by_either_process_are_charged_in_the_other() -> None:
@@ -75,11 +75,11 @@
     charge = next(a for a in actions if isinstance(a, UnitsCharged))
     assert charge == UnitsCharged("c", "small", 2, 2.0)
     new.handle(charge, 100.0)
-    assert new.limiters.limiters["c"].balance == 2.0
+    assert new.limiter_registry.limiters["c"].balance == 2.0
     endpoint_id = next(a.endpoint_id for a in actions if isinstance(a, StartAttempt))
     settled = old.handle(make_attempt_ended(2, 0, endpoint_id, Outcome.SUCCESS, actual_units=3.0), 100.0)
     new.handle(next(a for a in settled if isinstance(a, UnitsCharged)), 100.0)
-    assert new.limiters.limiters["c"].balance == 1.0
+    assert new.limiter_registry.limiters["c"].balance == 1.0
 
 
 def test_maintenance_its_end_and_draining_are_restored() -> None:
@@ -90,8 +90,8 @@
     old.handle(SetDraining(True), 100.0)
     new.handle(transferred_state(old, 101.0), 101.0)
     assert (
-        new.registry.under_maintenance == {"a"}
-        and [s.endpoint.endpoint_id for s in new.registry.serving] == ["b"]
+        new.endpoint_registry.under_maintenance == {"a"}
+        and [s.endpoint.endpoint_id for s in new.endpoint_registry.serving] == ["b"]
         and new.draining
     )
     assert new.slow_start.factor(new.endpoints["b"]) < 0.5
@@ -320,7 +320,7 @@
         async with asyncio.timeout(EVENT_TIMEOUT):
             while "new" not in process.dispatcher.engine.endpoints:  # noqa: ASYNC110 (no event marks it)
                 await asyncio.sleep(0.01)
-        assert "new" not in [endpoint.id for endpoint in process.dispatcher.engine.registry.serving]
+        assert "new" not in [endpoint.id for endpoint in process.dispatcher.engine.endpoint_registry.serving]
         restarting.close()
 
 
@@ -363,7 +363,7 @@
             link = next(iter(restarting.links))
             link.data_received(json.dumps({"estate": state, "list": []}).encode() + b"\n")
             # the command that came before the state is in force after it
-            assert process.dispatcher.engine.registry.under_maintenance == {"b0"}
+            assert process.dispatcher.engine.endpoint_registry.under_maintenance == {"b0"}
             link.data_received(b"[nonsense\n")
             restarting.close()
             older.close()
--- a/tests/test_hot_restart_clock.py
+++ b/tests/test_hot_restart_clock.py
@@ -69,15 +69,15 @@
     spend(old, "small", NOW, 8)
     old.handle(SetMaintenance("b", True), NOW)
     assert old.handle(SetMaintenance("b", False), NOW) != [CloseIdleConnections("b")]
-    old.counter.paused_until = NOW + 2.0
+    old.counter_health.paused_until = NOW + 2.0
     old.endpoints["a"].failure_score = 4.0
     new = make_engine(now=NOW + step)
     new.handle(state_of(old, by_older_version), NOW + step)
     assert new.slow_start.factor(new.endpoints["b"]) == pytest.approx(SETTINGS.slow_start_minimum)
-    assert new.counter.paused_until == pytest.approx(NOW + step + 2.0)
+    assert new.counter_health.paused_until == pytest.approx(NOW + step + 2.0)
     assert new.endpoints["a"].decayed_at == pytest.approx(NOW + step)
     assert new.context.started_at <= NOW + step
-    (limiter,) = new.limiters.limiters.values()
+    (limiter,) = new.limiter_registry.limiters.values()
     assert limiter.updated_at == pytest.approx(NOW + step)
 
 
@@ -112,7 +112,7 @@
 def test_a_limiter_of_a_later_time_never_loses_units() -> None:
     engine = make_engine(now=NOW)
     spend(engine, "capped", NOW, 2)
-    (limiter,) = engine.limiters.limiters.values()
+    (limiter,) = engine.limiter_registry.limiters.values()
     before = (limiter.balance, limiter.hard_limit_balance)
     limiter.updated_at = NOW + HOUR
     limiter.refill(NOW)
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -46,7 +46,7 @@
     assert used_endpoints(engine, range(20)) == {"b"}
     engine.handle(endpoint_list_update(make_endpoint("a", started_at=99.0), make_endpoint("b")), 100.0)
     assert used_endpoints(engine, range(100, 120)) == {"b"}
-    assert engine.unavailable_endpoints() == 1
+    assert engine.count_unavailable_endpoints() == 1
     assert engine.knows_endpoint("a")
 
 
@@ -54,7 +54,7 @@
     engine = make_engine()
     for endpoint_id in ("a", "b"):
         engine.handle(SetMaintenance(endpoint_id, True), 100.0)
-    assert not engine.accepts_clients()
+    assert not engine.is_accepting_clients()
     assert used_endpoints(engine, range(3)) == set()
 
 
@@ -100,7 +100,7 @@
 def test_draining_gateway_still_admits_requests() -> None:
     engine = make_engine()
     assert engine.handle(SetDraining(True), 100.0) == [DrainClientConnections(True)]
-    assert not engine.accepts_clients()
+    assert not engine.is_accepting_clients()
     assert used_endpoints(engine, range(4))
 
 
@@ -108,4 +108,4 @@
     engine = make_engine()
     engine.handle(SetDraining(True), 100.0)
     assert engine.handle(SetDraining(False), 100.0) == [DrainClientConnections(False)]
-    assert engine.accepts_clients()
+    assert engine.is_accepting_clients()
--- a/tests/test_no_attempt_after_disconnect.py
+++ b/tests/test_no_attempt_after_disconnect.py
@@ -163,7 +163,7 @@
     for number, units in enumerate(("8", "4")):  # the whole burst
         assert (await client.exchange(request(number, plan="pro", units=units)))[0] == 200
     client.send(request(9, plan="pro"))
-    (limiter,) = dispatcher.engine.limiters.limiters.values()
+    (limiter,) = dispatcher.engine.limiter_registry.limiters.values()
     await until(lambda: bool(limiter.queue))
 
     def release() -> None:
@@ -244,7 +244,7 @@
                 dispatcher = case.harness.process.dispatcher
                 assert not dispatcher.engine.forwarder.requests and not dispatcher.active_requests
                 assert not case.harness.process.pool.connecting
-                for limiter in dispatcher.engine.limiters.limiters.values():
+                for limiter in dispatcher.engine.limiter_registry.limiters.values():
                     assert limiter.queued_units == 0 and not limiter.queue and not limiter.in_flight
             virtual_clock_loop().connect_delays = {}
 
@@ -258,7 +258,7 @@
 async def test_units_of_a_disconnected_client_are_refunded_exactly_once(how: str) -> None:
     for state in ("counter", "connecting"):
         async with waiting_request(state, 0.2) as case:
-            (limiter,) = case.harness.process.dispatcher.engine.limiters.limiters.values()
+            (limiter,) = case.harness.process.dispatcher.engine.limiter_registry.limiters.values()
             limiter.rate = 0.0  # no refill over time
             before = limiter.balance + (1.0 if state == "connecting" else limiter.queued_units)
             disconnect(case.client, how)
--- a/tests/test_policy_invariants.py
+++ b/tests/test_policy_invariants.py
@@ -150,7 +150,7 @@
     for customer, forwarded in harness.first_attempts.items():
         if customer.startswith("capped"):
             assert_hard_limit_held(forwarded)
-    for limiter in harness.engine.limiters.limiters.values():
+    for limiter in harness.engine.limiter_registry.limiters.values():
         assert limiter.balance <= limiter.capacity + TOLERANCE
         assert not limiter.queue
         assert abs(limiter.queued_units) < TOLERANCE
@@ -217,4 +217,4 @@
         )
         for attempt in attempts:
             engine.handle(make_attempt_ended(number, 0, attempt.endpoint_id, Outcome.SUCCESS), 100.0)
-    assert 0 < len(engine.latency.durations) <= 3
+    assert 0 < len(engine.latency_estimates.durations) <= 3
--- a/tests/test_rate_limiting.py
+++ b/tests/test_rate_limiting.py
@@ -82,7 +82,7 @@
 def test_spare_quota_is_split_evenly() -> None:
     limiter: Limiter = TokenBucketLimiter("c", SMALL_PLAN, quota_spread=2, now=0.0, started_at=0.0)
     limiter.local_demand = 1.0
-    make_engine().quota.apply_reading(limiter, 4.0)
+    make_engine().quota_synchronizer.apply_reading(limiter, 4.0)
     # fleet demand is smoothed from 0 to 2 of the quota of 4: the local demand of 1, and half of the spare 2
     assert limiter.rate == pytest.approx(2.0)
 
@@ -91,7 +91,7 @@
     limiter: Limiter = TokenBucketLimiter("c", SMALL_PLAN, quota_spread=2, now=0.0, started_at=0.0)
     limiter.local_demand = 3.0
     limiter.fleet_demand = 2.0
-    make_engine().quota.apply_reading(limiter, 14.0)
+    make_engine().quota_synchronizer.apply_reading(limiter, 14.0)
     # fleet demand is smoothed from 2 to 8, above the quota of 4: 3/8 of that
     assert limiter.rate == pytest.approx(1.5)
 
@@ -99,7 +99,7 @@
 def test_quota_is_split_evenly_again_once_the_last_reading_has_expired() -> None:
     engine = make_engine()
     engine.handle(make_request(1), 100.0)
-    engine.quota.apply_reading(
+    engine.quota_synchronizer.apply_reading(
         limiter_of(engine), 14.0
     )  # no local demand: the minimum, a tenth of 2 a second
     assert limiter_of(engine).rate == pytest.approx(0.2)
@@ -112,7 +112,7 @@
     limiter.local_demand = 3.0
     limiter.reported_demand = 3.0
     limiter.fleet_demand = 6.0
-    make_engine().quota.apply_reading(
+    make_engine().quota_synchronizer.apply_reading(
         limiter, 0.0
     )  # less than this gateway added itself: the counter lost it
     assert limiter.fleet_demand == 6.0
@@ -149,13 +149,13 @@
 def test_limiter_is_evicted_only_once_it_is_idle_and_full() -> None:
     engine = make_engine()
     attempt = first_attempt(engine.handle(make_request(1), 100.0))
-    assert "c" in engine.limiters.limiters
+    assert "c" in engine.limiter_registry.limiters
     engine.handle(make_attempt_ended(1, 0, attempt.endpoint_id, Outcome.SUCCESS), 100.1)
     for second in range(101, 106):
         engine.handle(TimerFired(ReportDemandTimer("c")), float(second))
     for number in range(2, 5):  # each new limiter has up to two others checked
         engine.handle(make_request(number, customer=f"other{number}", deadline=204.0), 200.0)
-    assert "c" not in engine.limiters.limiters
+    assert "c" not in engine.limiter_registry.limiters
 
 
 def test_concurrency_limit_of_a_plan_is_split_among_the_gateways() -> None:
--- a/tests/test_recorded_messages.py
+++ b/tests/test_recorded_messages.py
@@ -77,22 +77,24 @@
         coordinator, link, _ = open_link(harness, tmp_path)
         recorded = json.loads(FROM_OLDER[0])
         link.data_received(FROM_OLDER[0].encode() + b"\n")
-        assert engine.registry.under_maintenance == {"b1"}
+        assert engine.endpoint_registry.under_maintenance == {"b1"}
         # its newest time is taken for now, and the others keep their distance from it
-        assert engine.context.now - engine.registry.returned_at["b0"] == pytest.approx(
+        assert engine.context.now - engine.endpoint_registry.returned_at["b0"] == pytest.approx(
             newest_recorded_time(recorded["estate"]) - recorded["estate"]["returned"]["b0"]
         )
-        assert list(engine.registry.returned_at) == list(recorded["estate"]["returned"])
-        assert engine.latency.machine_type_factors == recorded["estate"]["kinds"]
+        assert list(engine.endpoint_registry.returned_at) == list(recorded["estate"]["returned"])
+        assert engine.latency_estimates.machine_type_factors == recorded["estate"]["kinds"]
         # idle throttles at their full level may be removed again, but never the latest
-        assert set(engine.limiters.limiters) <= {row[0] for row in recorded["estate"]["throttles"]}
-        assert "0000000000000005" in engine.limiters.limiters
+        assert set(engine.limiter_registry.limiters) <= {row[0] for row in recorded["estate"]["throttles"]}
+        assert "0000000000000005" in engine.limiter_registry.limiters
         for line in FROM_OLDER[1:]:
-            known = set(engine.limiters.limiters)
+            known = set(engine.limiter_registry.limiters)
             link.data_received(line.encode() + b"\n")
-            for customer in set(engine.limiters.limiters) - known:
-                assert engine.limiters.limiters[customer].balance == 199.0  # one of 200 units is charged
-        assert engine.registry.under_maintenance == {"b0"} and not engine.draining
+            for customer in set(engine.limiter_registry.limiters) - known:
+                assert (
+                    engine.limiter_registry.limiters[customer].balance == 199.0
+                )  # one of 200 units is charged
+        assert engine.endpoint_registry.under_maintenance == {"b0"} and not engine.draining
         coordinator.close()
 
 
@@ -103,9 +105,11 @@
         for line in FROM_NEWER:
             link.data_received(line.encode() + b"\n")
         assert (
-            engine.registry.under_maintenance == {"b0"} and engine.draining and coordinator.successor is link
+            engine.endpoint_registry.under_maintenance == {"b0"}
+            and engine.draining
+            and coordinator.successor is link
         )
-        assert "000000000000001a" in engine.limiters.limiters
+        assert "000000000000001a" in engine.limiter_registry.limiters
         sent, recorded = json.loads(transport.lines()[0]), json.loads(FROM_OLDER[0])
         assert list(sent) == list(recorded)
         # without customers there is no row to compare; all else has the recorded keys and types
--- a/tests/test_response_order.py
+++ b/tests/test_response_order.py
@@ -51,7 +51,7 @@
         await backend.wait_until(lambda: len(backend.requests) == 1)
         client = await harness.connect_client()
         client.send(request(2, plan="pro", units="4.6") + request(3, plan="pro", units="0.4"))
-        (limiter,) = dispatcher.engine.limiters.limiters.values()
+        (limiter,) = dispatcher.engine.limiter_registry.limiters.values()
         async with asyncio.timeout(1.0):
             while len(limiter.queue) < 2:  # noqa: ASYNC110 (no event marks it)
                 await asyncio.sleep(0)
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -98,17 +98,17 @@
     @property
     def is_assigned(self) -> bool:
         """Whether the endpoint that is warming up is in the gateway's own subset."""
-        return self.engine.endpoints[WARMING_UP] in self.engine.registry.assigned_subset
+        return self.engine.endpoints[WARMING_UP] in self.engine.endpoint_registry.assigned_subset
 
     @property
     def even_rate(self) -> float:
         """Attempts a second that the gateway sends to each endpoint of its own subset, if all are warm."""
-        return self.rate / len(self.engine.registry.assigned_subset)
+        return self.rate / len(self.engine.endpoint_registry.assigned_subset)
 
     @property
     def draw_rate(self) -> float:
         """Draws a second that fall on each candidate, also while the subset is widened."""
-        return self.rate / len(self.engine.registry.candidates)
+        return self.rate / len(self.engine.endpoint_registry.candidates)
 
     @property
     def budget(self) -> float:
@@ -132,9 +132,9 @@
     engine = PolicyEngine(settings, gateway_index, 100.0)
     engine.handle(listed, 100.0)
     if gateway_index % 3 > 0:
-        for endpoint in engine.registry.candidates:
+        for endpoint in engine.endpoint_registry.candidates:
             endpoint.failure_score = 0.0 if endpoint.id == WARMING_UP else OUTLIER_THRESHOLD
-        engine.registry.refresh_candidates()
+        engine.endpoint_registry.refresh_candidates()
     return Member(engine, rate=10.0 if gateway_index % 7 == 0 else 1.0)
 
 
--- a/tests/test_subsetting.py
+++ b/tests/test_subsetting.py
@@ -104,7 +104,7 @@
 def test_gateway_of_a_large_fleet_sends_to_its_subset_and_beyond_it_once_that_drains() -> None:
     listed = [endpoint(number) for number in range(ENDPOINTS)]
     engine = make_engine(endpoint_list=endpoint_list_update(*listed), gateway_count=GATEWAYS, gateway_index=3)
-    subset = ids(engine.registry.candidates)
+    subset = ids(engine.endpoint_registry.candidates)
     assert len(subset) == subset_size(ENDPOINTS, GATEWAYS)
     used = {
         attempt.endpoint_id
@@ -116,6 +116,6 @@
         replace(each, status=EndpointStatus.DRAINING) for each in listed if each.endpoint_id in subset
     ]
     engine.handle(endpoint_list_update(*draining, kind=EndpointListKind.DELTA), 100.2)
-    candidates = ids(engine.registry.candidates)
+    candidates = ids(engine.endpoint_registry.candidates)
     assert len(candidates) >= MIN_SIZE
     assert not candidates & subset
