--- a/quota_gateway/engine/state_snapshot.py
+++ b/quota_gateway/engine/state_snapshot.py
@@ -57,9 +57,9 @@
             "servers": _endpoint_rows(engine.endpoint_registry),
             "banned": sorted(engine.endpoint_registry.under_maintenance),
             "returned": engine.endpoint_registry.returned_at,
-            "kinds": engine.latency_estimates.machine_type_factors,
-            "patience": engine.latency_estimates.client_timeouts,
-            "usual": [[*key, value] for key, value in engine.latency_estimates.durations.items()],
+            "kinds": engine.latency_estimates.relative_response_times,
+            "patience": engine.latency_estimates.average_client_timeouts,
+            "usual": [[*key, value] for key, value in engine.latency_estimates.response_times.items()],
             "granted": [[*key, value] for key, value in engine.fine_grained.grant_ratios.items()],
             "fleet_fails": engine.admission.fleet_failure_rate,
             "retry_credit": engine.retry_budget.balance,
@@ -129,9 +129,9 @@
         endpoints=[SavedEndpoint(*row) for row in state["servers"]],
         under_maintenance=state["banned"],
         returned_at=state["returned"],
-        machine_type_factors=state["kinds"],
-        client_timeouts=state["patience"],
-        durations={(request_class, units): value for request_class, units, value in state["usual"]},
+        relative_response_times=state["kinds"],
+        average_client_timeouts=state["patience"],
+        response_times={(request_class, units): value for request_class, units, value in state["usual"]},
         grant_ratios={tuple(key): value for *key, value in state["granted"]},
         fleet_failure_rate=state["fleet_fails"],
         retry_budget=state["retry_credit"],
@@ -185,9 +185,9 @@
     engine.counter_health.consecutive_failures = saved.counter_failures
     engine.counter_health.fastest_reply = saved.fastest_reply
     engine.counter_health.sampling_ratio = saved.sampling_ratio
-    engine.latency_estimates.machine_type_factors.update(saved.machine_type_factors)
-    engine.latency_estimates.client_timeouts.update(saved.client_timeouts)
-    engine.latency_estimates.durations.update(saved.durations)
+    engine.latency_estimates.relative_response_times.update(saved.relative_response_times)
+    engine.latency_estimates.average_client_timeouts.update(saved.average_client_timeouts)
+    engine.latency_estimates.response_times.update(saved.response_times)
     grant_ratios = engine.fine_grained.grant_ratios
     for key, ratio in grant_ratios.items():
         grant_ratios[key] = saved.grant_ratios.get(key, ratio)
--- a/quota_gateway/policy/attempt_results.py
+++ b/quota_gateway/policy/attempt_results.py
@@ -86,7 +86,7 @@
         budget_exempt = (
             outcome.proves_not_executed and self.context.random.random() < self.admission.admit_ratio
         )
-        in_time = retry_deadline - self.context.now > self.latency_estimates.expected(request)
+        in_time = retry_deadline - self.context.now > self.latency_estimates.expected_response_time(request)
         affordable = budget_exempt or self.forwarder.retry_budget.is_available()
         if outcome is Outcome.TIMED_OUT or not in_time or not affordable:
             self.forwarder.answer(request, QUOTA_PERIOD, Reason.NO_RETRY)
--- a/quota_gateway/policy/forwarding.py
+++ b/quota_gateway/policy/forwarding.py
@@ -50,7 +50,9 @@
     def _start(self, request: PendingRequest, endpoint: EndpointState) -> None:
         if not request.attempts:
             self._count_first_attempt(request)
-        attempt = AttemptState(endpoint, self.context.now, self.latency_estimates.expected(request))
+        attempt = AttemptState(
+            endpoint, self.context.now, self.latency_estimates.expected_response_time(request)
+        )
         send_within = remaining_idempotency_window(request, self.context.now)
         self.admission.attempt_started(endpoint)
         request.limiter.in_flight += 1
@@ -100,7 +102,9 @@
         Retry-After is `wait`, after which this gateway can serve the request, if the response is then still
         useful. Otherwise it is short: another gateway may have quota, or an endpoint a free slot.
         """
-        remaining = useful_until(request) - self.context.now - self.latency_estimates.expected(request)
+        remaining = (
+            useful_until(request) - self.context.now - self.latency_estimates.expected_response_time(request)
+        )
         short_wait = SHORT_RETRY_AFTER_FRACTION * request.latency_objective
         self.answer(request, wait if wait <= remaining else short_wait, reason)
 
--- a/quota_gateway/policy/latency_estimates.py
+++ b/quota_gateway/policy/latency_estimates.py
@@ -22,31 +22,31 @@
 
     context: EngineContext
     # Response times by request class and units, rounded up to keep the keys few; 0 units is the entire class.
-    durations: dict[tuple[str, float], float] = field(default_factory=dict)
+    response_times: dict[tuple[str, float], float] = field(default_factory=dict)
     # Response times by machine type, relative to those of the fleet.
-    machine_type_factors: dict[str, float] = field(default_factory=dict)
+    relative_response_times: dict[str, float] = field(default_factory=dict)
     # Timeouts of first sends, by request class.
-    client_timeouts: dict[str, float] = field(default_factory=dict)
+    average_client_timeouts: dict[str, float] = field(default_factory=dict)
 
-    def expected(self, request: PendingRequest) -> float:
+    def expected_response_time(self, request: PendingRequest) -> float:
         """Return the expected response time in seconds, as an average over the fleet."""
         initial = request.latency_objective * INITIAL_ESTIMATE_FRACTION
-        fallback = self.durations.get((request.request_class.name, 0.0), initial)
-        return self.durations.get(request.duration_key, fallback)
+        fallback = self.response_times.get((request.request_class.name, 0.0), initial)
+        return self.response_times.get(request.response_time_key, fallback)
 
-    def machine_type_factor(self, machine_type: str) -> float:
+    def relative_response_time(self, machine_type: str) -> float:
         """Return the response time on machines of a type, relative to the fleet's average."""
-        return self.machine_type_factors.get(machine_type, 1.0)
+        return self.relative_response_times.get(machine_type, 1.0)
 
     def record(self, request: PendingRequest, attempt: AttemptState, elapsed: float) -> None:
         """Update the estimates with the response time of a successful attempt, in seconds."""
-        for key in (request.duration_key, (request.request_class.name, 0.0)):
-            average = self.durations.get(key, elapsed)
-            self.durations[key] = average + SAMPLE_WEIGHT * (elapsed - average)
+        for key in (request.response_time_key, (request.request_class.name, 0.0)):
+            average = self.response_times.get(key, elapsed)
+            self.response_times[key] = average + SAMPLE_WEIGHT * (elapsed - average)
         machine_type = attempt.endpoint.endpoint.machine_type
-        factor = self.machine_type_factor(machine_type)
-        sample = elapsed / max(attempt.expected_duration, MIN_DURATION)
-        self.machine_type_factors[machine_type] = factor + SAMPLE_WEIGHT * (sample - factor)
+        factor = self.relative_response_time(machine_type)
+        sample = elapsed / max(attempt.expected_response_time, MIN_DURATION)
+        self.relative_response_times[machine_type] = factor + SAMPLE_WEIGHT * (sample - factor)
 
     def retry_age(self, request: RequestReceived, request_class: RequestClass) -> float:
         """Return the estimated seconds since the client's first send, where the latency objective starts.
@@ -56,9 +56,9 @@
         retry is taken to be as old as the longest Retry-After, or as its timeout allows if that is less.
         """
         timeout = request.client_timeout or request.deadline - self.context.now
-        average = self.client_timeouts.get(request_class.name, timeout)
+        average = self.average_client_timeouts.get(request_class.name, timeout)
         if not request.is_retry:
-            self.client_timeouts[request_class.name] = average + SAMPLE_WEIGHT * (timeout - average)
+            self.average_client_timeouts[request_class.name] = average + SAMPLE_WEIGHT * (timeout - average)
             return 0.0
         age = max(request_class.deadline - timeout, 0.0)
         settings = self.context.settings
--- a/quota_gateway/policy/load_balancing.py
+++ b/quota_gateway/policy/load_balancing.py
@@ -105,9 +105,10 @@
         decay(endpoint, self.context.now)
         repeats = sum(1 for attempt in request.attempts if attempt.endpoint is endpoint)
         repeats += is_rejecting(endpoint, request, self.context.now)
-        relative_latency = self.latency_estimates.machine_type_factor(endpoint.endpoint.machine_type)
+        relative_latency = self.latency_estimates.relative_response_time(endpoint.endpoint.machine_type)
         relative_latency *= endpoint.in_flight + 1.0
         penalty = endpoint.failure_score + endpoint.late_in_flight + repeats
         return (
-            self.latency_estimates.expected(request) * relative_latency + penalty * request.latency_objective
+            self.latency_estimates.expected_response_time(request) * relative_latency
+            + penalty * request.latency_objective
         )
--- a/quota_gateway/policy/request_lifecycle.py
+++ b/quota_gateway/policy/request_lifecycle.py
@@ -63,7 +63,7 @@
 
     def _is_late_retry(self, request: PendingRequest) -> bool:
         """Return whether this is a retry whose response would be late; it would displace a new request."""
-        finished_at = self.context.now + self.latency_estimates.expected(request)
+        finished_at = self.context.now + self.latency_estimates.expected_response_time(request)
         return request.request.is_retry and finished_at > useful_until(request)
 
     def _can_afford_late_retry(self, request: PendingRequest) -> bool:
--- a/quota_gateway/state/records.py
+++ b/quota_gateway/state/records.py
@@ -44,7 +44,7 @@
 
     endpoint: EndpointState
     sent_at: float
-    expected_duration: float  # response time in seconds, as estimated at the start
+    expected_response_time: float  # response time in seconds, as estimated at the start
     in_flight: bool = True
     proven_not_executed: bool = False  # its outcome proves that the endpoint did not execute it
     is_late: bool = False
@@ -87,7 +87,7 @@
     # Request class and plan, by which endpoints reject requests.
     rejection_key: tuple[str, str] = field(init=False)
     # Request class and units, rounded up: clients choose the fractions, and each would need its own entry.
-    duration_key: tuple[str, float] = field(init=False)
+    response_time_key: tuple[str, float] = field(init=False)
 
     def __post_init__(self) -> None:
         """Cache values that never change."""
@@ -96,7 +96,7 @@
         self.plan = self.limiter.plan
         self.latency_objective = self.request_class.latency_objective
         self.rejection_key = (self.request_class.name, self.plan.name)
-        self.duration_key = (self.request_class.name, float(math.ceil(self.units)))
+        self.response_time_key = (self.request_class.name, float(math.ceil(self.units)))
 
     @property
     def has_idempotency_key(self) -> bool:
--- a/quota_gateway/state/saved_state.py
+++ b/quota_gateway/state/saved_state.py
@@ -60,9 +60,9 @@
     endpoints: list[SavedEndpoint]
     under_maintenance: list[str]
     returned_at: dict[str, float]
-    machine_type_factors: dict[str, float]
-    client_timeouts: dict[str, float]
-    durations: dict[tuple[str, float], float]
+    relative_response_times: dict[str, float]
+    average_client_timeouts: dict[str, float]
+    response_times: dict[tuple[str, float], float]
     grant_ratios: dict[tuple[object, ...], float]  # keys saved by an older version may be shorter
     fleet_failure_rate: float
     retry_budget: float
--- a/tests/test_policy_invariants.py
+++ b/tests/test_policy_invariants.py
@@ -217,4 +217,4 @@
         )
         for attempt in attempts:
             engine.handle(make_attempt_ended(number, 0, attempt.endpoint_id, Outcome.SUCCESS), 100.0)
-    assert 0 < len(engine.latency_estimates.durations) <= 3
+    assert 0 < len(engine.latency_estimates.response_times) <= 3
--- a/tests/test_recorded_messages.py
+++ b/tests/test_recorded_messages.py
@@ -83,7 +83,7 @@
             newest_recorded_time(recorded["estate"]) - recorded["estate"]["returned"]["b0"]
         )
         assert list(engine.endpoint_registry.returned_at) == list(recorded["estate"]["returned"])
-        assert engine.latency_estimates.machine_type_factors == recorded["estate"]["kinds"]
+        assert engine.latency_estimates.relative_response_times == recorded["estate"]["kinds"]
         # idle throttles at their full level may be removed again, but never the latest
         assert set(engine.limiter_registry.limiters) <= {row[0] for row in recorded["estate"]["throttles"]}
         assert "0000000000000005" in engine.limiter_registry.limiters
