--- a/quota_gateway/engine/state_snapshot.py
+++ b/quota_gateway/engine/state_snapshot.py
@@ -65,9 +65,9 @@
             "retry_credit": engine.retry_budget.balance,
             "passed": engine.admission.admit_ratio,
             "limit": engine.admission.concurrency_limit,
-            "quiet_until": engine.counter_health.paused_until,
+            "quiet_until": engine.counter_health.backoff_until,
             "count_fails": engine.counter_health.consecutive_failures,
-            "shortest": engine.counter_health.fastest_reply,
+            "shortest": engine.counter_health.fastest_reply_time,
             "counted_part": engine.counter_health.sampling_ratio,
             "draining": engine.draining,
             # older versions do not save the values below
@@ -134,12 +134,12 @@
         response_times={(request_class, units): value for request_class, units, value in state["usual"]},
         grant_ratios={tuple(key): value for *key, value in state["granted"]},
         fleet_failure_rate=state["fleet_fails"],
-        retry_budget=state["retry_credit"],
+        retry_budget_balance=state["retry_credit"],
         admit_ratio=state["passed"],
         concurrency_limit=state["limit"],
         counter_paused_until=state["quiet_until"],
         counter_failures=state["count_fails"],
-        fastest_reply=state["shortest"],
+        counter_fastest_reply_time=state["shortest"],
         sampling_ratio=state["counted_part"],
         draining=state["draining"],
     )
@@ -180,10 +180,10 @@
     engine.admission.fleet_failure_rate = saved.fleet_failure_rate
     engine.admission.admit_ratio = saved.admit_ratio
     engine.admission.concurrency_limit = saved.concurrency_limit
-    engine.retry_budget.balance = saved.retry_budget
-    engine.counter_health.paused_until = saved.counter_paused_until
+    engine.retry_budget.balance = saved.retry_budget_balance
+    engine.counter_health.backoff_until = saved.counter_paused_until
     engine.counter_health.consecutive_failures = saved.counter_failures
-    engine.counter_health.fastest_reply = saved.fastest_reply
+    engine.counter_health.fastest_reply_time = saved.counter_fastest_reply_time
     engine.counter_health.sampling_ratio = saved.sampling_ratio
     engine.latency_estimates.relative_response_times.update(saved.relative_response_times)
     engine.latency_estimates.average_client_timeouts.update(saved.average_client_timeouts)
--- a/quota_gateway/policy/fine_grained_quota.py
+++ b/quota_gateway/policy/fine_grained_quota.py
@@ -53,7 +53,11 @@
         expired = now >= limiter.reading_valid_until
         if expired and limiter.quota_fraction == 1.0:
             limiter.set_quota_fraction(1.0 / limiter.quota_spread, now)
-        if limiter.awaiting_reading or now < limiter.reading_fresh_until or self.counter_health.is_paused():
+        if (
+            limiter.awaiting_reading
+            or now < limiter.reading_fresh_until
+            or self.counter_health.is_backing_off()
+        ):
             return
         wait = limiter.wait_time(request.units)
         if not expired and wait > request.queue_deadline - now:
@@ -86,7 +90,7 @@
 
     def report_unreported(self, limiter: Limiter) -> None:
         """Report units that have not been reported yet to the counter."""
-        if limiter.unreported_units and not self.counter_health.is_paused():
+        if limiter.unreported_units and not self.counter_health.is_backing_off():
             self._call_counter(limiter, 0.0)
 
     def request_forwarded(self, request: PendingRequest) -> None:
--- a/quota_gateway/policy/quota_sync.py
+++ b/quota_gateway/policy/quota_sync.py
@@ -43,26 +43,26 @@
     """Tracks the counter's health, and adapts the sampling ratio to its load; times are in seconds."""
 
     context: EngineContext
-    fastest_reply: float
+    fastest_reply_time: float
     sampling_ratio: float
-    paused_until: float
+    backoff_until: float
     consecutive_failures: int = 0
 
-    def is_paused(self) -> bool:
+    def is_backing_off(self) -> bool:
         """Return whether calls to the counter are suspended after failures."""
-        return self.context.now < self.paused_until
+        return self.context.now < self.backoff_until
 
-    def record(self, reply: CounterReply) -> None:
+    def record_reply(self, reply: CounterReply) -> None:
         """Update the estimates after a reply or a failed call."""
         if reply.outcome is Outcome.SUCCESS:
             self.consecutive_failures = 0
-            self.fastest_reply = min(self.fastest_reply * FASTEST_REPLY_GROWTH, reply.elapsed)
-            if reply.elapsed <= PROMPT_REPLY_FACTOR * self.fastest_reply:
+            self.fastest_reply_time = min(self.fastest_reply_time * FASTEST_REPLY_GROWTH, reply.elapsed)
+            if reply.elapsed <= PROMPT_REPLY_FACTOR * self.fastest_reply_time:
                 self.sampling_ratio = min(1.0, self.sampling_ratio * SAMPLING_INCREASE)
             return
         self.consecutive_failures = min(self.consecutive_failures + 1, MAX_BACKOFF_EXPONENT)
         if reply.outcome is Outcome.CONNECT_FAILED or self.consecutive_failures >= UNREACHABLE_FAILURES:
-            self.paused_until = self.context.now + QUOTA_PERIOD * 2**self.consecutive_failures / 8
+            self.backoff_until = self.context.now + QUOTA_PERIOD * 2**self.consecutive_failures / 8
         else:
             self.sampling_ratio = max(self.sampling_ratio * SAMPLING_DECREASE, MIN_SAMPLING_RATIO)
 
@@ -98,7 +98,7 @@
         is_active = limiter.local_demand > ACTIVE_DEMAND_FRACTION * limiter.plan.rate
         if demand > 0 or limiter.current_demand > 0 or is_active:
             self.schedule_report(limiter)
-        if not self.counter_health.is_paused() and _is_near_quota(limiter):
+        if not self.counter_health.is_backing_off() and _is_near_quota(limiter):
             limiter.reported_demand = demand
             if demand > 0:
                 name = f"{limiter.customer}.{period}"
@@ -108,7 +108,7 @@
 
     def read_demand(self, limiter: Limiter, period: int) -> None:
         """Request the fleet's demand in a period from the counter."""
-        if not self.counter_health.is_paused():
+        if not self.counter_health.is_backing_off():
             limiter.expected_reading = f"{limiter.customer}.{period}"
             self.context.emit(IncrementCounter(limiter.expected_reading, 0.0, COUNT_LIFETIME))
 
--- a/quota_gateway/state/saved_state.py
+++ b/quota_gateway/state/saved_state.py
@@ -65,13 +65,13 @@
     response_times: dict[tuple[str, float], float]
     grant_ratios: dict[tuple[object, ...], float]  # keys saved by an older version may be shorter
     fleet_failure_rate: float
-    retry_budget: float
+    retry_budget_balance: float
     admit_ratio: float
     concurrency_limit: float
-    counter_paused_until: float
-    counter_failures: int
-    fastest_reply: float
-    sampling_ratio: float
+    counter_backoff_until: float
+    counter_consecutive_failures: int
+    counter_fastest_reply_time: float
+    counter_sampling_ratio: float
     draining: bool
 
     def moved_by(self, seconds: float) -> SavedState:
@@ -84,7 +84,7 @@
             limiters=[_shifted_limiter(limiter, seconds) for limiter in self.limiters],
             endpoints=[self._shifted_endpoint(endpoint, seconds) for endpoint in self.endpoints],
             returned_at=returned_at,
-            counter_paused_until=self.counter_paused_until + seconds,
+            counter_backoff_until=self.counter_backoff_until + seconds,
         )
 
     def _shifted_endpoint(self, endpoint: SavedEndpoint, seconds: float) -> SavedEndpoint:
