--- a/quota_gateway/engine/policy_engine.py
+++ b/quota_gateway/engine/policy_engine.py
@@ -163,7 +163,7 @@
                 self.quota_synchronizer.read_demand(limiter, period)
 
     def _handle_counter_reply(self, reply: events.CounterReply) -> None:
-        self.counter_health.record(reply)
+        self.counter_health.record_reply(reply)
         limiter = self.limiter_registry.limiters.get(reply.name.rpartition(".")[0])
         if limiter is None:
             return
--- a/quota_gateway/engine/state_snapshot.py
+++ b/quota_gateway/engine/state_snapshot.py
@@ -137,10 +137,10 @@
         retry_budget_balance=state["retry_credit"],
         admit_ratio=state["passed"],
         concurrency_limit=state["limit"],
-        counter_paused_until=state["quiet_until"],
-        counter_failures=state["count_fails"],
+        counter_backoff_until=state["quiet_until"],
+        counter_consecutive_failures=state["count_fails"],
         counter_fastest_reply_time=state["shortest"],
-        sampling_ratio=state["counted_part"],
+        counter_sampling_ratio=state["counted_part"],
         draining=state["draining"],
     )
     return saved._replace(saved_at=newest_time(saved)) if saved.saved_at == UNKNOWN_SAVE_TIME else saved
@@ -181,10 +181,10 @@
     engine.admission.admit_ratio = saved.admit_ratio
     engine.admission.concurrency_limit = saved.concurrency_limit
     engine.retry_budget.balance = saved.retry_budget_balance
-    engine.counter_health.backoff_until = saved.counter_paused_until
-    engine.counter_health.consecutive_failures = saved.counter_failures
+    engine.counter_health.backoff_until = saved.counter_backoff_until
+    engine.counter_health.consecutive_failures = saved.counter_consecutive_failures
     engine.counter_health.fastest_reply_time = saved.counter_fastest_reply_time
-    engine.counter_health.sampling_ratio = saved.sampling_ratio
+    engine.counter_health.sampling_ratio = saved.counter_sampling_ratio
     engine.latency_estimates.relative_response_times.update(saved.relative_response_times)
     engine.latency_estimates.average_client_timeouts.update(saved.average_client_timeouts)
     engine.latency_estimates.response_times.update(saved.response_times)
--- a/tests/test_hot_restart_clock.py
+++ b/tests/test_hot_restart_clock.py
@@ -69,12 +69,12 @@
     spend(old, "small", NOW, 8)
     old.handle(SetMaintenance("b", True), NOW)
     assert old.handle(SetMaintenance("b", False), NOW) != [CloseIdleConnections("b")]
-    old.counter_health.paused_until = NOW + 2.0
+    old.counter_health.backoff_until = NOW + 2.0
     old.endpoints["a"].failure_score = 4.0
     new = make_engine(now=NOW + step)
     new.handle(state_of(old, by_older_version), NOW + step)
     assert new.slow_start.factor(new.endpoints["b"]) == pytest.approx(SETTINGS.slow_start_minimum)
-    assert new.counter_health.paused_until == pytest.approx(NOW + step + 2.0)
+    assert new.counter_health.backoff_until == pytest.approx(NOW + step + 2.0)
     assert new.endpoints["a"].decayed_at == pytest.approx(NOW + step)
     assert new.context.started_at <= NOW + step
     (limiter,) = new.limiter_registry.limiters.values()
