--- a/quota_gateway/engine/policy_engine.py
+++ b/quota_gateway/engine/policy_engine.py
@@ -16,7 +16,7 @@
 from quota_gateway.policy.forwarding import Forwarder
 from quota_gateway.policy.latency_estimates import LatencyEstimates
 from quota_gateway.policy.load_balancing import LoadBalancer
-from quota_gateway.policy.outlier_detection import decay, is_outlier
+from quota_gateway.policy.outlier_detection import decay_score, is_outlier
 from quota_gateway.policy.quota_sync import FULL_SERVICE_GATEWAYS, CounterHealth, QuotaSynchronizer
 from quota_gateway.policy.request_lifecycle import RequestLifecycle
 from quota_gateway.policy.request_queue import RequestQueue
@@ -99,7 +99,7 @@
             case events.CounterReply():
                 self._handle_counter_reply(event)
             case events.EndpointListUpdate():
-                self.endpoint_registry.apply(event)
+                self.endpoint_registry.apply_update(event)
             case charges.UnitsCharged():
                 self._apply_peer_charge(event)
             case events.PeerProcessChanged(present):
@@ -208,9 +208,9 @@
         return len(self.endpoint_registry.endpoints) - available_count
 
     def _is_ejected(self, endpoint: EndpointState) -> bool:
-        decay(endpoint, self.context.now)
+        decay_score(endpoint, self.context.now)
         return is_outlier(endpoint) and self.context.now - endpoint.last_used_at >= RECENT_USE_WINDOW
 
     def is_accepting_clients(self) -> bool:
         """Return whether a load balancer may send clients to this gateway."""
-        return bool(self.endpoint_registry.serving) and not self.draining
+        return bool(self.endpoint_registry.serving_endpoints) and not self.draining
--- a/quota_gateway/engine/state_snapshot.py
+++ b/quota_gateway/engine/state_snapshot.py
@@ -56,7 +56,7 @@
             "throttles": limiters,
             "servers": _endpoint_rows(engine.endpoint_registry),
             "banned": sorted(engine.endpoint_registry.under_maintenance),
-            "returned": engine.endpoint_registry.returned_at,
+            "returned": engine.endpoint_registry.maintenance_ended_at,
             "kinds": engine.latency_estimates.relative_response_times,
             "patience": engine.latency_estimates.average_client_timeouts,
             "usual": [[*key, value] for key, value in engine.latency_estimates.response_times.items()],
@@ -82,7 +82,7 @@
     return [
         [
             state.id,
-            registry.saved_start(state),
+            registry.start_identifier(state),
             state.concurrency_limit,
             state.failure_score,
             state.decayed_at,
@@ -128,7 +128,7 @@
         limiters=[SavedLimiter(*row) for row in state["throttles"]],
         endpoints=[SavedEndpoint(*row) for row in state["servers"]],
         under_maintenance=state["banned"],
-        returned_at=state["returned"],
+        maintenance_ended_at=state["returned"],
         relative_response_times=state["kinds"],
         average_client_timeouts=state["patience"],
         response_times={(request_class, units): value for request_class, units, value in state["usual"]},
@@ -161,7 +161,7 @@
     for start in saved.starts:
         known_start = KnownStart(start.listed_at, start.counts_from)
         engine.endpoint_registry.start_times.merge(start.endpoint_id, known_start)
-    engine.endpoint_registry.merge_returns(saved.returned_at)
+    engine.endpoint_registry.merge_maintenance_ends(saved.maintenance_ended_at)
     for endpoint in saved.endpoints:
         engine.endpoint_registry.restore(endpoint)
     for limiter in saved.limiters:
--- a/quota_gateway/policy/admission.py
+++ b/quota_gateway/policy/admission.py
@@ -80,7 +80,9 @@
         endpoint.concurrency_limit = _adjusted_limit(
             endpoint.concurrency_limit, late, endpoint.in_flight, endpoint.min_concurrency_limit
         )
-        fleet_minimum = FLEET_INITIAL_LIMIT * MINIMUM_TO_INITIAL_LIMIT * len(self.endpoint_registry.serving)
+        fleet_minimum = (
+            FLEET_INITIAL_LIMIT * MINIMUM_TO_INITIAL_LIMIT * len(self.endpoint_registry.serving_endpoints)
+        )
         minimum = max(MIN_CONCURRENCY_LIMIT, fleet_minimum / self.context.settings.gateway_count)
         self.concurrency_limit = _adjusted_limit(self.concurrency_limit, late, self.in_flight, minimum)
         weight = min(1.0, (self.context.now - self.last_sample_at) / SAMPLE_INTERVAL)
--- a/quota_gateway/policy/attempt_results.py
+++ b/quota_gateway/policy/attempt_results.py
@@ -101,7 +101,7 @@
         if outcome in (Outcome.CANCELLED, Outcome.NOT_SENT):
             return
         endpoint = attempt.endpoint
-        outlier_detection.decay(endpoint, self.context.now)
+        outlier_detection.decay_score(endpoint, self.context.now)
         if outcome is Outcome.REJECTED:
             outlier_detection.record_rejection(endpoint, request, self.context.now)
             return
--- a/quota_gateway/policy/endpoint_registry.py
+++ b/quota_gateway/policy/endpoint_registry.py
@@ -28,15 +28,17 @@
 
     context: EngineContext
     endpoints: dict[str, EndpointState] = field(default_factory=dict)  # by endpoint id
-    serving: list[EndpointState] = field(default_factory=list)
+    serving_endpoints: list[EndpointState] = field(default_factory=list)
     candidates: Sequence[EndpointState] = ()  # this gateway's subset, widened while too few are healthy
     assigned_subset: set[EndpointState] = field(default_factory=set)  # this gateway's subset, never widened
     under_maintenance: set[str] = field(default_factory=set)  # ids; set by operators, independent of the list
     ring: SubsetRing = field(default_factory=lambda: SubsetRing((), 0, 1))
-    returned_at: dict[str, float] = field(default_factory=dict)  # end of the last maintenance, by endpoint id
+    maintenance_ended_at: dict[str, float] = field(
+        default_factory=dict
+    )  # end of the last maintenance, by endpoint id
     start_times: StartTimes = field(default_factory=StartTimes)
 
-    def apply(self, update: EndpointListUpdate) -> None:
+    def apply_update(self, update: EndpointListUpdate) -> None:
         """Apply an update; after a failed poll, keep the current list and schedule another poll."""
         context = self.context
         if update.kind is EndpointListKind.FAILED:
@@ -73,10 +75,10 @@
         """Return when an endpoint started or returned from maintenance, by this gateway's clock."""
         key = endpoint.endpoint_id
         started_at = self.start_times.observe(key, endpoint.started_at, self.context.now)
-        returned_at = self.returned_at.get(key)
-        if returned_at is None or (started_at is not None and started_at > returned_at):
+        maintenance_ended_at = self.maintenance_ended_at.get(key)
+        if maintenance_ended_at is None or (started_at is not None and started_at > maintenance_ended_at):
             return started_at
-        return returned_at
+        return maintenance_ended_at
 
     def set_maintenance(self, event: SetMaintenance) -> None:
         """Start or end maintenance, which no list update ends; an endpoint warms up again after it."""
@@ -86,15 +88,15 @@
             self.context.emit(CloseIdleConnections(key))
         elif key in self.under_maintenance:
             self.under_maintenance.discard(key)
-            self.returned_at[key] = self.context.now
+            self.maintenance_ended_at[key] = self.context.now
             if key in self.endpoints:
                 self._add(self.endpoints[key].endpoint)
         self.refresh_serving()
 
-    def merge_returns(self, returned_at: dict[str, float]) -> None:
+    def merge_maintenance_ends(self, maintenance_ended_at: dict[str, float]) -> None:
         """Merge the ends of maintenance that another process knows; the later of two counts."""
-        for key, time in returned_at.items():
-            self.returned_at[key] = max(time, self.returned_at.get(key, time))
+        for key, time in maintenance_ended_at.items():
+            self.maintenance_ended_at[key] = max(time, self.maintenance_ended_at.get(key, time))
 
     def restore(self, saved: SavedEndpoint) -> None:
         """Restore what the previous process learned about an endpoint since its start."""
@@ -102,28 +104,28 @@
         if state is None:
             return
         state.started_at = self._started_at(state.endpoint)  # the list does not tell when maintenance ended
-        if saved.started_at == self.saved_start(state):
+        if saved.started_at == self.start_identifier(state):
             state.concurrency_limit = saved.concurrency_limit
             state.failure_score = saved.failure_score
             state.decayed_at = saved.decayed_at
 
-    def saved_start(self, state: EndpointState) -> float | None:
+    def start_identifier(self, state: EndpointState) -> float | None:
         """Return the start that identifies an endpoint in the saved state.
 
         It is the end of its maintenance or, without one, the start as listed.
         """
-        returned_at = self.returned_at.get(state.id)
-        return returned_at if returned_at == state.started_at else state.endpoint.started_at
+        maintenance_ended_at = self.maintenance_ended_at.get(state.id)
+        return maintenance_ended_at if maintenance_ended_at == state.started_at else state.endpoint.started_at
 
     def refresh_serving(self) -> None:
         """Recompute the serving endpoints and this gateway's subset of them."""
-        self.serving = [
+        self.serving_endpoints = [
             endpoint
             for endpoint in self.endpoints.values()
             if endpoint.is_serving and endpoint.id not in self.under_maintenance
         ]
         settings = self.context.settings
-        self.ring = SubsetRing(self.serving, settings.gateway_index, settings.gateway_count)
+        self.ring = SubsetRing(self.serving_endpoints, settings.gateway_index, settings.gateway_count)
         self.assigned_subset = set(self.ring.select(lambda endpoint: True))
         self.refresh_candidates()
 
--- a/quota_gateway/policy/load_balancing.py
+++ b/quota_gateway/policy/load_balancing.py
@@ -5,7 +5,7 @@
 
 from quota_gateway.policy.endpoint_registry import EndpointRegistry
 from quota_gateway.policy.latency_estimates import LatencyEstimates
-from quota_gateway.policy.outlier_detection import OUTLIER_THRESHOLD, decay, is_rejecting
+from quota_gateway.policy.outlier_detection import OUTLIER_THRESHOLD, decay_score, is_rejecting
 from quota_gateway.policy.retries import may_retry_at
 from quota_gateway.policy.slow_start import SlowStart
 from quota_gateway.policy.token_bucket import EPSILON
@@ -97,12 +97,12 @@
         return self.slow_start.draw(endpoint, warm_endpoints_full) and self.may_send(request, endpoint)
 
     def _first_usable(self, request: PendingRequest, pool: Sequence[EndpointState]) -> EndpointState | None:
-        fallbacks = (*pool, *self.endpoint_registry.serving)
+        fallbacks = (*pool, *self.endpoint_registry.serving_endpoints)
         return next((endpoint for endpoint in fallbacks if self.may_send(request, endpoint)), None)
 
     def _cost(self, request: PendingRequest, endpoint: EndpointState) -> float:
         """Return the expected response time in seconds, plus penalties for failures, lateness and repeats."""
-        decay(endpoint, self.context.now)
+        decay_score(endpoint, self.context.now)
         repeats = sum(1 for attempt in request.attempts if attempt.endpoint is endpoint)
         repeats += is_rejecting(endpoint, request, self.context.now)
         relative_latency = self.latency_estimates.relative_response_time(endpoint.endpoint.machine_type)
--- a/quota_gateway/policy/outlier_detection.py
+++ b/quota_gateway/policy/outlier_detection.py
@@ -10,7 +10,7 @@
 REJECTION_LIFETIME = 15.0  # seconds for which an endpoint that rejected a class and plan is avoided for them
 
 
-def decay(endpoint: EndpointState, now: float) -> None:
+def decay_score(endpoint: EndpointState, now: float) -> None:
     """Apply the decay since the last call to the failure score."""
     endpoint.failure_score *= 0.5 ** ((now - endpoint.decayed_at) / SCORE_HALF_LIFE)
     endpoint.decayed_at = now
--- a/quota_gateway/state/saved_state.py
+++ b/quota_gateway/state/saved_state.py
@@ -59,7 +59,7 @@
     limiters: list[SavedLimiter]
     endpoints: list[SavedEndpoint]
     under_maintenance: list[str]
-    returned_at: dict[str, float]
+    maintenance_ended_at: dict[str, float]
     relative_response_times: dict[str, float]
     average_client_timeouts: dict[str, float]
     response_times: dict[tuple[str, float], float]
@@ -76,21 +76,21 @@
 
     def moved_by(self, seconds: float) -> SavedState:
         """Return the state with its times shifted by `seconds`, to the clock of the restoring process."""
-        returned_at = {key: time + seconds for key, time in self.returned_at.items()}
+        maintenance_ended_at = {key: time + seconds for key, time in self.maintenance_ended_at.items()}
         return self._replace(
             saved_at=self.saved_at + seconds,
             starts=[_shifted_start(start, seconds) for start in self.starts],
             started_at=self.started_at + seconds,
             limiters=[_shifted_limiter(limiter, seconds) for limiter in self.limiters],
             endpoints=[self._shifted_endpoint(endpoint, seconds) for endpoint in self.endpoints],
-            returned_at=returned_at,
+            maintenance_ended_at=maintenance_ended_at,
             counter_backoff_until=self.counter_backoff_until + seconds,
         )
 
     def _shifted_endpoint(self, endpoint: SavedEndpoint, seconds: float) -> SavedEndpoint:
         """Shift an endpoint's times, except a listed start, which is not by this gateway's clock."""
         started_at = endpoint.started_at
-        if started_at is not None and started_at == self.returned_at.get(endpoint.endpoint_id):
+        if started_at is not None and started_at == self.maintenance_ended_at.get(endpoint.endpoint_id):
             started_at += seconds
         return endpoint._replace(started_at=started_at, decayed_at=endpoint.decayed_at + seconds)
 
@@ -114,7 +114,7 @@
 
     All these events precede the save, so the result is a lower bound of its time.
     """
-    times = [state.started_at, *state.returned_at.values()]
+    times = [state.started_at, *state.maintenance_ended_at.values()]
     times += [limiter.updated_at for limiter in state.limiters]
     times += [endpoint.decayed_at for endpoint in state.endpoints]
     return max(times)
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -91,7 +91,7 @@
     new.handle(transferred_state(old, 101.0), 101.0)
     assert (
         new.endpoint_registry.under_maintenance == {"a"}
-        and [s.endpoint.endpoint_id for s in new.endpoint_registry.serving] == ["b"]
+        and [s.endpoint.endpoint_id for s in new.endpoint_registry.serving_endpoints] == ["b"]
         and new.draining
     )
     assert new.slow_start.factor(new.endpoints["b"]) < 0.5
@@ -320,7 +320,9 @@
         async with asyncio.timeout(EVENT_TIMEOUT):
             while "new" not in process.dispatcher.engine.endpoints:  # noqa: ASYNC110 (no event marks it)
                 await asyncio.sleep(0.01)
-        assert "new" not in [endpoint.id for endpoint in process.dispatcher.engine.endpoint_registry.serving]
+        assert "new" not in [
+            endpoint.id for endpoint in process.dispatcher.engine.endpoint_registry.serving_endpoints
+        ]
         restarting.close()
 
 
--- a/tests/test_recorded_messages.py
+++ b/tests/test_recorded_messages.py
@@ -79,10 +79,10 @@
         link.data_received(FROM_OLDER[0].encode() + b"\n")
         assert engine.endpoint_registry.under_maintenance == {"b1"}
         # its newest time is taken for now, and the others keep their distance from it
-        assert engine.context.now - engine.endpoint_registry.returned_at["b0"] == pytest.approx(
+        assert engine.context.now - engine.endpoint_registry.maintenance_ended_at["b0"] == pytest.approx(
             newest_recorded_time(recorded["estate"]) - recorded["estate"]["returned"]["b0"]
         )
-        assert list(engine.endpoint_registry.returned_at) == list(recorded["estate"]["returned"])
+        assert list(engine.endpoint_registry.maintenance_ended_at) == list(recorded["estate"]["returned"])
         assert engine.latency_estimates.relative_response_times == recorded["estate"]["kinds"]
         # idle throttles at their full level may be removed again, but never the latest
         assert set(engine.limiter_registry.limiters) <= {row[0] for row in recorded["estate"]["throttles"]}
