--- a/quota_gateway/engine/state_snapshot.py
+++ b/quota_gateway/engine/state_snapshot.py
@@ -15,7 +15,7 @@
 from quota_gateway.policy.latency_estimates import LatencyEstimates
 from quota_gateway.policy.quota_sync import CounterHealth
 from quota_gateway.policy.retries import RetryBudget
-from quota_gateway.policy.start_times import KnownStart
+from quota_gateway.policy.start_times import ObservedStart
 from quota_gateway.state.context import EngineContext
 from quota_gateway.state.limiter_registry import LimiterRegistry
 from quota_gateway.state.records import Limiter
@@ -93,8 +93,8 @@
 
 def _start_rows(registry: EndpointRegistry) -> list[list[object]]:
     return [
-        [key, start.listed_at, start.counts_from]
-        for key, start in registry.start_times.known.items()
+        [key, start.listed_at, start.effective_at]
+        for key, start in registry.start_times.starts.items()
         if key in registry.endpoints
     ]
 
@@ -159,8 +159,8 @@
     _restore_estimates(engine, saved)
     engine.endpoint_registry.under_maintenance.update(saved.under_maintenance)
     for start in saved.starts:
-        known_start = KnownStart(start.listed_at, start.counts_from)
-        engine.endpoint_registry.start_times.merge(start.endpoint_id, known_start)
+        observed_start = ObservedStart(start.listed_at, start.effective_at)
+        engine.endpoint_registry.start_times.merge(start.endpoint_id, observed_start)
     engine.endpoint_registry.merge_maintenance_ends(saved.maintenance_ended_at)
     for endpoint in saved.endpoints:
         engine.endpoint_registry.restore(endpoint)
--- a/quota_gateway/policy/slow_start.py
+++ b/quota_gateway/policy/slow_start.py
@@ -24,7 +24,7 @@
     endpoint_registry: EndpointRegistry
     accepted_endpoint: EndpointState | None = None  # endpoint that the last draw accepted
 
-    def factor(self, endpoint: EndpointState) -> float:
+    def capacity_fraction(self, endpoint: EndpointState) -> float:
         """Return the fraction of its capacity that an endpoint has at least; 1 once it is warm."""
         settings = self.context.settings
         started_at = endpoint.started_at
@@ -39,32 +39,34 @@
         started_at = endpoint.started_at
         if started_at is None or self.context.now - started_at >= self.context.settings.slow_start_window:
             return False
-        return self.factor(endpoint) < 1.0
+        return self.capacity_fraction(endpoint) < 1.0
 
-    def budget(self, endpoint: EndpointState) -> float:
+    def max_acceptance_probability(self, endpoint: EndpointState) -> float:
         """Return the highest allowed probability of accepting a draw of the endpoint."""
         if endpoint not in self.endpoint_registry.assigned_subset:
             return 0.0
         widening = len(self.endpoint_registry.candidates) / len(self.endpoint_registry.assigned_subset)
         ratio = self.context.settings.slow_start_overload_ratio
-        return BUDGET_FRACTION * ratio * self.factor(endpoint) * widening
+        return BUDGET_FRACTION * ratio * self.capacity_fraction(endpoint) * widening
 
-    def probability(self, endpoint: EndpointState) -> float:
+    def acceptance_probability(self, endpoint: EndpointState) -> float:
         """Return the probability of accepting a draw of the endpoint, within its budget.
 
         Endpoints get load in proportion to their capacity: more where few others are healthy and warm.
         """
         candidates = self.endpoint_registry.candidates
-        capacity = sum(self.factor(candidate) for candidate in candidates if not is_outlier(candidate))
-        even_probability = self.factor(endpoint) * len(candidates) / max(capacity, 1.0)
-        return min(even_probability, self.budget(endpoint))
+        capacity = sum(
+            self.capacity_fraction(candidate) for candidate in candidates if not is_outlier(candidate)
+        )
+        even_probability = self.capacity_fraction(endpoint) * len(candidates) / max(capacity, 1.0)
+        return min(even_probability, self.max_acceptance_probability(endpoint))
 
     def draw(self, endpoint: EndpointState, warm_endpoints_full: bool) -> bool:
         """Accept the endpoint with its probability, or with its budget's rest once the warm ones are full."""
         if not self.is_warming_up(endpoint):
             return False
-        probability = self.probability(endpoint)
+        probability = self.acceptance_probability(endpoint)
         if warm_endpoints_full:
-            probability = self.budget(endpoint) - probability
+            probability = self.max_acceptance_probability(endpoint) - probability
         self.accepted_endpoint = endpoint if self.context.random.random() < probability else None
         return self.accepted_endpoint is endpoint
--- a/quota_gateway/policy/start_times.py
+++ b/quota_gateway/policy/start_times.py
@@ -13,11 +13,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class KnownStart:
+class ObservedStart:
     """A start as listed, and the time from which it counts, both in seconds; None for a start long ago."""
 
     listed_at: float | None
-    counts_from: float | None
+    effective_at: float | None
 
 
 @dataclass(slots=True, eq=False)
@@ -25,30 +25,30 @@
     """Keeps the start of each endpoint; times are in seconds."""
 
     last_response_at: float = -inf  # time of discovery's last response
-    known: dict[str, KnownStart] = field(default_factory=dict)  # by endpoint id, oldest entry first
+    starts: dict[str, ObservedStart] = field(default_factory=dict)  # by endpoint id, oldest entry first
 
     def observe(self, endpoint_id: str, listed_at: float | None, now: float) -> float | None:
         """Return the time from which a start in the current list counts, or None for one long ago."""
-        known = self.known.get(endpoint_id)
+        known = self.starts.get(endpoint_id)
         if known is not None and known.listed_at == listed_at:
-            return known.counts_from
-        counts_from = listed_at
+            return known.effective_at
+        effective_at = listed_at
         if listed_at is not None and not self.last_response_at <= listed_at <= now:
-            counts_from = now
-        self._store(endpoint_id, KnownStart(listed_at, counts_from))
-        return counts_from
+            effective_at = now
+        self._store(endpoint_id, ObservedStart(listed_at, effective_at))
+        return effective_at
 
-    def merge(self, endpoint_id: str, start: KnownStart) -> None:
+    def merge(self, endpoint_id: str, start: ObservedStart) -> None:
         """Merge a start that the older process of a hot restart knows from lists before this one's start."""
-        known = self.known.get(endpoint_id)
+        known = self.starts.get(endpoint_id)
         if known is None or known.listed_at == start.listed_at:
             self._store(endpoint_id, start)
 
-    def _store(self, endpoint_id: str, start: KnownStart) -> None:
-        self.known.pop(endpoint_id, None)
-        self.known[endpoint_id] = start
-        if len(self.known) > MAX_KNOWN_STARTS:
-            del self.known[next(iter(self.known))]
+    def _store(self, endpoint_id: str, start: ObservedStart) -> None:
+        self.starts.pop(endpoint_id, None)
+        self.starts[endpoint_id] = start
+        if len(self.starts) > MAX_KNOWN_STARTS:
+            del self.starts[next(iter(self.starts))]
 
     def list_received(self, now: float) -> None:
         """Record a response of discovery: endpoints that are not in its list have yet to start."""
--- a/quota_gateway/policy/subsetting.py
+++ b/quota_gateway/policy/subsetting.py
@@ -12,13 +12,13 @@
 from quota_gateway.state.records import EndpointState
 
 GATEWAYS_PER_ENDPOINT = 10  # gateways that use an endpoint: the loss of one or two shifts little load
-MIN_SIZE = 12  # smallest subset, in endpoints: if one of three zones fails, eight are left
+MIN_SUBSET_SIZE = 12  # smallest subset, in endpoints: if one of three zones fails, eight are left
 MIN_HEALTHY_FRACTION = 0.6  # fraction of the subset's normal size: with fewer healthy endpoints it is widened
 
 
 def subset_size(endpoints: int, gateways: int) -> int:
     """Return the number of endpoints that a gateway uses; in a small fleet, all of them."""
-    return min(endpoints, max(MIN_SIZE, math.ceil(GATEWAYS_PER_ENDPOINT * endpoints / gateways)))
+    return min(endpoints, max(MIN_SUBSET_SIZE, math.ceil(GATEWAYS_PER_ENDPOINT * endpoints / gateways)))
 
 
 class SubsetRing:
--- a/quota_gateway/state/saved_state.py
+++ b/quota_gateway/state/saved_state.py
@@ -46,7 +46,7 @@
 
     endpoint_id: str
     listed_at: float | None
-    counts_from: float | None
+    effective_at: float | None
 
 
 class SavedState(NamedTuple):
@@ -96,9 +96,9 @@
 
 
 def _shifted_start(start: SavedStart, seconds: float) -> SavedStart:
-    if start.counts_from is None:
+    if start.effective_at is None:
         return start
-    return start._replace(counts_from=start.counts_from + seconds)
+    return start._replace(effective_at=start.effective_at + seconds)
 
 
 def _shifted_limiter(limiter: SavedLimiter, seconds: float) -> SavedLimiter:
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -94,7 +94,7 @@
         and [s.endpoint.endpoint_id for s in new.endpoint_registry.serving_endpoints] == ["b"]
         and new.draining
     )
-    assert new.slow_start.factor(new.endpoints["b"]) < 0.5
+    assert new.slow_start.capacity_fraction(new.endpoints["b"]) < 0.5
 
 
 def test_the_later_of_two_returns_from_maintenance_counts_after_a_restore() -> None:
--- a/tests/test_hot_restart_clock.py
+++ b/tests/test_hot_restart_clock.py
@@ -73,7 +73,7 @@
     old.endpoints["a"].failure_score = 4.0
     new = make_engine(now=NOW + step)
     new.handle(state_of(old, by_older_version), NOW + step)
-    assert new.slow_start.factor(new.endpoints["b"]) == pytest.approx(SETTINGS.slow_start_minimum)
+    assert new.slow_start.capacity_fraction(new.endpoints["b"]) == pytest.approx(SETTINGS.slow_start_minimum)
     assert new.counter_health.backoff_until == pytest.approx(NOW + step + 2.0)
     assert new.endpoints["a"].decayed_at == pytest.approx(NOW + step)
     assert new.context.started_at <= NOW + step
@@ -88,11 +88,11 @@
     old.handle(endpoint_list_update(started, kind=EndpointListKind.DELTA), NOW)
     new = make_engine(now=NOW + step + 3.0, endpoint_list=endpoint_list_update(make_endpoint("a"), started))
     new.handle(state_of(old, False, NOW + 3.0), NOW + step + 3.0)
-    expected = old.slow_start.factor(old.endpoints["b"])
+    expected = old.slow_start.capacity_fraction(old.endpoints["b"])
     old.context.now = NOW + 3.0
-    assert expected < old.slow_start.factor(old.endpoints["b"])
-    assert new.slow_start.factor(new.endpoints["b"]) == pytest.approx(
-        old.slow_start.factor(old.endpoints["b"])
+    assert expected < old.slow_start.capacity_fraction(old.endpoints["b"])
+    assert new.slow_start.capacity_fraction(new.endpoints["b"]) == pytest.approx(
+        old.slow_start.capacity_fraction(old.endpoints["b"])
     )
 
 
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -68,7 +68,7 @@
 
 def test_endpoint_warms_up_after_maintenance() -> None:
     engine = engine_after_maintenance()
-    factor = engine.slow_start.factor(engine.endpoints["a"])
+    factor = engine.slow_start.capacity_fraction(engine.endpoints["a"])
     assert factor == engine.settings.slow_start_minimum
 
 
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -34,14 +34,14 @@
     new_endpoints = [make_endpoint(f"c{number}", started_at=95.0) for number in range(warming_up)]
     engine = make_engine(now=100.0, endpoint_list=endpoint_list_update(*warm_endpoints, *new_endpoints))
     endpoint = engine.endpoints["c0"]
-    factor = engine.slow_start.factor(endpoint)
+    factor = engine.slow_start.capacity_fraction(endpoint)
     for number in range(outliers):
         engine.endpoints[f"w{number}"].failure_score = OUTLIER_THRESHOLD
     budget = engine.settings.slow_start_overload_ratio * BUDGET_FRACTION * factor
     healthy_capacity = 5 - warming_up - outliers + warming_up * factor
     even = factor * 5 / healthy_capacity  # work in proportion to what each of the healthy ones can do
     # never over the budget, which binds only where the others could not take the work
-    assert engine.slow_start.probability(endpoint) == pytest.approx(min(even, budget))
+    assert engine.slow_start.acceptance_probability(endpoint) == pytest.approx(min(even, budget))
     assert (even > budget) == (outliers > 0)
 
 
@@ -51,10 +51,10 @@
         endpoint_list=endpoint_list_update(make_endpoint("a"), replace(make_endpoint("b"), started_at=98.0))
     )
     endpoint = engine.endpoints["b"]
-    factor = engine.slow_start.factor(endpoint)
+    factor = engine.slow_start.capacity_fraction(endpoint)
     assert 0.2 < factor < 1.0
     engine.admission.fleet_failure_rate = 0.9
-    assert engine.slow_start.probability(endpoint) > 0.5 * factor
+    assert engine.slow_start.acceptance_probability(endpoint) > 0.5 * factor
 
 
 @pytest.mark.parametrize("gateway_count", [2, 300])
@@ -112,11 +112,11 @@
 
     @property
     def budget(self) -> float:
-        return self.engine.slow_start.budget(self.engine.endpoints[WARMING_UP])
+        return self.engine.slow_start.max_acceptance_probability(self.engine.endpoints[WARMING_UP])
 
     @property
     def probability(self) -> float:
-        return self.engine.slow_start.probability(self.engine.endpoints[WARMING_UP])
+        return self.engine.slow_start.acceptance_probability(self.engine.endpoints[WARMING_UP])
 
 
 def member_of_fleet(
@@ -150,7 +150,7 @@
     listed = endpoint_list_update(make_endpoint(WARMING_UP, started_at=99.0), *warm_endpoints)
     fleet = [member_of_fleet(index, gateway_count, overload_ratio, listed) for index in range(gateway_count)]
     first = fleet[0].engine
-    factor = first.slow_start.factor(first.endpoints[WARMING_UP])
+    factor = first.slow_start.capacity_fraction(first.endpoints[WARMING_UP])
     even_rate = sum(member.even_rate for member in fleet if member.is_assigned)
     allowed_rate = sum(member.draw_rate * member.budget for member in fleet)
     expected_rate = sum(member.draw_rate * member.probability for member in fleet)
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -44,10 +44,10 @@
         engine.context.now = NOW + age
         lowest = minimum + slope * age
         # at most what it has if it started right after discovery last answered without it
-        assert lowest - 1e-6 <= engine.slow_start.factor(cold) <= lowest + slope * 0.2 + 1e-6
+        assert lowest - 1e-6 <= engine.slow_start.capacity_fraction(cold) <= lowest + slope * 0.2 + 1e-6
         assert engine.slow_start.is_warming_up(cold)
     engine.context.now = NOW + WINDOW + 0.01
-    assert engine.slow_start.factor(cold) == 1.0 and not engine.slow_start.is_warming_up(cold)
+    assert engine.slow_start.capacity_fraction(cold) == 1.0 and not engine.slow_start.is_warming_up(cold)
 
 
 @pytest.mark.parametrize("step", STEPS)
@@ -56,11 +56,11 @@
     first = make_endpoint("c", started_at=NOW - 500.0)
     engine.handle(endpoint_list_update(first, kind=EndpointListKind.DELTA), NOW)
     engine.context.now = NOW + 50.0
-    assert engine.slow_start.factor(engine.endpoints["c"]) == 1.0
+    assert engine.slow_start.capacity_fraction(engine.endpoints["c"]) == 1.0
     confirm_list(engine, NOW + 99.9)
     again = replace(first, started_at=NOW + 99.95 + step)
     engine.handle(endpoint_list_update(again, kind=EndpointListKind.DELTA), NOW + 100.0)
-    factor = engine.slow_start.factor(engine.endpoints["c"])
+    factor = engine.slow_start.capacity_fraction(engine.endpoints["c"])
     assert factor == pytest.approx(SETTINGS.slow_start_minimum, abs=0.01)
 
 
@@ -70,9 +70,9 @@
     )
     engine = make_engine(now=NOW, endpoint_list=update)
     middle = SETTINGS.slow_start_minimum + (1 - SETTINGS.slow_start_minimum) * 5.0 / WINDOW
-    assert engine.slow_start.factor(engine.endpoints["old"]) == pytest.approx(middle)
+    assert engine.slow_start.capacity_fraction(engine.endpoints["old"]) == pytest.approx(middle)
     engine.context.now = NOW + WINDOW + 0.01
-    assert engine.slow_start.factor(engine.endpoints["ahead"]) == 1.0
+    assert engine.slow_start.capacity_fraction(engine.endpoints["ahead"]) == 1.0
 
 
 def test_a_start_that_was_listed_before_is_not_a_new_one() -> None:
@@ -82,4 +82,4 @@
     engine.handle(endpoint_list_update(WARM), NOW + 3.0)  # a full list without it
     engine.handle(endpoint_list_update(WARM, cold), NOW + 4.0)
     expected = SETTINGS.slow_start_minimum + (1 - SETTINGS.slow_start_minimum) * 4.0 / WINDOW
-    assert engine.slow_start.factor(engine.endpoints["c"]) == pytest.approx(expected)
+    assert engine.slow_start.capacity_fraction(engine.endpoints["c"]) == pytest.approx(expected)
--- a/tests/test_subsetting.py
+++ b/tests/test_subsetting.py
@@ -9,7 +9,7 @@
 import pytest
 
 from quota_gateway.model.endpoints import Endpoint, EndpointListKind, EndpointStatus
-from quota_gateway.policy.subsetting import MIN_SIZE, SubsetRing, subset_size
+from quota_gateway.policy.subsetting import MIN_SUBSET_SIZE, SubsetRing, subset_size
 from quota_gateway.state.records import EndpointState
 from tests.policy_assertions import started_attempts
 from tests.policy_harness import endpoint_list_update, make_engine, make_request
@@ -57,7 +57,7 @@
 def test_every_subset_has_as_many_endpoints_of_each_zone() -> None:
     for subset in subsets(endpoint_states(range(ENDPOINTS))):
         zones = Counter(int(name[1:]) % 3 for name in subset)
-        assert MIN_SIZE <= len(subset) <= 18
+        assert MIN_SUBSET_SIZE <= len(subset) <= 18
         assert max(zones.values()) - min(zones.values()) <= 1
 
 
@@ -117,5 +117,5 @@
     ]
     engine.handle(endpoint_list_update(*draining, kind=EndpointListKind.DELTA), 100.2)
     candidates = ids(engine.endpoint_registry.candidates)
-    assert len(candidates) >= MIN_SIZE
+    assert len(candidates) >= MIN_SUBSET_SIZE
     assert not candidates & subset
