--- a/quota_gateway/engine/policy_engine.py
+++ b/quota_gateway/engine/policy_engine.py
@@ -142,7 +142,7 @@
                     self.attempt_results.attempt_late(request, attempt_index)
             case timers.QueueTimeoutTimer(request_id):
                 if (request := self.forwarder.requests.get(request_id)) is not None:
-                    self.request_queue.time_out(request)
+                    self.request_queue.handle_timeout(request)
             case _:
                 if (limiter := self.limiter_registry.limiters.get(timer.customer)) is not None:
                     self._handle_limiter_timer(limiter, timer)
@@ -150,17 +150,17 @@
     def _handle_limiter_timer(self, limiter: Limiter, timer: timers.LimiterTimer) -> None:
         match timer:
             case timers.ReleaseQueueTimer():
-                limiter.release_due = 0.0
+                limiter.release_timer_at = 0.0
                 self.request_queue.release(limiter)
             case timers.ReportDemandTimer():
                 limiter.report_scheduled = False
                 if limiter.is_fine_grained:
-                    self.fine_grained.report_unreported(limiter)
+                    self.fine_grained.report_pending_units(limiter)
                 else:
                     self.quota_synchronizer.report_demand(limiter)
                     self.request_queue.release(limiter)
             case timers.ReadDemandTimer(period=period):
-                self.quota_synchronizer.read_demand(limiter, period)
+                self.quota_synchronizer.request_demand(limiter, period)
 
     def _handle_counter_reply(self, reply: events.CounterReply) -> None:
         self.counter_health.record_reply(reply)
@@ -170,7 +170,7 @@
         if limiter.is_fine_grained:
             changed = self.fine_grained.apply_reply(limiter, reply)
         else:
-            is_expected = reply.outcome is Outcome.SUCCESS and reply.name == limiter.expected_reading
+            is_expected = reply.outcome is Outcome.SUCCESS and reply.name == limiter.pending_reading_name
             changed = is_expected and self.quota_synchronizer.apply_reading(limiter, reply.total)
         if changed:
             self.request_queue.release(limiter)
@@ -179,7 +179,7 @@
         plan = self.context.plans.get(event.plan)
         if plan is not None:
             self.peer_process.charge(
-                self.limiter_registry.get(event.customer, event.quota_spread, plan), event.units
+                self.limiter_registry.get_or_create(event.customer, event.quota_spread, plan), event.units
             )
 
     def _restore(self, state: dict[str, object]) -> None:
--- a/quota_gateway/engine/state_snapshot.py
+++ b/quota_gateway/engine/state_snapshot.py
@@ -24,7 +24,7 @@
     SavedLimiter,
     SavedStart,
     SavedState,
-    newest_time,
+    latest_time,
 )
 
 UNKNOWN_SAVE_TIME = 0.0  # seconds; stands for the save time, which older versions do not save
@@ -109,11 +109,11 @@
         limiter.rate,
         limiter.capacity,
         limiter.balance,
-        limiter.updated_at,
+        limiter.refilled_at,
         limiter.local_demand,
         limiter.fleet_demand,
         limiter.reading_valid_until,
-        limiter.reading_fresh_until,
+        limiter.reading_reusable_until,
         limiter.hard_limit_balance,
     )
 
@@ -143,7 +143,7 @@
         counter_sampling_ratio=state["counted_part"],
         draining=state["draining"],
     )
-    return saved._replace(saved_at=newest_time(saved)) if saved.saved_at == UNKNOWN_SAVE_TIME else saved
+    return saved._replace(saved_at=latest_time(saved)) if saved.saved_at == UNKNOWN_SAVE_TIME else saved
 
 
 def restore_state(engine: StatefulEngine, saved: SavedState) -> None:
@@ -154,7 +154,7 @@
     clock_difference = engine.context.now - saved.saved_at
     if saved.quota_time is not None:
         _restore_quota_time(engine.context, saved.quota_time, saved.saved_at)
-    saved = saved.moved_by(clock_difference)
+    saved = saved.shifted_by(clock_difference)
     engine.context.started_at = min(engine.context.started_at, saved.started_at)
     _restore_estimates(engine, saved)
     engine.endpoint_registry.under_maintenance.update(saved.under_maintenance)
@@ -200,15 +200,15 @@
         existing.merge_balance(balance, engine.context.now)
         return
     plan = engine.context.plans[saved.plan]
-    limiter = engine.limiter_registry.get(saved.customer, saved.quota_spread, plan)
+    limiter = engine.limiter_registry.get_or_create(saved.customer, saved.quota_spread, plan)
     limiter.quota_fraction = saved.quota_fraction
     limiter.rate = saved.rate
     limiter.capacity = saved.capacity
     limiter.balance = balance
-    limiter.updated_at = saved.updated_at
+    limiter.refilled_at = saved.refilled_at
     limiter.local_demand = saved.local_demand
     limiter.fleet_demand = saved.fleet_demand
     limiter.reading_valid_until = saved.reading_valid_until
-    limiter.reading_fresh_until = saved.reading_fresh_until
+    limiter.reading_reusable_until = saved.reading_reusable_until
     limiter.hard_limit_balance = saved.hard_limit_balance
     limiter.refill(engine.context.now)
--- a/quota_gateway/policy/endpoint_registry.py
+++ b/quota_gateway/policy/endpoint_registry.py
@@ -33,9 +33,8 @@
     assigned_subset: set[EndpointState] = field(default_factory=set)  # this gateway's subset, never widened
     under_maintenance: set[str] = field(default_factory=set)  # ids; set by operators, independent of the list
     ring: SubsetRing = field(default_factory=lambda: SubsetRing((), 0, 1))
-    maintenance_ended_at: dict[str, float] = field(
-        default_factory=dict
-    )  # end of the last maintenance, by endpoint id
+    # End of the last maintenance, by endpoint id.
+    maintenance_ended_at: dict[str, float] = field(default_factory=dict)
     start_times: StartTimes = field(default_factory=StartTimes)
 
     def apply_update(self, update: EndpointListUpdate) -> None:
--- a/quota_gateway/policy/fine_grained_quota.py
+++ b/quota_gateway/policy/fine_grained_quota.py
@@ -55,7 +55,7 @@
             limiter.set_quota_fraction(1.0 / limiter.quota_spread, now)
         if (
             limiter.awaiting_reading
-            or now < limiter.reading_fresh_until
+            or now < limiter.reading_reusable_until
             or self.counter_health.is_backing_off()
         ):
             return
@@ -88,7 +88,7 @@
         self.context.emit(IncrementCounter(name, amount + correction, COUNTER_EPOCH))
         limiter.unreported_units = 0.0
 
-    def report_unreported(self, limiter: Limiter) -> None:
+    def report_pending_units(self, limiter: Limiter) -> None:
         """Report units that have not been reported yet to the counter."""
         if limiter.unreported_units and not self.counter_health.is_backing_off():
             self._call_counter(limiter, 0.0)
@@ -139,7 +139,7 @@
         if balance < 0 < forwarded_units:  # units beyond the quota are not charged to it
             self._schedule_report(limiter, -min(forwarded_units, -balance))
         limiter.balance = min(burst, balance) - limiter.queued_units
-        limiter.reading_fresh_until = now + READING_REUSE_TIME
+        limiter.reading_reusable_until = now + READING_REUSE_TIME
         limiter.reading_valid_until = now + READING_LIFETIME
 
     def _correct_total(self, limiter: Limiter, call: PendingCounterCall, total: float, unused: float) -> None:
--- a/quota_gateway/policy/quota_sync.py
+++ b/quota_gateway/policy/quota_sync.py
@@ -106,15 +106,15 @@
             delay = max(self.context.settings.counter_timeout, EPSILON)
             self.context.set_timer(delay, ReadDemandTimer(limiter.customer, period))
 
-    def read_demand(self, limiter: Limiter, period: int) -> None:
+    def request_demand(self, limiter: Limiter, period: int) -> None:
         """Request the fleet's demand in a period from the counter."""
         if not self.counter_health.is_backing_off():
-            limiter.expected_reading = f"{limiter.customer}.{period}"
-            self.context.emit(IncrementCounter(limiter.expected_reading, 0.0, COUNT_LIFETIME))
+            limiter.pending_reading_name = f"{limiter.customer}.{period}"
+            self.context.emit(IncrementCounter(limiter.pending_reading_name, 0.0, COUNT_LIFETIME))
 
     def apply_reading(self, limiter: Limiter, total: float) -> bool:
         """Adjust the quota fraction to the fleet's demand; return False if the counter has lost counts."""
-        limiter.expected_reading = ""
+        limiter.pending_reading_name = ""
         if total < limiter.reported_demand * (1.0 - 1e-6) - EPSILON:
             return False
         now = self.context.now
--- a/quota_gateway/policy/request_lifecycle.py
+++ b/quota_gateway/policy/request_lifecycle.py
@@ -38,7 +38,7 @@
         if request_class is None or plan is None or event.deadline <= now:
             self.context.emit(Reject(event.request_id, 0.0))
             return
-        limiter = self.limiter_registry.get(event.customer, event.quota_spread, plan)
+        limiter = self.limiter_registry.get_or_create(event.customer, event.quota_spread, plan)
         limiter.refill(now)
         limiter.record_demand(event.units, self.context.quota_time)
         first_sent_at = now - self.latency_estimates.retry_age(event, request_class)
--- a/quota_gateway/policy/request_queue.py
+++ b/quota_gateway/policy/request_queue.py
@@ -73,12 +73,14 @@
 
     def _set_release_timer(self, limiter: Limiter, wait: float) -> None:
         release_at = self.context.now + wait
-        is_needed = limiter.release_due <= self.context.now or release_at < limiter.release_due - EPSILON
+        is_needed = (
+            limiter.release_timer_at <= self.context.now or release_at < limiter.release_timer_at - EPSILON
+        )
         if limiter.has_free_slot() and is_needed:
-            limiter.release_due = release_at
+            limiter.release_timer_at = release_at
             self.context.set_timer(max(wait, MIN_TIMER_DELAY), ReleaseQueueTimer(limiter.customer))
 
-    def time_out(self, request: PendingRequest) -> None:
+    def handle_timeout(self, request: PendingRequest) -> None:
         """Drop a request from any place in the queue: its deadline may be earlier than that of the head."""
         if request in request.limiter.queue:
             request.limiter.refill(self.context.now)
--- a/quota_gateway/policy/token_bucket.py
+++ b/quota_gateway/policy/token_bucket.py
@@ -21,12 +21,12 @@
 
     def refill(self, now: float) -> None:
         """Add the tokens earned since the last refill, up to the capacity less the queued units."""
-        elapsed = max(now - self.updated_at, 0.0)
+        elapsed = max(now - self.refilled_at, 0.0)
         refilled = self.balance + self.rate * elapsed
         self.balance = max(self.balance, min(refilled, self.capacity - self.queued_units))
         hard_limit_refilled = self.hard_limit_balance + self.hard_limit_rate * elapsed
         self.hard_limit_balance = min(self.hard_limit_capacity, hard_limit_refilled)
-        self.updated_at = now
+        self.refilled_at = now
 
     def set_quota_fraction(self, fraction: float, now: float) -> None:
         """Set this gateway's fraction of the quota, effective at `now`."""
--- a/quota_gateway/state/limiter_registry.py
+++ b/quota_gateway/state/limiter_registry.py
@@ -22,7 +22,7 @@
     limiters: dict[str, Limiter] = field(default_factory=dict)  # by customer
     eviction_queue: deque[str] = field(default_factory=deque)  # customers, the next to be checked first
 
-    def get(self, customer: str, quota_spread: int, plan: Plan) -> Limiter:
+    def get_or_create(self, customer: str, quota_spread: int, plan: Plan) -> Limiter:
         """Return the customer's limiter, created if needed.
 
         `quota_spread` is the number of gateways that share the quota; 0 means all gateways.
--- a/quota_gateway/state/limiter_state.py
+++ b/quota_gateway/state/limiter_state.py
@@ -45,10 +45,10 @@
         self.rate = plan.rate * self.quota_fraction
         self.capacity = plan.burst * self.quota_fraction
         self.balance = self.capacity
-        self.updated_at = now  # time of the last refill
+        self.refilled_at = now  # time of the last refill
         self.queue: deque[Queued] = deque()
         self.queued_units = 0.0  # sum over the queue, already charged to the balance
-        self.release_due = 0.0  # when the release timer fires; 0 if it is not set
+        self.release_timer_at = 0.0  # when the release timer fires; 0 if it is not set
         self.in_flight = 0  # attempts
         # This gateway's even part of the hard limit. Before its start, the gateway may have spent all of it.
         self.hard_limit_capacity = plan.hard_limit_burst / quota_spread
@@ -60,11 +60,11 @@
         self.local_demand = 0.0  # smoothed demand at this gateway
         self.fleet_demand = 0.0  # smoothed demand at all gateways
         self.reading_valid_until = 0.0  # end of the validity of the last reading of the counter
-        self.reading_fresh_until = 0.0  # until when no further reading is needed
+        self.reading_reusable_until = 0.0  # until when no further reading is needed
         self.report_scheduled = False
         self.awaiting_reading = False  # requests are queued until a reading has arrived
         self.reported_demand = 0.0  # units last reported for a period
-        self.expected_reading = ""  # name of the counter value that is being read
+        self.pending_reading_name = ""  # name of the counter value that is being read
         self.is_fine_grained = False  # the quota is too small to be split among gateways
         self.unreported_units = 0.0  # below 0 if too many were reported
         self.counter_calls: deque[PendingCounterCall] = deque()  # calls in flight, oldest first
--- a/quota_gateway/state/saved_state.py
+++ b/quota_gateway/state/saved_state.py
@@ -23,11 +23,11 @@
     rate: float
     capacity: float
     balance: float
-    updated_at: float
+    refilled_at: float
     local_demand: float
     fleet_demand: float
     reading_valid_until: float
-    reading_fresh_until: float
+    reading_reusable_until: float
     hard_limit_balance: float
 
 
@@ -74,7 +74,7 @@
     counter_sampling_ratio: float
     draining: bool
 
-    def moved_by(self, seconds: float) -> SavedState:
+    def shifted_by(self, seconds: float) -> SavedState:
         """Return the state with its times shifted by `seconds`, to the clock of the restoring process."""
         maintenance_ended_at = {key: time + seconds for key, time in self.maintenance_ended_at.items()}
         return self._replace(
@@ -103,18 +103,18 @@
 
 def _shifted_limiter(limiter: SavedLimiter, seconds: float) -> SavedLimiter:
     return limiter._replace(
-        updated_at=limiter.updated_at + seconds,
+        refilled_at=limiter.refilled_at + seconds,
         reading_valid_until=limiter.reading_valid_until + seconds,
-        reading_fresh_until=limiter.reading_fresh_until + seconds,
+        reading_reusable_until=limiter.reading_reusable_until + seconds,
     )
 
 
-def newest_time(state: SavedState) -> float:
+def latest_time(state: SavedState) -> float:
     """Return the latest time of a past event in the state, for versions that do not save `saved_at`.
 
     All these events precede the save, so the result is a lower bound of its time.
     """
     times = [state.started_at, *state.maintenance_ended_at.values()]
-    times += [limiter.updated_at for limiter in state.limiters]
+    times += [limiter.refilled_at for limiter in state.limiters]
     times += [endpoint.decayed_at for endpoint in state.endpoints]
     return max(times)
--- a/tests/test_hot_restart_clock.py
+++ b/tests/test_hot_restart_clock.py
@@ -78,7 +78,7 @@
     assert new.endpoints["a"].decayed_at == pytest.approx(NOW + step)
     assert new.context.started_at <= NOW + step
     (limiter,) = new.limiter_registry.limiters.values()
-    assert limiter.updated_at == pytest.approx(NOW + step)
+    assert limiter.refilled_at == pytest.approx(NOW + step)
 
 
 @pytest.mark.parametrize("step", [-HOUR, -2.0, 2.0, HOUR])
@@ -114,7 +114,7 @@
     spend(engine, "capped", NOW, 2)
     (limiter,) = engine.limiter_registry.limiters.values()
     before = (limiter.balance, limiter.hard_limit_balance)
-    limiter.updated_at = NOW + HOUR
+    limiter.refilled_at = NOW + HOUR
     limiter.refill(NOW)
     assert (limiter.balance, limiter.hard_limit_balance) == before
     limiter.refill(NOW + 1.0)
