--- a/quota_gateway/dispatch/action_executor.py
+++ b/quota_gateway/dispatch/action_executor.py
@@ -104,7 +104,7 @@
             return
         now = self._clock()
         attempt = active_request.add_attempt(action, now)
-        refusal = active_request.refusal(None, now)
+        refusal = active_request.find_refusal(None, now)
         if refusal is not None:
             self._metrics.attempts_refused[refusal] += 1
             if self._request_log.enabled:
--- a/quota_gateway/dispatch/active_request.py
+++ b/quota_gateway/dispatch/active_request.py
@@ -12,7 +12,7 @@
 from quota_gateway.model.actions import StartAttempt
 from quota_gateway.model.events import RequestReceived
 from quota_gateway.model.outcomes import Outcome
-from quota_gateway.policy.permissions import Refusal, attempt_refusal
+from quota_gateway.policy.permissions import RefusalReason, attempt_refusal
 from quota_gateway.upstream.attempt import AttemptResult, UpstreamAttempt
 
 # Seconds by which the policy engine's deadline precedes the client's timeout. The timeout starts when the
@@ -51,7 +51,7 @@
     __slots__ = (
         "answered",
         "arrived_at",
-        "attempt_start_limit",
+        "attempt_start_deadline",
         "attempts",
         "client_deadline",
         "deadline",
@@ -85,7 +85,7 @@
         self.answered = False
         self.streaming_attempt: UpstreamAttempt | None = None  # the attempt whose response is streamed
         # When attempts may no longer start, in seconds. Set when the client half-closes its connection.
-        self.attempt_start_limit: float | None = None
+        self.attempt_start_deadline: float | None = None
         self.watchdog: asyncio.TimerHandle | None = None
 
     @property
@@ -128,7 +128,7 @@
         """Return whether the client has closed its side of the connection."""
         return self.response is not None and self.response.client_disconnected()
 
-    def refusal(self, send_deadline: float | None, now: float) -> Refusal | None:
+    def find_refusal(self, send_deadline: float | None, now: float) -> RefusalReason | None:
         """Return why an attempt may not be sent at `now`, or None if it may."""
         return attempt_refusal(self, send_deadline, now)
 
--- a/quota_gateway/dispatch/dispatcher.py
+++ b/quota_gateway/dispatch/dispatcher.py
@@ -144,13 +144,13 @@
         """End a request whose client's connection is lost."""
         self.abandon(request_id, None)
 
-    def limit_attempt_start(self, request_id: int, start_limit: float) -> None:
-        """Let attempts start only before `start_limit` seconds, since the client has half-closed."""
+    def set_attempt_start_deadline(self, request_id: int, start_deadline: float) -> None:
+        """Let attempts start only before `start_deadline` seconds, since the client has half-closed."""
         active_request = self._registry.find(request_id)
-        if active_request is not None and active_request.attempt_start_limit is None:
-            active_request.attempt_start_limit = start_limit
+        if active_request is not None and active_request.attempt_start_deadline is None:
+            active_request.attempt_start_deadline = start_deadline
             if self._request_log.enabled:
-                self._request_log.half_closed(active_request, start_limit, self.clock())
+                self._request_log.half_closed(active_request, start_deadline, self.clock())
 
     def client_half_closed(self, request_id: int) -> None:
         """Start no further attempts for a request; those already sent may still provide its response."""
--- a/quota_gateway/dispatch/request_log.py
+++ b/quota_gateway/dispatch/request_log.py
@@ -10,7 +10,7 @@
 import time
 
 from quota_gateway.dispatch.active_request import ActiveRequest
-from quota_gateway.policy.permissions import Refusal
+from quota_gateway.policy.permissions import RefusalReason
 from quota_gateway.upstream.attempt import AttemptResult, UpstreamAttempt
 
 log = logging.getLogger("quota_gateway.requests")
@@ -29,7 +29,9 @@
         age = now - request.received_at
         self._write(active_request, f"received class={request.request_class} age={age:.4f}")
 
-    def refused(self, active_request: ActiveRequest, attempt: UpstreamAttempt, refusal: Refusal) -> None:
+    def refused(
+        self, active_request: ActiveRequest, attempt: UpstreamAttempt, refusal: RefusalReason
+    ) -> None:
         """Log why an attempt was not sent."""
         self._write(active_request, f"refused {attempt_fields(attempt)} why={refusal}")
 
@@ -46,9 +48,9 @@
         """Log the final response; a status of None means that the client gets none."""
         self._write(active_request, f"answered status={status or 'none'} why={reason or '-'}")
 
-    def half_closed(self, active_request: ActiveRequest, start_limit: float, now: float) -> None:
+    def half_closed(self, active_request: ActiveRequest, start_deadline: float, now: float) -> None:
         """Log that the client has half-closed its connection, with the seconds left to start an attempt."""
-        self._write(active_request, f"half_closed grace={start_limit - now:.4f}")
+        self._write(active_request, f"half_closed grace={start_deadline - now:.4f}")
 
     def _write(self, active_request: ActiveRequest, event: str) -> None:
         call_id = active_request.request.call_id.decode()
--- a/quota_gateway/downstream/client_connection.py
+++ b/quota_gateway/downstream/client_connection.py
@@ -147,7 +147,7 @@
         self.ended = True
         if self.closing or not self.responses:
             return False
-        self.half_close.begin(self.earliest_close())
+        self.half_close.start(self.earliest_close())
         return True
 
     def handle_disconnect(self, broken: bool) -> None:
@@ -155,11 +155,11 @@
         if broken:
             self.reset()
         else:
-            self.half_close.begin(self.listener.loop_monitor.previous_iteration_at)
+            self.half_close.start(self.listener.loop_monitor.previous_iteration_at)
 
     def client_disconnected(self) -> bool:
         """Return True if the client has closed its side; on a busy core the kernel knows before the loop."""
-        return self.transport is None or self.half_close.begun or has_peer_closed(self.descriptor)
+        return self.transport is None or self.half_close.is_started or has_peer_closed(self.descriptor)
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Release the connection and cancel its requests (asyncio)."""
--- a/quota_gateway/downstream/client_listener.py
+++ b/quota_gateway/downstream/client_listener.py
@@ -17,7 +17,7 @@
 from quota_gateway.downstream.disconnect_monitor import DisconnectMonitor
 from quota_gateway.downstream.request_router import RequestRouter
 from quota_gateway.model.settings import Settings
-from quota_gateway.policy.permissions import may_close_client
+from quota_gateway.policy.permissions import may_close_client_connection
 from quota_gateway.sockets.dialing import RETRY_DELAY, SYSTEM_SHORTAGE_ERRNOS
 
 SWEEP_INTERVAL = 0.1  # seconds between checks of the connections' timeouts
@@ -218,7 +218,7 @@
     def close_idle(self) -> None:
         """Close idle connections; those with unread input stay open, so that it is read and answered."""
         for connection in list(self.connections):
-            if may_close_client(connection, 0.0, self.clock()):
+            if may_close_client_connection(connection, 0.0, self.clock()):
                 connection.end()
 
     def close(self) -> None:
--- a/quota_gateway/downstream/connection_eviction.py
+++ b/quota_gateway/downstream/connection_eviction.py
@@ -7,7 +7,7 @@
 
 from quota_gateway.downstream.client_connection import ClientConnection
 from quota_gateway.errors import InvalidRequestError
-from quota_gateway.policy.permissions import may_close_client
+from quota_gateway.policy.permissions import may_close_client_connection
 
 UNUSED_AFTER = 0.1  # seconds without a request until a connection is unused; a new client sends at once
 MAX_EVICTIONS = 16  # connections closed at a time; finding them costs more than closing them
@@ -21,7 +21,7 @@
     if connection.closing and not connection.unsent_bytes():
         connection.drop()
         return True
-    if may_close_client(connection, UNUSED_AFTER, now):
+    if may_close_client_connection(connection, UNUSED_AFTER, now):
         connection.drop()
         return True
     if not connection.has_only_partial_request() or now - connection.last_used_at() < UNUSED_AFTER:
@@ -46,5 +46,5 @@
 
 def close_if_unused(connection: ClientConnection, now: float) -> None:
     """Close a connection gracefully in a drain, if it is unused and has all its responses."""
-    if may_close_client(connection, UNUSED_AFTER, now):
+    if may_close_client_connection(connection, UNUSED_AFTER, now):
         connection.end()
--- a/quota_gateway/downstream/connection_timeouts.py
+++ b/quota_gateway/downstream/connection_timeouts.py
@@ -5,7 +5,7 @@
 from quota_gateway.downstream.client_connection import ClientConnection
 from quota_gateway.downstream.connection_limits import READ_TIMEOUT, is_request_overdue, linger_timeout
 from quota_gateway.errors import InvalidRequestError
-from quota_gateway.policy.permissions import may_close_client
+from quota_gateway.policy.permissions import may_close_client_connection
 
 
 def enforce_timeouts(connection: ClientConnection, now: float, idle_timeout: float) -> None:
@@ -24,5 +24,5 @@
             requests.abort_request(InvalidRequestError(408, "the request did not come whole in time"))
     elif connection.is_idle():
         timeout = idle_timeout if requests.any_request_started else READ_TIMEOUT
-        if may_close_client(connection, timeout, now):
+        if may_close_client_connection(connection, timeout, now):
             connection.drop()
--- a/quota_gateway/downstream/half_close.py
+++ b/quota_gateway/downstream/half_close.py
@@ -17,7 +17,7 @@
 # response if the connect to the endpoint takes no longer.
 GRACE_PERIOD = 0.03
 # Seconds after the client's close in which an attempt may start. The protocol allows 0.1.
-MAX_START_DELAY = 0.08
+MAX_ATTEMPT_START_DELAY = 0.08
 
 
 class DispatchingListener(Protocol):
@@ -31,28 +31,28 @@
 class HalfClose:
     """The half-close of one connection, and the grace period after it."""
 
-    __slots__ = ("begun", "listener", "responses", "timer")
+    __slots__ = ("is_started", "listener", "responses", "timer")
 
     def __init__(self, listener: DispatchingListener, responses: ResponseQueue) -> None:
         """Initialize for an open connection with these pending responses."""
         self.listener = listener
         self.responses = responses
-        self.begun = False
+        self.is_started = False
         self.timer: asyncio.TimerHandle | None = None
 
-    def begin(self, earliest_close: float) -> None:
+    def start(self, earliest_close: float) -> None:
         """Let attempts for the unanswered requests start only within a grace period.
 
         The client may have closed as early as `earliest_close`, in seconds. The grace period is short enough
-        that no attempt starts more than MAX_START_DELAY after that time.
+        that no attempt starts more than MAX_ATTEMPT_START_DELAY after that time.
         """
-        if self.begun:
+        if self.is_started:
             return
-        self.begun = True
+        self.is_started = True
         now = self.listener.clock()
-        grace_period = min(GRACE_PERIOD, max(earliest_close + MAX_START_DELAY - now, 0.0))
+        grace_period = min(GRACE_PERIOD, max(earliest_close + MAX_ATTEMPT_START_DELAY - now, 0.0))
         for request_id in self.responses.unanswered():
-            self.listener.dispatcher.limit_attempt_start(request_id, now + grace_period)
+            self.listener.dispatcher.set_attempt_start_deadline(request_id, now + grace_period)
         self.timer = self.listener.loop.call_later(grace_period, self.end_grace_period)
 
     def end_grace_period(self) -> None:
--- a/quota_gateway/downstream/request_handler.py
+++ b/quota_gateway/downstream/request_handler.py
@@ -91,7 +91,7 @@
         connection = self.connection
         if self.error is not None or connection is None:
             return
-        if connection.half_close.begun:
+        if connection.half_close.is_started:
             self.error = InvalidRequestError(429, "its client has ended its sending")
             return
         try:
@@ -132,7 +132,7 @@
         try:
             if self.error is not None:
                 raise self.error
-            self.router.route(self, writer, connection.half_close.begun)
+            self.router.route(self, writer, connection.half_close.is_started)
         except InvalidRequestError as error:
             self.reject(connection, writer, error)
 
--- a/quota_gateway/metrics.py
+++ b/quota_gateway/metrics.py
@@ -6,7 +6,7 @@
 
 from quota_gateway.model.actions import Reason
 from quota_gateway.model.outcomes import Outcome
-from quota_gateway.policy.permissions import Refusal
+from quota_gateway.policy.permissions import RefusalReason
 
 METRIC_PREFIX = "svc"
 
@@ -29,7 +29,7 @@
         self.overload = dict.fromkeys(self.success, 0)
         self.error = dict.fromkeys(self.success, 0)
         self.answers_without_endpoint = dict.fromkeys(Reason, 0)
-        self.attempts_refused = dict.fromkeys(Refusal, 0)
+        self.attempts_refused = dict.fromkeys(RefusalReason, 0)
         self.attempts_ended = dict.fromkeys(Outcome, 0)
         self.reload_success = 0
         self.reload_failure = 0
--- a/quota_gateway/policy/permissions.py
+++ b/quota_gateway/policy/permissions.py
@@ -13,7 +13,7 @@
 DISCONNECT_CHECK_DELAY = 0.01
 
 
-class Refusal(StrEnum):
+class RefusalReason(StrEnum):
     """Why an attempt may not be sent; the values are names of metrics."""
 
     ANSWERED = "answered"  # the request already has its final response
@@ -28,7 +28,7 @@
     answered: bool
     arrived_at: float  # when its last byte arrived
     deadline: float
-    attempt_start_limit: float | None  # when attempts may no longer start; set when the client half-closes
+    attempt_start_deadline: float | None  # when attempts may no longer start; set when the client half-closes
 
     def client_disconnected(self) -> bool:
         """Return whether the client has closed its side, even if the event loop has not reported it yet."""
@@ -47,29 +47,29 @@
         """Return whether data or a close from the client is waiting to be received."""
 
 
-def attempt_refusal(request: RequestFacts, send_deadline: float | None, now: float) -> Refusal | None:
+def attempt_refusal(request: RequestFacts, send_deadline: float | None, now: float) -> RefusalReason | None:
     """Return why an attempt may not be sent now, or None if it may.
 
     `send_deadline` is the time by which a repeat with an idempotency key must be sent.
     """
     if request.answered:
-        return Refusal.ANSWERED
+        return RefusalReason.ANSWERED
     if now >= request.deadline:
-        return Refusal.PAST_DEADLINE
+        return RefusalReason.PAST_DEADLINE
     if send_deadline is not None and now >= send_deadline:
-        return Refusal.WINDOW_OVER
-    return Refusal.CLIENT_GONE if _is_client_gone(request, now) else None
+        return RefusalReason.WINDOW_OVER
+    return RefusalReason.CLIENT_GONE if _is_client_gone(request, now) else None
 
 
 def _is_client_gone(request: RequestFacts, now: float) -> bool:
-    if request.attempt_start_limit is not None:
-        return now >= request.attempt_start_limit
+    if request.attempt_start_deadline is not None:
+        return now >= request.attempt_start_deadline
     if now - request.arrived_at < DISCONNECT_CHECK_DELAY:
         return False
     return request.client_disconnected()
 
 
-def may_close_client(connection: ClientConnectionFacts, unused_for: float, now: float) -> bool:
+def may_close_client_connection(connection: ClientConnectionFacts, unused_for: float, now: float) -> bool:
     """Return whether a connection unused for `unused_for` seconds may be closed without losing a request."""
     if not connection.is_idle() or now - connection.last_used_at() < unused_for:
         return False
--- a/quota_gateway/upstream/attempt.py
+++ b/quota_gateway/upstream/attempt.py
@@ -13,7 +13,7 @@
 
 from quota_gateway.body_streaming import RequestBodyStream, ResponseHead, StreamSink, StreamSource
 from quota_gateway.model.outcomes import Outcome
-from quota_gateway.policy.permissions import Refusal
+from quota_gateway.policy.permissions import RefusalReason
 
 # Smallest time budget that is sent to an endpoint, in seconds. X-Budget has three decimals, and 0 would mean
 # that no time is left.
@@ -30,10 +30,10 @@
     headers: bytes = b""  # header lines to forward with the body
 
 
-def refused_result(refusal: Refusal) -> AttemptResult:
+def refused_result(refusal: RefusalReason) -> AttemptResult:
     """Return the result of an attempt that may not be sent."""
     # only the time in which a retry may be sent is over; the client may still be waiting
-    outcome = Outcome.CONNECT_FAILED if refusal is Refusal.WINDOW_OVER else Outcome.NOT_SENT
+    outcome = Outcome.CONNECT_FAILED if refusal is RefusalReason.WINDOW_OVER else Outcome.NOT_SENT
     return AttemptResult(outcome)
 
 
@@ -41,13 +41,13 @@
     """The request that an attempt belongs to. Times are in seconds."""
 
     answered: bool
-    attempt_start_limit: float | None  # when attempts may no longer start; set when the client half-closes
+    attempt_start_deadline: float | None  # when attempts may no longer start; set when the client half-closes
     client_deadline: float  # when the client stops waiting; infinite while a streamed body is incomplete
 
     def attempt_ended(self, attempt: UpstreamAttempt, result: AttemptResult) -> None:
         """Handle the result; called exactly once per attempt."""
 
-    def refusal(self, send_deadline: float | None, now: float) -> Refusal | None:
+    def find_refusal(self, send_deadline: float | None, now: float) -> RefusalReason | None:
         """Return why an attempt may not be sent at `now`, or None if it may; repeated after a connect."""
 
 
--- a/quota_gateway/upstream/connection_pool.py
+++ b/quota_gateway/upstream/connection_pool.py
@@ -144,7 +144,7 @@
         owner = attempt.owner
         if not is_ready or owner is None:
             attempt.end(AttemptResult(Outcome.CONNECT_FAILED))
-        elif (refusal := owner.refusal(attempt.send_deadline, self.clock())) is not None:
+        elif (refusal := owner.find_refusal(attempt.send_deadline, self.clock())) is not None:
             connection.close()
             attempt.end(refused_result(refusal))
         else:
@@ -166,7 +166,7 @@
             violated(Invariant.SENT_IN_TIME, attempt.head)
         if attempt.body_stream is None and attempt.deadline > client_deadline + DEADLINE_SLACK:
             violated(Invariant.TOLD_IN_TIME, attempt.head)
-        if owner.attempt_start_limit is not None and now > owner.attempt_start_limit + START_SLACK:
+        if owner.attempt_start_deadline is not None and now > owner.attempt_start_deadline + START_SLACK:
             violated(Invariant.SENT_TO_PRESENT, attempt.head)
 
     # Connections.
--- a/tests/test_held_up_process.py
+++ b/tests/test_held_up_process.py
@@ -125,7 +125,7 @@
         virtual_clock_loop().now += HOLD_UP
         half_closed_at = virtual_clock_loop().now - HOLD_UP
         connections = case.harness.process.listener.connections
-        while not any(c.half_close.begun for c in connections):  # noqa: ASYNC110 (no event marks it)
+        while not any(c.half_close.is_started for c in connections):  # noqa: ASYNC110 (no event marks it)
             await asyncio.sleep(0)
         case.release()
         await asyncio.sleep(SETTLE_TIME)
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -12,7 +12,7 @@
 from quota_gateway.invariants import Invariant
 from quota_gateway.model.actions import Reason
 from quota_gateway.model.outcomes import Outcome
-from quota_gateway.policy.permissions import Refusal, attempt_refusal, may_close_client
+from quota_gateway.policy.permissions import RefusalReason, attempt_refusal, may_close_client_connection
 from tests.fakes import http_response
 from tests.harness import GatewayHarness, request, running_gateway
 from tests.upstream_harness import new_attempt, respond_with, sending
@@ -24,7 +24,7 @@
     def __init__(self, **changes: object) -> None:
         self.answered = False
         self.deadline = 110.0
-        self.attempt_start_limit: float | None = None
+        self.attempt_start_deadline: float | None = None
         self.arrived_at = 100.0
         self.is_gone = False
         self.looks = 0
@@ -39,18 +39,18 @@
     ("changes", "send_deadline", "now", "refusal"),
     [
         ({}, None, 101.0, None),
-        ({"answered": True}, None, 101.0, Refusal.ANSWERED),
-        ({}, None, 110.0, Refusal.PAST_DEADLINE),
-        ({}, 101.0, 101.0, Refusal.WINDOW_OVER),
+        ({"answered": True}, None, 101.0, RefusalReason.ANSWERED),
+        ({}, None, 110.0, RefusalReason.PAST_DEADLINE),
+        ({}, 101.0, 101.0, RefusalReason.WINDOW_OVER),
         ({}, 101.1, 101.0, None),
-        ({"attempt_start_limit": 101.0}, None, 100.9, None),
-        ({"attempt_start_limit": 101.0}, None, 101.0, Refusal.CLIENT_GONE),
-        ({"is_gone": True}, None, 100.02, Refusal.CLIENT_GONE),
+        ({"attempt_start_deadline": 101.0}, None, 100.9, None),
+        ({"attempt_start_deadline": 101.0}, None, 101.0, RefusalReason.CLIENT_GONE),
+        ({"is_gone": True}, None, 100.02, RefusalReason.CLIENT_GONE),
         ({"is_gone": True}, None, 100.005, None),  # the bytes came just now
     ],
 )
 def test_an_attempt_is_refused_for_one_reason(
-    changes: dict[str, object], send_deadline: float | None, now: float, refusal: Refusal | None
+    changes: dict[str, object], send_deadline: float | None, now: float, refusal: RefusalReason | None
 ) -> None:
     assert attempt_refusal(RequestState(**changes), send_deadline, now) is refusal
 
@@ -72,10 +72,10 @@
 
 
 def test_a_connection_is_closed_only_where_no_request_is_lost() -> None:
-    assert may_close_client(IdleConnection(), 2.0, 102.0)
-    assert not may_close_client(IdleConnection(), 2.0, 101.9)
-    assert not may_close_client(IdleConnection(idle=False), 2.0, 110.0)
-    assert not may_close_client(IdleConnection(unread=True), 2.0, 110.0)
+    assert may_close_client_connection(IdleConnection(), 2.0, 102.0)
+    assert not may_close_client_connection(IdleConnection(), 2.0, 101.9)
+    assert not may_close_client_connection(IdleConnection(idle=False), 2.0, 110.0)
+    assert not may_close_client_connection(IdleConnection(unread=True), 2.0, 110.0)
 
 
 async def violations(harness: GatewayHarness) -> dict[str, int]:
@@ -120,7 +120,7 @@
         assert attempt.owner is not None
         owner = attempt.owner
         owner.client_deadline = now - 1.0
-        owner.attempt_start_limit = now - 1.0
+        owner.attempt_start_deadline = now - 1.0
         pool.retire(endpoint.endpoint_id)
         pool.check_send(attempt, endpoint, now)
         owner.answered = True
@@ -147,7 +147,7 @@
         metrics = await harness.metrics()
         assert metrics[f"rejected.{Reason.QUOTA}"] == metrics[f"rejected.{Reason.NO_ENDPOINT}"] == 1
         assert metrics["attempts_ended.success"] == 1 and metrics["attempts_ended.timed_out"] == 0
-        assert metrics[f"attempts_refused.{Refusal.CLIENT_GONE}"] == 0
+        assert metrics[f"attempts_refused.{RefusalReason.CLIENT_GONE}"] == 0
 
 
 async def test_the_request_log_tells_a_requests_story(caplog: pytest.LogCaptureFixture) -> None:
--- a/tests/test_no_attempt_after_disconnect.py
+++ b/tests/test_no_attempt_after_disconnect.py
@@ -284,21 +284,21 @@
     """The last of the disconnects is read 0.2 s after it happened, when the requests have been released."""
     busy = False
     detected_at: list[float] = []
-    handle, begin_grace_period = RequestDispatcher.handle, HalfClose.begin
+    handle, start_grace_period = RequestDispatcher.handle, HalfClose.start
 
     def handle_slowly(dispatcher: RequestDispatcher, event: Any, due: float) -> None:
         if busy:
             virtual_clock_loop().now += EVENT_COST
         handle(dispatcher, event, due)
 
-    def begin_slowly(half_close: HalfClose, earliest_close: float) -> None:
+    def start_slowly(half_close: HalfClose, earliest_close: float) -> None:
         if busy:
             virtual_clock_loop().now += EVENT_COST
         detected_at.append(virtual_clock_loop().now)
-        begin_grace_period(half_close, earliest_close)
+        start_grace_period(half_close, earliest_close)
 
     monkeypatch.setattr(RequestDispatcher, "handle", handle_slowly)
-    monkeypatch.setattr(HalfClose, "begin", begin_slowly)
+    monkeypatch.setattr(HalfClose, "start", start_slowly)
     loop = virtual_clock_loop()
     async with recording(2, example_settings() if state == "counter" else high_quota_settings()) as harness:
         dispatcher = harness.process.dispatcher
--- a/tests/upstream_harness.py
+++ b/tests/upstream_harness.py
@@ -10,7 +10,7 @@
 from typing import NamedTuple
 
 from quota_gateway.model.outcomes import Outcome
-from quota_gateway.policy.permissions import Refusal
+from quota_gateway.policy.permissions import RefusalReason
 from quota_gateway.upstream.attempt import AttemptResult, UpstreamAttempt
 from quota_gateway.upstream.connection_pool import ConnectionPool
 from tests.fakes import HOST, FakeBackend, HttpMessage, ResponseStep
@@ -27,7 +27,7 @@
     """An attempt's owner, which keeps the result for the test."""
 
     answered = False
-    attempt_start_limit: float | None = None
+    attempt_start_deadline: float | None = None
     client_deadline = math.inf
 
     def __init__(self) -> None:
@@ -36,9 +36,9 @@
     def attempt_ended(self, attempt: UpstreamAttempt, result: AttemptResult) -> None:
         self.result.set_result(result)
 
-    def refusal(self, send_deadline: float | None, now: float) -> Refusal | None:
+    def find_refusal(self, send_deadline: float | None, now: float) -> RefusalReason | None:
         is_over = send_deadline is not None and now >= send_deadline
-        return Refusal.WINDOW_OVER if is_over else None
+        return RefusalReason.WINDOW_OVER if is_over else None
 
 
 class StartedAttempt(NamedTuple):
