--- a/quota_gateway/body_streaming.py
+++ b/quota_gateway/body_streaming.py
@@ -103,7 +103,7 @@
 
     length: int | None  # size of the body in bytes; None if the endpoint has not declared it
     headers: bytes  # header lines that the client needs to decode the body
-    units: float  # quota units that the endpoint charged for the request
+    billed_units: float  # quota units that the endpoint charged for the request
 
 
 class StreamSource(Protocol):
--- a/quota_gateway/configuration/settings_reader.py
+++ b/quota_gateway/configuration/settings_reader.py
@@ -18,7 +18,7 @@
     "zone": IdempotencyScope.ZONE,
     "cell": IdempotencyScope.CELL,
 }
-STATUSES = {
+ENDPOINT_STATUSES = {
     "SERVING": EndpointStatus.SERVING,
     "DRAINING": EndpointStatus.DRAINING,
     "DELETED": EndpointStatus.REMOVED,
@@ -39,7 +39,7 @@
         gateway_index=settings.integer("me"),
         gateway_count=settings.integer("balancers"),
         zone=settings.required("zone"),
-        endpoint_list_pushed=settings.required("membership_mode") == PUSHED_MEMBERSHIP,
+        push_discovery_enabled=settings.required("membership_mode") == PUSHED_MEMBERSHIP,
         poll_interval=rules.seconds("ask_every"),
         counter_enabled=domain.boolean("counter"),
         counter_timeout=domain.seconds("count_limit"),
@@ -56,7 +56,7 @@
         overload_duration=rules.seconds("overload_for"),
         load_report_fields=tuple(settings.section("report").required("fields")),
         max_request_units=domain.number("max_units"),
-        settles_actual_units=domain.boolean("post_paid"),
+        charges_billed_units=domain.boolean("post_paid"),
     )
 
 
--- a/quota_gateway/discovery/endpoint_update.py
+++ b/quota_gateway/discovery/endpoint_update.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from typing import Any, TypeVar
 
-from quota_gateway.configuration.settings_reader import STATUSES
+from quota_gateway.configuration.settings_reader import ENDPOINT_STATUSES
 from quota_gateway.errors import EndpointListError
 from quota_gateway.model.endpoints import Endpoint, EndpointListKind, EndpointStatus
 from quota_gateway.sockets.addresses import Address, parse_address
@@ -68,7 +68,7 @@
 
 def read_endpoint_entry(instance: Any) -> EndpointEntry:
     """Convert one element of `instances`; EndpointListError names the invalid field."""
-    status = _required_field(instance, "lifecycle", STATUSES.__getitem__)
+    status = _required_field(instance, "lifecycle", ENDPOINT_STATUSES.__getitem__)
     endpoint = Endpoint(
         endpoint_id=_required_field(instance, "instanceId", str),
         zone=_optional_field(instance, "zone", str, ""),
--- a/quota_gateway/discovery/poll_schedule.py
+++ b/quota_gateway/discovery/poll_schedule.py
@@ -59,13 +59,13 @@
         return longest_delay * random.uniform(MIN_JITTER, 1.0)
 
 
-def poll_schedule_for(gateway_count: int, endpoint_list_pushed: bool, drain_timeout: float) -> PollSchedule:
+def poll_schedule_for(gateway_count: int, push_discovery_enabled: bool, drain_timeout: float) -> PollSchedule:
     """Return the schedule of one gateway in a fleet of `gateway_count`.
 
     `drain_timeout` is the time in seconds within which gateways must stop sending to a removed endpoint,
     counted from when its removal must be known.
     """
-    if endpoint_list_pushed:
+    if push_discovery_enabled:
         return _pushed_schedule(drain_timeout)
     return _polled_schedule(gateway_count)
 
--- a/quota_gateway/dispatch/active_request.py
+++ b/quota_gateway/dispatch/active_request.py
@@ -78,7 +78,7 @@
         self.arrived_at = request.received_at
         # When the client stops waiting, in seconds. Infinite while a streamed body is incomplete.
         self.client_deadline = (
-            math.inf if request.body_stream is not None else self.arrived_at + request.budget
+            math.inf if request.body_stream is not None else self.arrived_at + request.client_timeout
         )
         self.attempts: list[UpstreamAttempt] = []
         self.in_flight_count = 0  # number of attempts that have not ended
@@ -91,15 +91,15 @@
     @property
     def time_budget(self) -> float:
         """Seconds from the request's last byte to the policy engine's deadline."""
-        budget = self.request.budget
+        budget = self.request.client_timeout
         return budget - min(RESPONSE_MARGIN, MAX_MARGIN_FRACTION * budget)
 
     @property
     def watchdog_deadline(self) -> float:
         """When the watchdog fails the request, in seconds."""
         request = self.request
-        margin = min(WATCHDOG_MARGIN, MAX_MARGIN_FRACTION * request.budget / 2)
-        return request.received_at + request.budget - margin
+        margin = min(WATCHDOG_MARGIN, MAX_MARGIN_FRACTION * request.client_timeout / 2)
+        return request.received_at + request.client_timeout - margin
 
     def received_event(self) -> RequestReceived:
         """Return the event that reports the request to the policy engine."""
@@ -112,9 +112,9 @@
             request.received_at + self.time_budget,
             request.units,
             request.quota_spread,
-            request.first_gateway,
+            request.first_gateway_index,
             request.is_retry,
-            request.budget,
+            request.client_timeout,
             request.body_stream is not None,
         )
 
@@ -122,7 +122,7 @@
         """Restart the client's time budget at the arrival of a streamed body's last byte, in seconds."""
         self.request.received_at = received_at
         self.arrived_at = received_at
-        self.client_deadline = received_at + self.request.budget
+        self.client_deadline = received_at + self.request.client_timeout
 
     def client_disconnected(self) -> bool:
         """Return whether the client has closed its side of the connection."""
--- a/quota_gateway/dispatch/attempt_handler.py
+++ b/quota_gateway/dispatch/attempt_handler.py
@@ -49,7 +49,7 @@
         self._answer(active_request, attempt, result)
         elapsed = self._clock() - attempt.waiting_since
         # no request has more units than the maximum, so an endpoint that bills more is in error
-        units = result.units if result.units <= self._max_request_units else 0.0
+        units = result.billed_units if result.billed_units <= self._max_request_units else 0.0
         self._post(
             AttemptEnded(
                 active_request.request_id,
--- a/quota_gateway/dispatch/client_request.py
+++ b/quota_gateway/dispatch/client_request.py
@@ -14,13 +14,13 @@
 
     call_id: bytes
     received_at: float  # when the last byte arrived; until a streamed body is complete, when the head did
-    budget: float  # how long the client waits for the response
+    client_timeout: float  # how long the client waits for the response
     request_class: str
     plan: str
     customer: str
     units: float
     quota_spread: int  # number of gateways over which the customer's requests are spread
-    first_gateway: int  # index of the first of these gateways
+    first_gateway_index: int  # index of the first of these gateways
     is_retry: bool  # whether the client sends this request again
     head: bytes  # request line and header lines for the endpoint, without X-Budget and the blank line
     body: bytes
--- a/quota_gateway/downstream/request_parser.py
+++ b/quota_gateway/downstream/request_parser.py
@@ -32,7 +32,7 @@
 
     units: float
     spread: int  # number of gateways that share the customer's quota
-    first_gateway: int  # index of the first of these gateways
+    first_gateway_index: int  # index of the first of these gateways
 
 
 @lru_cache(maxsize=QUOTA_CACHE_SIZE)
@@ -47,12 +47,12 @@
     try:
         units = fields[b"units"]
         spread = fields[b"spread"]
-        first_gateway = fields[b"first"]
+        first_gateway_index = fields[b"first"]
     except KeyError as error:
         raise InvalidRequestError(400, "Quota-Info lacks units, spread or first") from error
-    if spread != int(spread) or first_gateway != int(first_gateway):
+    if spread != int(spread) or first_gateway_index != int(first_gateway_index):
         raise InvalidRequestError(400, "Quota-Info has a part of a gateway")
-    return QuotaInfo(units, int(spread), int(first_gateway))
+    return QuotaInfo(units, int(spread), int(first_gateway_index))
 
 
 def parse_customer(target: bytes) -> str:
@@ -125,13 +125,13 @@
         return ClientRequest(
             call_id=call_id,
             received_at=reader.arrived_at,
-            budget=budget,
+            client_timeout=budget,
             request_class=request_class.name,
             plan=plan,
             customer=customer,
             units=quota.units,
             quota_spread=quota.spread,
-            first_gateway=quota.first_gateway,
+            first_gateway_index=quota.first_gateway_index,
             is_retry=headers.get(b"x-again") == b"1",
             head=b"\r\n".join(head_lines),
             body=body,
@@ -162,7 +162,7 @@
         quota = parse_quota_info(required_header(headers, b"quota-info"))
         valid_units = 0 < quota.units <= self.max_units
         valid_spread = 1 <= quota.spread <= self.gateway_count
-        if not (valid_units and valid_spread and quota.first_gateway < self.gateway_count):
+        if not (valid_units and valid_spread and quota.first_gateway_index < self.gateway_count):
             raise InvalidRequestError(400, "Quota-Info is out of bounds")
         return quota
 
--- a/quota_gateway/engine/policy_engine.py
+++ b/quota_gateway/engine/policy_engine.py
@@ -102,8 +102,8 @@
                 self.endpoint_registry.apply_update(event)
             case charges.UnitsCharged():
                 self._apply_peer_charge(event)
-            case events.PeerProcessChanged(present):
-                self.peer_process.present = present
+            case events.PeerProcessChanged(connected):
+                self.peer_process.connected = connected
             case events.SetMaintenance():
                 self.endpoint_registry.set_maintenance(event)
             case events.SetDraining(enabled):
--- a/quota_gateway/gateway_process.py
+++ b/quota_gateway/gateway_process.py
@@ -107,7 +107,7 @@
             limits.connect_timeout,
             self.dispatcher.apply_endpoint_update,
             cached.generation if cached.entries else None,
-            poll_schedule_for(settings.gateway_count, settings.endpoint_list_pushed, limits.drain_timeout),
+            poll_schedule_for(settings.gateway_count, settings.push_discovery_enabled, limits.drain_timeout),
             self.listener.handle_descriptor_exhaustion,
         )
 
--- a/quota_gateway/model/events.py
+++ b/quota_gateway/model/events.py
@@ -24,7 +24,7 @@
     deadline: float  # Unix time
     units: float  # quota units that the request is charged
     quota_spread: int  # number of gateways that share the customer's requests
-    first_gateway: int  # index of the first of these gateways
+    first_gateway_index: int  # index of the first of these gateways
     is_retry: bool  # the client is retrying the request
     client_timeout: float = 0.0  # how long the client waits after sending; 0: until the deadline
     # the end of a long body has not arrived; RequestBodyReceived will set the deadline
@@ -88,7 +88,7 @@
     outcome: Outcome
     elapsed: float  # from the start of the attempt
     request_answered: bool  # the final response of the request has been sent
-    actual_units: float  # units billed by the response; 0 if it names none
+    billed_units: float  # units billed by the response; 0 if it names none
     load_report: tuple[float, ...]  # values in the order of Settings.load_report_fields
 
 
@@ -162,7 +162,7 @@
 class PeerProcessChanged:
     """The other process of a hot restart has connected or disconnected."""
 
-    present: bool
+    connected: bool
 
 
 # Events of a request that has already been received
--- a/quota_gateway/model/settings.py
+++ b/quota_gateway/model/settings.py
@@ -64,7 +64,7 @@
     zone: str  # zone of this gateway
 
     # Discovery
-    endpoint_list_pushed: bool  # discovery pushes lists to a local agent; otherwise the gateway polls
+    push_discovery_enabled: bool  # discovery pushes lists to a local agent; otherwise the gateway polls
     poll_interval: float
 
     # Counter service
@@ -89,4 +89,4 @@
     # Quota units
     load_report_fields: tuple[str, ...]  # names of the values in a load report
     max_request_units: float
-    settles_actual_units: bool  # charge the units that the response bills, not those requested
+    charges_billed_units: bool  # charge the units that the response bills, not those requested
--- a/quota_gateway/policy/attempt_results.py
+++ b/quota_gateway/policy/attempt_results.py
@@ -42,7 +42,7 @@
         request.first_possibly_executed = next(possibly_executed, None)
         if not attempt.is_streaming:
             self._record_result(request, attempt, event.outcome, event.elapsed)
-        self._charge_actual_units(request, event.actual_units)
+        self._charge_billed_units(request, event.billed_units)
         request.answered = request.answered or event.request_answered
         if not request.answered and not request.in_flight:
             self._retry_or_answer(request, event.outcome)
@@ -66,13 +66,13 @@
             attempt.is_streaming = True
             self._record_result(request, attempt, Outcome.SUCCESS, elapsed)
 
-    def _charge_actual_units(self, request: PendingRequest, actual_units: float) -> None:
-        if actual_units <= 0 or request.units_settled or not request.is_charged:
+    def _charge_billed_units(self, request: PendingRequest, billed_units: float) -> None:
+        if billed_units <= 0 or request.units_settled or not request.is_charged:
             return
         request.units_settled = True
         limiter = request.limiter
         limiter.refill(self.context.now)
-        unused = request.units - actual_units
+        unused = request.units - billed_units
         self.forwarder.peer_process.report(limiter, -unused)
         limiter.refund(unused)
         if limiter.is_fine_grained and request.reported_units > 0:
--- a/quota_gateway/policy/endpoint_registry.py
+++ b/quota_gateway/policy/endpoint_registry.py
@@ -52,7 +52,7 @@
         self.refresh_serving()
         if update.kind is not EndpointListKind.CACHED:
             self.start_times.list_received(context.now)
-        elif not context.settings.endpoint_list_pushed:
+        elif not context.settings.push_discovery_enabled:
             context.emit(PollEndpoints())
 
     def _apply_endpoint(self, endpoint: Endpoint) -> None:
--- a/quota_gateway/simulator/wire.py
+++ b/quota_gateway/simulator/wire.py
@@ -9,7 +9,7 @@
 from typing import TypeVar
 
 from quota_gateway.configuration.settings_object import MILLISECONDS_PER_SECOND
-from quota_gateway.configuration.settings_reader import STATUSES
+from quota_gateway.configuration.settings_reader import ENDPOINT_STATUSES
 from quota_gateway.errors import SimulatorProtocolError
 from quota_gateway.model.actions import (
     Action,
@@ -102,7 +102,7 @@
         zone=columns[2],
         machine_type=columns[3],
         cell=int(columns[4]),
-        status=_lookup(STATUSES, columns[5]),
+        status=_lookup(ENDPOINT_STATUSES, columns[5]),
         weight=float(columns[6]),
         started_at=started_at or None,
     )
@@ -140,7 +140,7 @@
         deadline=float(columns[5]) / MILLISECONDS_PER_SECOND,
         units=float(_optional(columns, 6, "1")),
         quota_spread=int(_optional(columns, 7, "0")),
-        first_gateway=int(_optional(columns, 8, "0")),
+        first_gateway_index=int(_optional(columns, 8, "0")),
         is_retry=bool(int(_optional(columns, 9, "0")) & RETRY_FLAG),
     )
 
@@ -154,7 +154,7 @@
         outcome=_lookup(OUTCOMES, columns[4]),
         elapsed=float(columns[5]) / MILLISECONDS_PER_SECOND,
         request_answered=_optional(columns, 6, "0") == TRUE,
-        actual_units=float(_optional(columns, 8, "0")),
+        billed_units=float(_optional(columns, 8, "0")),
         load_report=_load_report(columns, 9),
     )
 
--- a/quota_gateway/state/peer_process.py
+++ b/quota_gateway/state/peer_process.py
@@ -14,11 +14,11 @@
     """Reports charged units to the other process, and charges the units that it reports."""
 
     context: EngineContext
-    present: bool = False  # whether the other process is connected
+    connected: bool = False  # whether the other process is connected
 
     def report(self, limiter: Limiter, units: float) -> None:
         """Report units charged by this process; below 0, they are a refund."""
-        if self.present and limiter.plan.rate > 0 and units:
+        if self.connected and limiter.plan.rate > 0 and units:
             self.context.emit(UnitsCharged(limiter.customer, limiter.plan.name, limiter.quota_spread, units))
 
     def charge(self, limiter: Limiter, units: float) -> None:
--- a/quota_gateway/upstream/attempt.py
+++ b/quota_gateway/upstream/attempt.py
@@ -26,7 +26,7 @@
 
     outcome: Outcome
     body: bytes = b""
-    units: float = 0.0  # units billed by the endpoint; 0 if it reported none
+    billed_units: float = 0.0  # units billed by the endpoint; 0 if it reported none
     headers: bytes = b""  # header lines to forward with the body
 
 
--- a/tests/fleet_simulation.py
+++ b/tests/fleet_simulation.py
@@ -267,7 +267,7 @@
             deadline=self.now + REQUEST_TIMEOUT,
             units=1.0,
             quota_spread=1,
-            first_gateway=0,
+            first_gateway_index=0,
             is_retry=False,
             client_timeout=CLIENT_TIMEOUT,
         )
@@ -327,7 +327,7 @@
             outcome=outcome,
             elapsed=self.now - attempt.sent_at,
             request_answered=succeeded,
-            actual_units=0.0,
+            billed_units=0.0,
             load_report=(),
         )
         self.handle(attempt.gateway, ended)
--- a/tests/policy_harness.py
+++ b/tests/policy_harness.py
@@ -74,7 +74,7 @@
     request_classes=(IDEMPOTENT_CLASS, KEYED_CLASS, NON_IDEMPOTENT_CLASS),
     plans=(SMALL_PLAN, CAPPED_PLAN, CONCURRENCY_PLAN),
     zone="z",
-    endpoint_list_pushed=True,
+    push_discovery_enabled=True,
     poll_interval=10.0,
     counter_enabled=True,
     counter_timeout=0.05,
@@ -91,7 +91,7 @@
     overload_duration=1.0,
     load_report_fields=(),
     max_request_units=4.0,
-    settles_actual_units=False,
+    charges_billed_units=False,
 )
 
 
@@ -127,7 +127,7 @@
         deadline=deadline,
         units=units,
         quota_spread=quota_spread,
-        first_gateway=0,
+        first_gateway_index=0,
         is_retry=False,
     )
 
@@ -139,11 +139,11 @@
     outcome: Outcome,
     elapsed: float = 0.1,
     request_answered: bool | None = None,
-    actual_units: float = 0.0,
+    billed_units: float = 0.0,
 ) -> AttemptEnded:
     """Return the end of an attempt; `request_answered`: it answered its request, by default on success."""
     request_answered = outcome is Outcome.SUCCESS if request_answered is None else request_answered
-    return AttemptEnded(number, attempt, endpoint_id, outcome, elapsed, request_answered, actual_units, ())
+    return AttemptEnded(number, attempt, endpoint_id, outcome, elapsed, request_answered, billed_units, ())
 
 
 def make_engine(
--- a/tests/process_pair.py
+++ b/tests/process_pair.py
@@ -255,7 +255,7 @@
             outcome=outcome,
             elapsed=self.now - attempt.sent_at,
             request_answered=outcome is Outcome.SUCCESS,
-            actual_units=units,
+            billed_units=units,
             load_report=(),
         )
         self.handle(process, event)
--- a/tests/random_workload.py
+++ b/tests/random_workload.py
@@ -59,12 +59,12 @@
         gateway_index=1,
         gateway_count=chance.choice([2, 2, 6, 40]),
         plans=(SMALL_PLAN, CAPPED_PLAN, CONCURRENCY_PLAN, WIDE, EXTRA),
-        endpoint_list_pushed=chance.random() < 0.5,
+        push_discovery_enabled=chance.random() < 0.5,
         counter_enabled=chance.random() < 0.8,
         cancellation_allowed=chance.random() < 0.8,
         hedging_allowed=chance.random() < 0.3,
         retry_after_allowed=chance.random() < 0.8,
-        settles_actual_units=chance.random() < 0.5,
+        charges_billed_units=chance.random() < 0.5,
     )
 
 
@@ -120,7 +120,7 @@
             deadline=self.processes.now + (UPLOAD_TIME_BUDGET if uploading else time_budget),
             units=self.chance.choice([0.5, 1.0, 1.0, 2.0, 3.5]),
             quota_spread=quota_spread,
-            first_gateway=0,
+            first_gateway_index=0,
             is_retry=self.chance.random() < 0.25,
             client_timeout=self.chance.choice([0.0, time_budget]),
             body_incomplete=uploading,
--- a/tests/test_fleet_of_engines.py
+++ b/tests/test_fleet_of_engines.py
@@ -121,7 +121,7 @@
             deadline=self.now + 4,
             units=units,
             quota_spread=self.gateway_count,
-            first_gateway=0,
+            first_gateway_index=0,
             is_retry=is_retry,
         )
         self.execute(index, self.engines[index].handle(received, self.now))
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -65,7 +65,7 @@
 
 
 def test_units_charged_by_either_process_are_charged_in_the_other() -> None:
-    old, new = make_engine(settles_actual_units=True), make_engine(settles_actual_units=True)
+    old, new = make_engine(charges_billed_units=True), make_engine(charges_billed_units=True)
     new.handle(transferred_state(old), 100.0)
     # without a peer nothing is reported
     assert not [a for a in forwarded(old, 1, 1.0) if isinstance(a, UnitsCharged)]
@@ -77,7 +77,7 @@
     new.handle(charge, 100.0)
     assert new.limiter_registry.limiters["c"].balance == 2.0
     endpoint_id = next(a.endpoint_id for a in actions if isinstance(a, StartAttempt))
-    settled = old.handle(make_attempt_ended(2, 0, endpoint_id, Outcome.SUCCESS, actual_units=3.0), 100.0)
+    settled = old.handle(make_attempt_ended(2, 0, endpoint_id, Outcome.SUCCESS, billed_units=3.0), 100.0)
     new.handle(next(a for a in settled if isinstance(a, UnitsCharged)), 100.0)
     assert new.limiter_registry.limiters["c"].balance == 1.0
 
--- a/tests/test_policy_invariants.py
+++ b/tests/test_policy_invariants.py
@@ -116,9 +116,9 @@
         answered = number not in harness.open_requests or outcome is Outcome.SUCCESS
         endpoint_id, sent_at = harness.sent[number][index]
         elapsed = harness.now - sent_at
-        actual_units = 1.0 + step.pick % 5
+        billed_units = 1.0 + step.pick % 5
         harness.handle(
-            make_attempt_ended(number, index, endpoint_id, outcome, elapsed, answered, actual_units)
+            make_attempt_ended(number, index, endpoint_id, outcome, elapsed, answered, billed_units)
         )
 
     def change_endpoint(self, step: Step) -> None:
--- a/tests/test_upstream_connections.py
+++ b/tests/test_upstream_connections.py
@@ -148,7 +148,7 @@
     ):
         started = sender.start()
         result = await started.result
-        assert (result.outcome, result.body, result.units) == (Outcome.SUCCESS, b"mine", 2.0)
+        assert (result.outcome, result.body, result.billed_units) == (Outcome.SUCCESS, b"mine", 2.0)
         await asyncio.sleep(2 * MIN_IDLE_BEFORE_REUSE)
         assert (await sender.result()).body == b"next"
         assert endpoint.connection_count == 2  # the first one isn't reused
