--- a/quota_gateway/downstream/arrival_bound.py
+++ b/quota_gateway/downstream/arrival_bound.py
@@ -9,7 +9,7 @@
 import asyncio
 from collections.abc import Callable
 
-TURN_INTERVAL = 0.025  # seconds between two recorded iterations of the event loop, more if it is blocked
+RECORDING_INTERVAL = 0.025  # seconds between two recorded iterations of the event loop, more if it is blocked
 
 
 class EventLoopMonitor:
@@ -25,7 +25,7 @@
         self._clock = clock
         self.previous_iteration_at = clock()
         self._latest_iteration_at = self.previous_iteration_at
-        self._timer = loop.call_later(TURN_INTERVAL, self._record_iteration)
+        self._timer = loop.call_later(RECORDING_INTERVAL, self._record_iteration)
 
     def close(self) -> None:
         """Stop recording iterations."""
@@ -34,7 +34,7 @@
     def _record_iteration(self) -> None:
         self.previous_iteration_at = self._latest_iteration_at
         self._latest_iteration_at = self._clock()
-        self._timer = self._loop.call_later(TURN_INTERVAL, self._record_iteration)
+        self._timer = self._loop.call_later(RECORDING_INTERVAL, self._record_iteration)
 
 
 class ArrivalBound:
@@ -56,7 +56,7 @@
         previous_iteration_at = self._monitor.previous_iteration_at
         return previous_iteration_at if previous_iteration_at >= self._watched_since else self._waiting_since
 
-    def leave_unread(self, now: float) -> None:
+    def mark_unread(self, now: float) -> None:
         """Record that input may remain unread, or that the loop no longer watches the socket."""
         self._waiting_since = self.earliest()
         self._watched_since = now
--- a/quota_gateway/downstream/client_connection.py
+++ b/quota_gateway/downstream/client_connection.py
@@ -37,7 +37,7 @@
     def __init__(self, listener: RequestListener, waiting_since: float) -> None:
         """Initialize without a request; input may have been waiting since `waiting_since`, in seconds."""
         super().__init__(listener, waiting_since)
-        self.requests = RequestHandler(self, listener.router, self.last_read_at)
+        self.request_handler = RequestHandler(self, listener.router, self.last_read_at)
         self.responses = ResponseQueue()
         self.idle_since = self.last_read_at  # seconds: time at which the latest response was written
         self.half_close = HalfClose(listener, self.responses)
@@ -45,7 +45,7 @@
     @property
     def in_request(self) -> bool:
         """True while a request has been read in part only."""
-        return self.requests.in_request
+        return self.request_handler.in_request
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Store the transport and register the connection with its listener (asyncio)."""
@@ -57,32 +57,32 @@
         if self.ended:
             return
         self.last_read_at = self.listener.clock()
-        self.requests.received_at = self.last_read_at
-        self.requests.arrived_at = self.arrival_time(data)
+        self.request_handler.received_at = self.last_read_at
+        self.request_handler.arrived_at = self.arrival_time(data)
         self.unread = self.unread + data if self.unread else data
         self.process_unread()
 
     def process_unread(self) -> None:
         """Parse received bytes as far as the limits allow, then pause or resume reading."""
-        requests = self.requests
-        while self.unread and not (self.ended or self.is_full() or requests.error_pause):
+        request_handler = self.request_handler
+        while self.unread and not (self.ended or self.is_full() or request_handler.error_pause_timer):
             data = self.unread
             if len(data) > MAX_PARSE_BYTES:
                 data = data[:MAX_PARSE_BYTES]
             self.unread = self.unread[len(data) :]
-            requests.parse(data)
+            request_handler.parse(data)
         self.update_reading()
 
     def is_full(self) -> bool:
         """Return True while no further request or body data can be accepted."""
-        body_stream = self.requests.body_stream
+        body_stream = self.request_handler.body_stream
         if body_stream is not None and body_stream.is_full():
             return True
         return self.write_paused or len(self.responses) >= MAX_PIPELINED_REQUESTS
 
     def update_reading(self) -> None:
         """Pause reading while a limit is reached, which bounds the memory that a client can use."""
-        pause = self.is_full() or bool(self.unread) or self.requests.error_pause is not None
+        pause = self.is_full() or bool(self.unread) or self.request_handler.error_pause_timer is not None
         if self.transport is None or pause == self.read_paused or self.ended:
             return
         if pause:
@@ -111,13 +111,13 @@
         if result is FlushResult.STREAMING:
             return
         if result is FlushResult.CLOSE:
-            self.end()
+            self.close_gracefully()
             return
-        self.requests.send_continue()
+        self.request_handler.send_continue()
         self.idle_since = self.listener.clock()
         if self.ended and not self.responses:
-            self.end()
-        elif self.unread and not self.requests.parsing:
+            self.close_gracefully()
+        elif self.unread and not self.request_handler.parsing:
             self.process_unread()
         else:
             self.update_reading()
@@ -128,7 +128,7 @@
         No further request is accepted then. An earlier response must not announce the close: the requests
         after it would get no response.
         """
-        partial_request = self.in_request and writer is not self.requests.streaming_writer
+        partial_request = self.in_request and writer is not self.request_handler.streaming_writer
         if not self.listener.is_shutting_down() or self.unread or partial_request:
             return False
         is_last = bool(self.responses) and self.responses[-1] is writer  # empty once the connection is lost
@@ -142,8 +142,8 @@
 
         The client may still read: only a broken connection shows that it doesn't.
         """
-        if self.requests.streaming_writer is not None:
-            self.requests.abort_request(InvalidRequestError(400, "the body is not whole"))
+        if self.request_handler.streaming_writer is not None:
+            self.request_handler.abort_request(InvalidRequestError(400, "the body is not whole"))
         self.ended = True
         if self.closing or not self.responses:
             return False
@@ -165,7 +165,7 @@
         """Release the connection and cancel its requests (asyncio)."""
         self.listener.connections.discard(self)
         self.listener.disconnect_monitor.unwatch(self.descriptor, self.handle_disconnect)
-        self.requests.close()
+        self.request_handler.close()
         self.transport = None
         self.ended = True
         self.half_close.cancel()
@@ -176,7 +176,7 @@
         """Return True if a request is incomplete only because its client is slow."""
         if not self.in_request or self.unread or self.read_paused:
             return False
-        return self.responses.is_first(self.requests.streaming_writer)
+        return self.responses.is_first(self.request_handler.streaming_writer)
 
     def has_only_partial_request(self) -> bool:
         """Return True if a request is partly read and no other one is in flight."""
@@ -184,17 +184,17 @@
 
     def last_used_at(self) -> float:
         """Return when the connection last carried bytes of a request or response, in seconds."""
-        return max(self.idle_since, self.requests.received_at)
+        return max(self.idle_since, self.request_handler.received_at)
 
-    def end(self) -> None:
+    def close_gracefully(self) -> None:
         """Close gracefully after the last response."""
         self.check_all_answered()
-        super().end()
+        super().close_gracefully()
 
-    def drop(self) -> None:
+    def close_immediately(self) -> None:
         """Close immediately: no response is pending, or the client had its time to read one."""
         self.check_all_answered()
-        super().drop()
+        super().close_immediately()
 
     def check_all_answered(self) -> None:
         """Check the invariant that a connection closes with no request unanswered."""
--- a/quota_gateway/downstream/client_listener.py
+++ b/quota_gateway/downstream/client_listener.py
@@ -63,7 +63,7 @@
         self.stopping = False
         self.draining = False
         self.superseded = False  # a newer process accepts connections and keeps the gateway ready
-        self.drained_since = 0.0  # seconds: start of the latest drain
+        self.draining_since = 0.0  # seconds: start of the latest drain
         self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL, self.sweep)
 
     def is_ready(self) -> bool:
@@ -77,7 +77,7 @@
     def drain(self, enabled: bool) -> None:
         """Start or stop closing connections after their responses; new ones are accepted and served."""
         if enabled and not self.draining:
-            self.drained_since = self.clock()
+            self.draining_since = self.clock()
         self.draining = enabled
 
     def listen(self, listener: socket.socket, is_queue_old: bool = False) -> None:
@@ -96,7 +96,7 @@
         if self.listener is None:
             return
         if enabled:
-            self.queue_arrival_bound.leave_unread(self.clock())
+            self.queue_arrival_bound.mark_unread(self.clock())
             self.loop.remove_reader(self.listener)
             if self.accept_timer is not None:
                 self.accept_timer.cancel()
@@ -133,7 +133,7 @@
             task = self.loop.create_task(self.open_connection(sock, waiting_since))
             self.accept_tasks.add(task)
             task.add_done_callback(self.accept_tasks.discard)
-        self.queue_arrival_bound.leave_unread(self.clock())
+        self.queue_arrival_bound.mark_unread(self.clock())
         return True
 
     async def open_connection(self, sock: socket.socket, waiting_since: float) -> None:
@@ -167,7 +167,7 @@
         self.limit_reduction = max(self.limit_reduction - 1, 0)
         is_busy = len(self.connections) >= BUSY_FRACTION * (self.max_connections - self.limit_reduction)
         idle_timeout = BUSY_IDLE_TIMEOUT if is_busy else IDLE_TIMEOUT
-        closes_unused = self.draining and now - self.drained_since >= DRAIN_DELAY
+        closes_unused = self.draining and now - self.draining_since >= DRAIN_DELAY
         for connection in list(self.connections):
             enforce_timeouts(connection, now, idle_timeout)
             if closes_unused:
@@ -177,7 +177,7 @@
     def pause_accepting(self) -> None:
         """Leave connections in the kernel's queue, where no request is lost, and retry after a delay."""
         if self.listener is not None and self.accept_timer is None:
-            self.queue_arrival_bound.leave_unread(self.clock())
+            self.queue_arrival_bound.mark_unread(self.clock())
             self.loop.remove_reader(self.listener)
             self.accept_timer = self.loop.call_later(RETRY_DELAY, self.resume_accepting)
 
@@ -219,13 +219,13 @@
         """Close idle connections; those with unread input stay open, so that it is read and answered."""
         for connection in list(self.connections):
             if may_close_client_connection(connection, 0.0, self.clock()):
-                connection.end()
+                connection.close_gracefully()
 
     def close(self) -> None:
         """Close the listening socket and all connections."""
         self.sweep_timer.cancel()
         self.close_listener()
         for connection in list(self.connections):
-            connection.drop()
+            connection.close_immediately()
         self.loop_monitor.close()
         self.disconnect_monitor.close()
--- a/quota_gateway/downstream/connection_eviction.py
+++ b/quota_gateway/downstream/connection_eviction.py
@@ -9,27 +9,27 @@
 from quota_gateway.errors import InvalidRequestError
 from quota_gateway.policy.permissions import may_close_client_connection
 
-UNUSED_AFTER = 0.1  # seconds without a request until a connection is unused; a new client sends at once
+UNUSED_TIMEOUT = 0.1  # seconds without a request until a connection is unused; a new client sends at once
 MAX_EVICTIONS = 16  # connections closed at a time; finding them costs more than closing them
 
 # Connections that never sent a request come first, then those that have been idle for the longest time.
-eviction_order = attrgetter("requests.any_request_started", "idle_since")
+eviction_order = attrgetter("request_handler.any_request_started", "idle_since")
 
 
 def evict(connection: ClientConnection, now: float) -> bool:
     """Close a connection to free capacity; return False if a request would be lost."""
     if connection.closing and not connection.unsent_bytes():
-        connection.drop()
+        connection.close_immediately()
         return True
-    if may_close_client_connection(connection, UNUSED_AFTER, now):
-        connection.drop()
+    if may_close_client_connection(connection, UNUSED_TIMEOUT, now):
+        connection.close_immediately()
         return True
-    if not connection.has_only_partial_request() or now - connection.last_used_at() < UNUSED_AFTER:
+    if not connection.has_only_partial_request() or now - connection.last_used_at() < UNUSED_TIMEOUT:
         return False
-    connection.requests.abort_request(
+    connection.request_handler.abort_request(
         InvalidRequestError(408, "the request did not come whole, and others wait")
     )
-    connection.drop()
+    connection.close_immediately()
     return True
 
 
@@ -46,5 +46,5 @@
 
 def close_if_unused(connection: ClientConnection, now: float) -> None:
     """Close a connection gracefully in a drain, if it is unused and has all its responses."""
-    if may_close_client_connection(connection, UNUSED_AFTER, now):
-        connection.end()
+    if may_close_client_connection(connection, UNUSED_TIMEOUT, now):
+        connection.close_gracefully()
--- a/quota_gateway/downstream/connection_timeouts.py
+++ b/quota_gateway/downstream/connection_timeouts.py
@@ -10,19 +10,19 @@
 
 def enforce_timeouts(connection: ClientConnection, now: float, idle_timeout: float) -> None:
     """Close the connection, or answer the partly read request, if a timeout has expired."""
-    requests = connection.requests
+    request_handler = connection.request_handler
     is_sending = connection.closing or connection.write_paused
     if is_sending and (unsent_bytes := connection.unsent_bytes()):
         connection.closing_since = now  # the linger timeout starts once all data has been sent
         if connection.unread_response_timer.has_expired(now, unsent_bytes):
-            connection.drop()
+            connection.close_immediately()
     elif connection.closing:
-        if now - connection.closing_since > linger_timeout(requests):
-            connection.drop()
+        if now - connection.closing_since > linger_timeout(request_handler):
+            connection.close_immediately()
     elif connection.is_waiting_for_request_data():
-        if is_request_overdue(requests, connection.last_read_at, now):
-            requests.abort_request(InvalidRequestError(408, "the request did not come whole in time"))
+        if is_request_overdue(request_handler, connection.last_read_at, now):
+            request_handler.abort_request(InvalidRequestError(408, "the request did not come whole in time"))
     elif connection.is_idle():
-        timeout = idle_timeout if requests.any_request_started else READ_TIMEOUT
+        timeout = idle_timeout if request_handler.any_request_started else READ_TIMEOUT
         if may_close_client_connection(connection, timeout, now):
-            connection.drop()
+            connection.close_immediately()
--- a/quota_gateway/downstream/flow_control.py
+++ b/quota_gateway/downstream/flow_control.py
@@ -48,7 +48,7 @@
         self.closing_since = 0.0  # seconds: start of the linger timeout
         self.read_paused = False
         self.write_paused = False  # the transport's buffer is full: the client doesn't read
-        self.ended = False  # no further request is accepted
+        self.input_ended = False  # no further request is accepted
         self.closing = False  # the last response has been passed to the transport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -78,7 +78,7 @@
         earliest = self.arrival_bound.earliest()
         self.last_arrival_bound = earliest
         if len(data) >= READ_BUFFER_BYTES:
-            self.arrival_bound.leave_unread(now)
+            self.arrival_bound.mark_unread(now)
         if now - earliest <= ARRIVAL_TOLERANCE:
             return now
         age = None if data.count(HEAD_END) > 1 else self.seconds_since_last_data()
@@ -106,7 +106,7 @@
         """Leave further input in the kernel, and watch for a disconnect instead."""
         if not self.read_paused and self.transport is not None:
             self.read_paused = True
-            self.arrival_bound.leave_unread(self.listener.clock())
+            self.arrival_bound.mark_unread(self.listener.clock())
             self.transport.pause_reading()
             self.listener.disconnect_monitor.watch(self.descriptor, self.handle_disconnect)
 
@@ -136,13 +136,13 @@
         """Return True if the kernel holds unread bytes, or an unread end of stream, from the client."""
         return has_unread_input(self.descriptor)
 
-    def end(self) -> None:
+    def close_gracefully(self) -> None:
         """Close gracefully after the last response.
 
         Input that still arrives is read and discarded. Left unread, it would reset the connection before
         the client has read the response.
         """
-        self.ended = True
+        self.input_ended = True
         if self.closing or self.transport is None or self.transport.is_closing():
             return
         self.closing = True
@@ -154,9 +154,9 @@
         except OSError:  # reset by the client, which not every event loop reports before this
             self.transport.abort()
 
-    def drop(self) -> None:
+    def close_immediately(self) -> None:
         """Close immediately: no response is pending, or the client had its time to read one."""
-        self.ended = True
+        self.input_ended = True
         self.closing = True
         if self.transport is None:
             return
@@ -167,7 +167,7 @@
 
     def reset(self) -> None:
         """Reset the connection, which tells the client that a streamed response is incomplete."""
-        self.ended = True
+        self.input_ended = True
         self.closing = True
         if self.transport is not None:
             self.transport.abort()
--- a/quota_gateway/downstream/request_handler.py
+++ b/quota_gateway/downstream/request_handler.py
@@ -26,7 +26,7 @@
     """The parts of a connection that its request handler uses."""
 
     responses: ResponseQueue
-    ended: bool  # no further request is accepted
+    input_ended: bool  # no further request is accepted
     half_close: HalfClose
 
     def process_unread(self) -> None:
@@ -43,15 +43,15 @@
         self.router = router
         self.streaming_writer: ResponseWriter | None = None  # response to a request whose body is streamed
         self.invalid_requests = 0
-        self.error_pause: asyncio.TimerHandle | None = None  # reading is paused while it is set
+        self.error_pause_timer: asyncio.TimerHandle | None = None  # reading is paused while it is set
 
     def close(self) -> None:
         """Release the references to the connection, so that it is freed without the garbage collector."""
         super().close()
         self.connection = None
         self.streaming_writer = None
-        if self.error_pause is not None:
-            self.error_pause.cancel()
+        if self.error_pause_timer is not None:
+            self.error_pause_timer.cancel()
 
     def parse(self, data: bytes) -> None:
         """Parse `data` and handle the requests that it completes."""
@@ -61,12 +61,12 @@
             self.abort_request(error)
         except httptools.HttpParserUpgrade:
             if self.connection is not None:  # the request itself is still answered
-                self.connection.ended = True
+                self.connection.input_ended = True
 
     def headers_complete(self) -> None:
         """Reject a body that exceeds the limit, stream a large one, and buffer a small one."""
         connection = self.connection
-        if self.parser is None or connection is None or connection.ended:
+        if self.parser is None or connection is None or connection.input_ended:
             return
         self.http_version = self.parser.get_http_version()
         self.expects_continue = b"expect" in self.headers and self.http_version != "1.0"
@@ -80,7 +80,12 @@
     def send_continue(self) -> None:
         """Send 100 Continue to a client that waits for it, once all earlier responses are written."""
         connection = self.connection
-        if not self.expects_continue or self.error is not None or connection is None or connection.ended:
+        if (
+            not self.expects_continue
+            or self.error is not None
+            or connection is None
+            or connection.input_ended
+        ):
             return
         if connection.transport is not None and connection.responses.is_first(self.streaming_writer):
             self.expects_continue = False
@@ -123,12 +128,12 @@
         if self.streaming_writer is not None:
             self.finish_body_stream(connection, self.streaming_writer)
             return
-        if connection.ended:
+        if connection.input_ended:
             return
         keep_alive = self.should_keep_alive()
         writer = ResponseWriter(connection, keep_alive, self.http_version)
         connection.responses.append(writer)
-        connection.ended = not keep_alive
+        connection.input_ended = not keep_alive
         try:
             if self.error is not None:
                 raise self.error
@@ -141,8 +146,8 @@
         self.body_stream = None
         self.streaming_writer = None
         if writer.unsent is None:  # no early response, after which the connection closes
-            writer.keep_alive = not connection.ended and self.should_keep_alive()
-            connection.ended = connection.ended or not writer.keep_alive
+            writer.keep_alive = not connection.input_ended and self.should_keep_alive()
+            connection.input_ended = connection.input_ended or not writer.keep_alive
         self.router.dispatcher.request_body_received(writer.request_id, self.arrived_at)
 
     def reject(
@@ -152,25 +157,25 @@
         self.invalid_requests += 1
         if self.invalid_requests >= MAX_INVALID_REQUESTS:
             writer.keep_alive = False
-            connection.ended = True
-        elif self.error_pause is None:
+            connection.input_ended = True
+        elif self.error_pause_timer is None:
             loop = asyncio.get_running_loop()
-            self.error_pause = loop.call_later(INVALID_REQUEST_PAUSE, self.resume_after_error)
+            self.error_pause_timer = loop.call_later(INVALID_REQUEST_PAUSE, self.resume_after_error)
         body = b"" if self.method() == b"HEAD" else f"{error}\n".encode()
         writer.send(error.status, body, error.headers)
 
     def resume_after_error(self) -> None:
         """Resume parsing after the pause that follows an invalid request."""
-        self.error_pause = None
+        self.error_pause_timer = None
         if self.connection is not None:
             self.connection.process_unread()
 
     def abort_request(self, error: InvalidRequestError) -> None:
         """Answer a request that can't be read completely; no later request can be read either."""
         connection = self.connection
-        if connection is None or connection.ended:
+        if connection is None or connection.input_ended:
             return
-        connection.ended = True
+        connection.input_ended = True
         if self.streaming_writer is not None:
             self.router.dispatcher.abandon(self.streaming_writer.request_id, error.status)
             return
--- a/tests/test_admin_api.py
+++ b/tests/test_admin_api.py
@@ -188,7 +188,7 @@
         client.send(request(1))
         await harness.backends[0].wait_until(lambda: len(harness.received_requests()) == 1)
         await harness.call_admin("POST", "/healthcheck/fail")
-        harness.process.listener.drained_since -= 10.0
+        harness.process.listener.draining_since -= 10.0
         harness.process.listener.sweep()
         released.set()
         status, headers, _ = await client.read_response()
--- a/tests/test_arrival_bound.py
+++ b/tests/test_arrival_bound.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from quota_gateway.downstream.arrival_bound import TURN_INTERVAL, ArrivalBound, EventLoopMonitor
+from quota_gateway.downstream.arrival_bound import RECORDING_INTERVAL, ArrivalBound, EventLoopMonitor
 from quota_gateway.downstream.flow_control import ARRIVAL_TOLERANCE, FlowControlledConnection
 from tests.harness import Client, GatewayHarness, request, running_gateway
 from tests.virtual_clock import virtual_clock_loop, virtual_unix_clock
@@ -38,13 +38,13 @@
     bound = ArrivalBound(monitor, loop.now, loop.now)
     for _ in range(50):
         await asyncio.sleep(0.0071)
-        assert loop.now - bound.earliest() <= 2 * TURN_INTERVAL + 0.0071 <= ARRIVAL_TOLERANCE
+        assert loop.now - bound.earliest() <= 2 * RECORDING_INTERVAL + 0.0071 <= ARRIVAL_TOLERANCE
     held_up_at = loop.now
     loop.now += HOLD_UP
     assert bound.earliest() <= held_up_at
     await asyncio.sleep(0)  # the turn that reports what came in the hold-up
     assert bound.earliest() <= held_up_at
-    await asyncio.sleep(3 * TURN_INTERVAL)
+    await asyncio.sleep(3 * RECORDING_INTERVAL)
     assert bound.earliest() >= held_up_at + HOLD_UP
     monitor.close()
 
@@ -56,10 +56,10 @@
     bound = ArrivalBound(monitor, loop.now, loop.now)
     await asyncio.sleep(1.0)
     paused_at = loop.now
-    bound.leave_unread(paused_at)
+    bound.mark_unread(paused_at)
     await asyncio.sleep(2.0)
     bound.watch(loop.now)
-    assert paused_at - 3 * TURN_INTERVAL <= bound.earliest() <= paused_at
+    assert paused_at - 3 * RECORDING_INTERVAL <= bound.earliest() <= paused_at
     await asyncio.sleep(1.0)
     assert bound.earliest() >= paused_at + 2.0
     monitor.close()
--- a/tests/test_body_streaming.py
+++ b/tests/test_body_streaming.py
@@ -227,11 +227,11 @@
         client.send(long_request(1, LONG_BODY * 40))
         await until(lambda: any(c.read_paused for c in harness.process.listener.connections))
         (connection,) = harness.process.listener.connections
-        assert connection.requests.body_stream is not None
-        assert connection.requests.body_stream.buffered_bytes <= MAX_BUFFERED_BYTES + READ_BUFFER_BYTES
+        assert connection.request_handler.body_stream is not None
+        assert connection.request_handler.body_stream.buffered_bytes <= MAX_BUFFERED_BYTES + READ_BUFFER_BYTES
         assert len(connection.unread) <= READ_BUFFER_BYTES
         assert not is_body_stalled(
-            connection.requests, connection.last_read_at, connection.last_read_at + 0.1
+            connection.request_handler, connection.last_read_at, connection.last_read_at + 0.1
         )
         may_read.set()
         assert (await client.read_response())[0] == 200
@@ -296,7 +296,10 @@
         client = await harness.connect_client()
         client.send(long_request(1)[:sent])
         await until(
-            lambda: any(not c.requests.in_head and c.requests.body_size > sent - 2000 for c in connections)
+            lambda: any(
+                not c.request_handler.in_head and c.request_handler.body_size > sent - 2000
+                for c in connections
+            )
         )
         (connection,) = connections
         for idle_time, times_out in ((stall_timeout - 0.1, False), (stall_timeout + 0.1, True)):
--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -8,7 +8,7 @@
 import pytest
 
 from quota_gateway.body_streaming import MAX_BODY_BYTES, MAX_BUFFERED_BYTES
-from quota_gateway.downstream.connection_eviction import UNUSED_AFTER
+from quota_gateway.downstream.connection_eviction import UNUSED_TIMEOUT
 from quota_gateway.downstream.request_handler import MAX_INVALID_REQUESTS
 from quota_gateway.downstream.request_reader import MAX_HEAD_SIZE
 from quota_gateway.upstream.endpoint_connections import MIN_IDLE_BEFORE_REUSE
@@ -224,7 +224,7 @@
         listener.max_connections = len(listener.connections)
         assert not listener.has_capacity()
         assert not any(c.closing for c in listener.connections)
-        listener.clock = lambda: now + 2 * UNUSED_AFTER
+        listener.clock = lambda: now + 2 * UNUSED_TIMEOUT
         other = await harness.connect_client()
         assert (await other.exchange(READY_REQUEST))[0] == 200
         assert (await client.read_response())[0] == 408 and await client.wait_closed()
@@ -266,8 +266,8 @@
         client.send(sent)
         await until(lambda: len(listener.connections) == 1)
         (connection,) = listener.connections
-        await until(lambda: (connection.requests.received_at > 0) == bool(sent))
-        assert connection.in_request == connection.requests.any_request_started == (status > 0)
+        await until(lambda: (connection.request_handler.received_at > 0) == bool(sent))
+        assert connection.in_request == connection.request_handler.any_request_started == (status > 0)
         listener.clock = lambda: now + 1.9
         listener.sweep()
         assert not connection.closing
@@ -315,7 +315,7 @@
         invalid = request(1, Plan="gold")
         assert (await client.exchange(invalid))[0] == 400
         (connection,) = harness.process.listener.connections
-        assert connection.requests.error_pause is not None and connection.read_paused
+        assert connection.request_handler.error_pause_timer is not None and connection.read_paused
         client.send(invalid * 300)
         for _ in range(MAX_INVALID_REQUESTS - 1):
             assert (await client.read_response())[0] == 400
--- a/tests/test_connection_faults.py
+++ b/tests/test_connection_faults.py
@@ -97,9 +97,9 @@
         assert (await client.exchange(request(1)))[0] == 200
         (connection,) = listener.connections
         if how == "idle":
-            connection.drop()
+            connection.close_immediately()
         elif how == "drain":
-            connection.end()
+            connection.close_gracefully()
         else:
             listener.stopping = True
             listener.close_idle()
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -99,7 +99,7 @@
         client.send(request(2))
         await harness.backends[0].wait_until(lambda: len(harness.received_requests()) == 2)
         (connection,) = harness.process.listener.connections
-        connection.drop()  # as no code should
+        connection.close_immediately()  # as no code should
         assert (await violations(harness))[Invariant.CLOSED_ANSWERED] == 1
         assert "invariant closed_answered is violated" in caplog.text
         released.set()
