--- a/quota_gateway/dispatch/action_executor.py
+++ b/quota_gateway/dispatch/action_executor.py
@@ -113,7 +113,7 @@
             return
         if self._request_log.enabled:
             self._request_log.started(active_request, attempt, now)
-        self._pool.start(attempt)
+        self._pool.start_attempt(attempt)
 
     def _cancel_attempt(self, action: CancelAttempt) -> None:
         active_request = self._registry.find(action.request_id)
--- a/quota_gateway/dispatch/active_request.py
+++ b/quota_gateway/dispatch/active_request.py
@@ -165,15 +165,15 @@
     def extend_attempt_deadlines(self, now: float, loop: asyncio.AbstractEventLoop) -> None:
         """Apply the request's new deadline to its attempts in flight."""
         for attempt in self.attempts:
-            if not attempt.ended:
+            if not attempt.has_ended:
                 attempt.extend_deadline(self.deadline, now, loop)
 
     def cancel_unsent_attempts(self) -> None:
         """End the attempts that have not been sent; one that is sending a streamed body may finish."""
         for attempt in list(self.attempts):
-            is_streaming_body = attempt.written and attempt.body_stream is not None
+            is_streaming_body = attempt.is_sending_started and attempt.body_stream is not None
             is_sent = attempt.written_at is not None or is_streaming_body
-            if not attempt.ended and not is_sent:
+            if not attempt.has_ended and not is_sent:
                 attempt.end(AttemptResult(Outcome.NOT_SENT))
 
     def cancel_obsolete_attempts(self) -> None:
@@ -184,7 +184,7 @@
         """
         for attempt in self.attempts:
             is_unwritten = attempt.written_at is None
-            if not attempt.ended and (is_unwritten or attempt is self.streaming_attempt):
+            if not attempt.has_ended and (is_unwritten or attempt is self.streaming_attempt):
                 attempt.end(AttemptResult(Outcome.NOT_SENT if is_unwritten else Outcome.CANCELLED))
 
     def stop_watchdog(self) -> None:
--- a/quota_gateway/dispatch/attempt_handler.py
+++ b/quota_gateway/dispatch/attempt_handler.py
@@ -85,8 +85,8 @@
             return None
         active_request.streaming_attempt = attempt
         active_request.stop_watchdog()
-        if attempt.timer is not None:
-            attempt.timer.cancel()
+        if attempt.deadline_timer is not None:
+            attempt.deadline_timer.cancel()
         response.begin_stream(head, attempt.connection)
         elapsed = max(self._clock() - attempt.waiting_since, MIN_TIME_TO_FIRST_BYTE)
         self._post(ResponseStreamStarted(active_request.request_id, attempt.index, elapsed))
--- a/quota_gateway/dispatch/endpoint_updates.py
+++ b/quota_gateway/dispatch/endpoint_updates.py
@@ -17,12 +17,12 @@
         endpoint = entry.endpoint
         if endpoint.status is EndpointStatus.SERVING:
             endpoints += _retire_previous_endpoints(pool, entry)
-            pool.set_address(endpoint.endpoint_id, entry.address, endpoint.started_at)
+            pool.set_endpoint(endpoint.endpoint_id, entry.address, endpoint.started_at)
         else:
-            pool.retire(endpoint.endpoint_id)
+            pool.retire_endpoint(endpoint.endpoint_id)
         endpoints.append(endpoint)
     if update.is_full:
-        pool.retain_only({endpoint.endpoint_id for endpoint in endpoints})
+        pool.retain_only_endpoints({endpoint.endpoint_id for endpoint in endpoints})
     return EndpointListUpdate(update.kind, tuple(endpoints))
 
 
@@ -32,6 +32,6 @@
     removed = []
     for endpoint_id in pool.endpoint_ids_at(entry.address):
         if endpoint_id != endpoint.endpoint_id:
-            pool.retire(endpoint_id)
+            pool.retire_endpoint(endpoint_id)
             removed.append(replace(endpoint, endpoint_id=endpoint_id, status=EndpointStatus.REMOVED))
     return removed
--- a/quota_gateway/upstream/attempt.py
+++ b/quota_gateway/upstream/attempt.py
@@ -83,15 +83,15 @@
     connection: AttemptConnection | None = None  # set when sending starts
     written_at: float | None = None  # when the kernel accepted the request's last byte
     connect_task: asyncio.Task[None] | None = None
-    timer: asyncio.TimerHandle | None = None  # fires at `deadline`
+    deadline_timer: asyncio.TimerHandle | None = None  # fires at `deadline`
 
     @property
-    def ended(self) -> bool:
+    def has_ended(self) -> bool:
         """Whether the attempt has ended."""
         return self.owner is None
 
     @property
-    def written(self) -> bool:
+    def is_sending_started(self) -> bool:
         """Whether sending has started, so that the endpoint may have begun to execute the request."""
         return self.connection is not None
 
@@ -120,8 +120,8 @@
         if owner is None:
             return
         self.owner = None  # also breaks the reference cycle between attempt and owner
-        if self.timer is not None:
-            self.timer.cancel()
+        if self.deadline_timer is not None:
+            self.deadline_timer.cancel()
         if self.connect_task is not None:
             self.connect_task.cancel()
         if self.connection is not None:
@@ -131,13 +131,13 @@
     def extend_deadline(self, deadline: float, now: float, loop: asyncio.AbstractEventLoop) -> None:
         """Replace the deadline of an attempt in flight."""
         self.deadline = deadline
-        if self.timer is not None:
-            self.timer.cancel()
+        if self.deadline_timer is not None:
+            self.deadline_timer.cancel()
         self.start_timer(now, loop)
 
     def start_timer(self, now: float, loop: asyncio.AbstractEventLoop) -> None:
         """Start the timer that ends the attempt at its deadline."""
-        self.timer = loop.call_later(max(self.deadline - now, 0.0), self.time_out)
+        self.deadline_timer = loop.call_later(max(self.deadline - now, 0.0), self.time_out)
 
     def time_out(self) -> None:
         """End the attempt at its deadline; before it has a connection it can't have been executed."""
--- a/quota_gateway/upstream/connection.py
+++ b/quota_gateway/upstream/connection.py
@@ -16,7 +16,7 @@
 
 # Longest time in seconds between parts of a buffered response. Endpoints have the complete response when they
 # begin to send it.
-READ_TIMEOUT = 0.5
+RESPONSE_READ_TIMEOUT = 0.5
 # Upper limit of the read timeout, as a fraction of the attempt's time: enough must be left for a retry.
 READ_TIMEOUT_FRACTION = 0.2
 # Longest time in seconds between parts of a streamed response, which can't be retried.
@@ -38,7 +38,9 @@
     def connection_closed(self, connection: UpstreamConnection) -> None:
         """Remove a closed connection, which may never have been established."""
 
-    def check_send(self, attempt: UpstreamAttempt, endpoint: EndpointConnections, now: float) -> None:
+    def check_send_invariants(
+        self, attempt: UpstreamAttempt, endpoint: EndpointConnections, now: float
+    ) -> None:
         """Check the invariants of an attempt that is about to be written."""
 
     def release(self, connection: UpstreamConnection) -> None:
@@ -58,8 +60,8 @@
         self.transport: asyncio.Transport | None = None
         self._descriptor = -1
         self._response = ResponseParser(self._open_stream)
-        self.stall: asyncio.TimerHandle | None = None  # timer of the read timeout
-        self.paused = False  # whether reading of a streamed response is paused
+        self.read_timer: asyncio.TimerHandle | None = None  # timer of the read timeout
+        self.is_reading_paused = False  # whether reading of a streamed response is paused
         self._is_writing_paused = False  # whether the kernel has yet to accept written data
         self._is_writing_body = False  # guards against reentrant sending
 
@@ -78,16 +80,16 @@
 
     def close_idle_siblings(self) -> None:
         """Close all idle connections to the same endpoint."""
-        self.endpoint.drop_idle()
+        self.endpoint.close_all_idle()
 
     def send_attempt(self, attempt: UpstreamAttempt, now: float) -> None:
         """Send the attempt's request, with as much of a streamed body as is available."""
         assert self.transport is not None
-        self.pool.check_send(attempt, self.endpoint, now)
+        self.pool.check_send_invariants(attempt, self.endpoint, now)
         self.attempt = attempt
         attempt.connection = self
         self._response.reset()
-        self.paused = False
+        self.is_reading_paused = False
         self.transport.write(encode_request(attempt, now))
         body_stream = attempt.body_stream
         if body_stream is not None:
@@ -137,15 +139,15 @@
 
     def pause(self) -> None:
         """Pause reading a streamed response, and its read timeout."""
-        if self._response.sink is not None and not self.paused and self.transport is not None:
-            self.paused = True
+        if self._response.sink is not None and not self.is_reading_paused and self.transport is not None:
+            self.is_reading_paused = True
             self.transport.pause_reading()
             self._cancel_read_timer()
 
     def resume(self) -> None:
         """Resume reading a streamed response."""
-        if self.paused and self.transport is not None:
-            self.paused = False
+        if self.is_reading_paused and self.transport is not None:
+            self.is_reading_paused = False
             self.transport.resume_reading()
             if self.attempt is not None:
                 self._restart_read_timer(self.attempt)
@@ -173,7 +175,7 @@
         elif response.is_invalid():
             # The endpoint may have executed the request even if its response is invalid.
             attempt.end(AttemptResult(Outcome.BROKEN_RESPONSE))
-        elif response.is_in_progress and not self.paused:
+        elif response.is_in_progress and not self.is_reading_paused:
             self._restart_read_timer(attempt)
 
     def _open_stream(self, head: ResponseHead) -> StreamSink | None:
@@ -182,15 +184,15 @@
     def _restart_read_timer(self, attempt: UpstreamAttempt) -> None:
         timeout = read_timeout(attempt, self._response.sink is not None)
         self._cancel_read_timer()
-        self.stall = self.pool.loop.call_later(timeout, self._read_timed_out, attempt)
+        self.read_timer = self.pool.loop.call_later(timeout, self._read_timed_out, attempt)
 
     def _cancel_read_timer(self) -> None:
-        if self.stall is not None:
-            self.stall.cancel()
-            self.stall = None
+        if self.read_timer is not None:
+            self.read_timer.cancel()
+            self.read_timer = None
 
     def _read_timed_out(self, attempt: UpstreamAttempt) -> None:
-        self.stall = None
+        self.read_timer = None
         if self.attempt is attempt:
             attempt.end(AttemptResult(Outcome.BROKEN_RESPONSE))
 
@@ -199,8 +201,8 @@
         self._cancel_read_timer()
         allows_reuse = self._response.allows_reuse() and attempt.written_at is not None
         result = self._response.take_result()
-        if self.paused and self.transport is not None:
-            self.paused = False
+        if self.is_reading_paused and self.transport is not None:
+            self.is_reading_paused = False
             self.transport.resume_reading()
         if allows_reuse:
             self.attempt = None
@@ -258,4 +260,4 @@
     if is_streamed:
         return STREAM_READ_TIMEOUT
     attempt_time = attempt.deadline - attempt.waiting_since
-    return max(min(READ_TIMEOUT, READ_TIMEOUT_FRACTION * attempt_time), 0.0)
+    return max(min(RESPONSE_READ_TIMEOUT, READ_TIMEOUT_FRACTION * attempt_time), 0.0)
--- a/quota_gateway/upstream/connection_pool.py
+++ b/quota_gateway/upstream/connection_pool.py
@@ -47,23 +47,23 @@
         self.attempts_written = 0  # number of attempts whose last byte the kernel has accepted
         self.endpoints: dict[str, EndpointConnections] = {}  # by endpoint id
         self.connections: set[UpstreamConnection] = set()  # all that are established
-        self.connecting: dict[UpstreamAttempt, EndpointConnections] = {}  # by attempt that waits
-        self._sweep_timer = self.loop.call_later(SWEEP_INTERVAL, self.sweep)
+        self.connecting_attempts: dict[UpstreamAttempt, EndpointConnections] = {}  # by attempt that waits
+        self._sweep_timer = self.loop.call_later(SWEEP_INTERVAL, self.close_expired_connections)
 
     # Endpoints.
 
-    def set_address(self, endpoint_id: str, address: Address, started_at: float | None = None) -> None:
+    def set_endpoint(self, endpoint_id: str, address: Address, started_at: float | None = None) -> None:
         """Set an endpoint's address and start time in Unix seconds; a change retires its connections."""
         endpoint = self.endpoints.get(endpoint_id)
         if endpoint is None or (endpoint.address, endpoint.started_at) != (address, started_at):
-            self.retire(endpoint_id)
+            self.retire_endpoint(endpoint_id)
             self.endpoints[endpoint_id] = EndpointConnections(endpoint_id, address, started_at)
 
     def endpoint_ids_at(self, address: Address) -> list[str]:
         """Return the ids of the endpoints that listen at `address`."""
         return [endpoint.endpoint_id for endpoint in self.endpoints.values() if endpoint.address == address]
 
-    def retire(self, endpoint_id: str) -> None:
+    def retire_endpoint(self, endpoint_id: str) -> None:
         """Stop sending to an endpoint that drains or was removed, and end its attempts that are connecting.
 
         Attempts that were sent continue, and their connections are closed afterwards.
@@ -71,8 +71,8 @@
         endpoint = self.endpoints.pop(endpoint_id, None)
         if endpoint is None:
             return
-        endpoint.drop_idle()
-        attempts = [attempt for attempt, target in self.connecting.items() if target is endpoint]
+        endpoint.close_all_idle()
+        attempts = [attempt for attempt, target in self.connecting_attempts.items() if target is endpoint]
         for attempt in attempts:
             attempt.end(AttemptResult(Outcome.CONNECT_FAILED))
 
@@ -80,19 +80,19 @@
         """Retire the connections to an endpoint that remains available at its address."""
         endpoint = self.endpoints.get(endpoint_id)
         if endpoint is not None:
-            self.retire(endpoint_id)
+            self.retire_endpoint(endpoint_id)
             self.endpoints[endpoint_id] = EndpointConnections(
                 endpoint_id, endpoint.address, endpoint.started_at
             )
 
-    def retain_only(self, endpoint_ids: Iterable[str]) -> None:
+    def retain_only_endpoints(self, endpoint_ids: Iterable[str]) -> None:
         """Retire all endpoints except those in `endpoint_ids`."""
         for endpoint_id in self.endpoints.keys() - set(endpoint_ids):
-            self.retire(endpoint_id)
+            self.retire_endpoint(endpoint_id)
 
     # Attempts.
 
-    def start(self, attempt: UpstreamAttempt) -> None:
+    def start_attempt(self, attempt: UpstreamAttempt) -> None:
         """Send an attempt on an idle connection, or on a new one once it is established.
 
         The attempt ends at once if the endpoint is unknown or no more connections are allowed.
@@ -103,23 +103,26 @@
         if endpoint is None:
             attempt.end(AttemptResult(Outcome.CONNECT_FAILED))
             return
-        connection = endpoint.acquire_idle(now, self.idle_timeout.seconds)
+        connection = endpoint.acquire_idle(now, self.idle_timeout.current)
         if connection is not None:
             connection.send_attempt(attempt, now)
         elif self._ensure_capacity():
-            self.connecting[attempt] = endpoint
+            self.connecting_attempts[attempt] = endpoint
             attempt.connect_task = self.loop.create_task(self._connect(attempt, endpoint))
         else:
             attempt.end(AttemptResult(Outcome.CONNECT_FAILED))
 
     def _ensure_capacity(self) -> bool:
         """Return whether another connection may be opened; at the limit, close an idle one to allow it."""
-        if len(self.connections) + len(self.connecting) < self.capacity_fraction * self.max_connections:
+        if (
+            len(self.connections) + len(self.connecting_attempts)
+            < self.capacity_fraction * self.max_connections
+        ):
             return True
         endpoint = min(
-            (endpoint for endpoint in self.endpoints.values() if endpoint.idle),
+            (endpoint for endpoint in self.endpoints.values() if endpoint.idle_connections),
             default=None,
-            key=lambda endpoint: endpoint.idle[0].idle_since,
+            key=lambda endpoint: endpoint.idle_connections[0].idle_since,
         )
         if endpoint is None:
             return False
@@ -137,9 +140,9 @@
         except (OSError, TimeoutError):
             pass  # refused, unreachable or not established in time: the attempt ends below
         finally:
-            self.connecting.pop(attempt, None)
+            self.connecting_attempts.pop(attempt, None)
             attempt.connect_task = None
-            if not is_ready or attempt.ended:
+            if not is_ready or attempt.has_ended:
                 connection.close()  # also if the attempt ended just as the connection was established
         owner = attempt.owner
         if not is_ready or owner is None:
@@ -150,7 +153,9 @@
         else:
             connection.send_attempt(attempt, self.clock())
 
-    def check_send(self, attempt: UpstreamAttempt, endpoint: EndpointConnections, now: float) -> None:
+    def check_send_invariants(
+        self, attempt: UpstreamAttempt, endpoint: EndpointConnections, now: float
+    ) -> None:
         """Check the invariants of an attempt that is about to be written."""
         owner = attempt.owner
         violated = self.invariants.violated
@@ -187,14 +192,14 @@
             connection.close()
             return
         connection.idle_since = self.clock()
-        endpoint.idle.append(connection)
+        endpoint.idle_connections.append(connection)
 
-    def sweep(self) -> None:
+    def close_expired_connections(self) -> None:
         """Close the connections that exceed the idle timeout, now and every SWEEP_INTERVAL seconds."""
-        cutoff = self.clock() - self.idle_timeout.seconds
+        cutoff = self.clock() - self.idle_timeout.current
         for endpoint in self.endpoints.values():
             endpoint.close_idle_before(cutoff)
-        self._sweep_timer = self.loop.call_later(SWEEP_INTERVAL, self.sweep)
+        self._sweep_timer = self.loop.call_later(SWEEP_INTERVAL, self.close_expired_connections)
 
     def close(self) -> None:
         """Close all connections at once and stop the checks for idle ones."""
--- a/quota_gateway/upstream/endpoint_connections.py
+++ b/quota_gateway/upstream/endpoint_connections.py
@@ -38,14 +38,14 @@
     a change belong to the previous instance of this class, and are never used for the new one.
     """
 
-    __slots__ = ("address", "endpoint_id", "idle", "started_at")
+    __slots__ = ("address", "endpoint_id", "idle_connections", "started_at")
 
     def __init__(self, endpoint_id: str, address: Address, started_at: float | None) -> None:
         """Initialize without connections; `started_at` is in Unix seconds, or None if unknown."""
         self.endpoint_id = endpoint_id
         self.address = address
         self.started_at = started_at
-        self.idle: list[PooledConnection] = []  # the one idle longest comes first
+        self.idle_connections: list[PooledConnection] = []  # the one idle longest comes first
 
     def acquire_idle(self, now: float, idle_timeout: float) -> PooledConnection | None:
         """Remove and return the most recently used connection that can be reused, or None.
@@ -53,12 +53,12 @@
         Connections that are found closed, over the idle timeout (in seconds) or with unsolicited input are
         closed. Those idle for less than MIN_IDLE_BEFORE_REUSE are skipped.
         """
-        for position in range(len(self.idle) - 1, -1, -1):
-            connection = self.idle[position]
+        for position in range(len(self.idle_connections) - 1, -1, -1):
+            connection = self.idle_connections[position]
             idle_time = now - connection.idle_since
             if idle_time < MIN_IDLE_BEFORE_REUSE:
                 continue
-            del self.idle[position]
+            del self.idle_connections[position]
             if idle_time < idle_timeout and connection.is_open() and not connection.has_unread_input():
                 connection.idle_time = idle_time
                 return connection
@@ -67,21 +67,21 @@
 
     def discard(self, connection: PooledConnection) -> None:
         """Remove the connection if it is among the idle ones."""
-        if connection in self.idle:
-            self.idle.remove(connection)
+        if connection in self.idle_connections:
+            self.idle_connections.remove(connection)
 
     def close_oldest_idle(self) -> None:
         """Close the connection that has been idle longest; there must be one."""
-        self.idle.pop(0).close()
+        self.idle_connections.pop(0).close()
 
     def close_idle_before(self, cutoff: float) -> None:
         """Close the connections that have been idle since before `cutoff`, in seconds."""
-        while self.idle and self.idle[0].idle_since < cutoff:
+        while self.idle_connections and self.idle_connections[0].idle_since < cutoff:
             self.close_oldest_idle()
 
-    def drop_idle(self) -> None:
+    def close_all_idle(self) -> None:
         """Close all idle connections."""
-        idle = self.idle
-        self.idle = []
+        idle = self.idle_connections
+        self.idle_connections = []
         for connection in idle:
             connection.close()
--- a/quota_gateway/upstream/idle_timeout.py
+++ b/quota_gateway/upstream/idle_timeout.py
@@ -24,7 +24,7 @@
     def __init__(self, keepalive_timeout: float) -> None:
         """Initialize from the endpoints' keep-alive timeout in seconds."""
         self.maximum = keepalive_timeout * IDLE_TIMEOUT_FRACTION
-        self.seconds = self.maximum
+        self.current = self.maximum
 
     def record_reset(self, idle_time: float, time_since_send: float) -> None:
         """Record that a connection broke without a response. Times are in seconds.
@@ -33,9 +33,9 @@
         """
         if not idle_time or time_since_send >= STALE_DETECTION_WINDOW:
             return
-        self.seconds = max(min(self.seconds, idle_time) * DECREASE_FACTOR, MIN_IDLE_TIMEOUT)
+        self.current = max(min(self.current, idle_time) * DECREASE_FACTOR, MIN_IDLE_TIMEOUT)
 
     def record_reuse(self, idle_time: float) -> None:
         """Record that a connection worked after `idle_time` seconds; a short time proves nothing."""
-        if idle_time > self.seconds / 2:
-            self.seconds = min(self.seconds * INCREASE_FACTOR, self.maximum)
+        if idle_time > self.current / 2:
+            self.current = min(self.current * INCREASE_FACTOR, self.maximum)
--- a/tests/test_body_streaming.py
+++ b/tests/test_body_streaming.py
@@ -122,7 +122,7 @@
         client.send(request(1))
         await until(lambda: any(c.write_paused for c in harness.process.listener.connections))
         (upstream,) = harness.process.pool.connections
-        assert upstream.paused and upstream.stall is None
+        assert upstream.is_reading_paused and upstream.read_timer is None
         (connection,) = harness.process.listener.connections
         assert connection.transport is not None
         unread_bytes = connection.transport.get_write_buffer_size()
--- a/tests/test_client_disconnect.py
+++ b/tests/test_client_disconnect.py
@@ -86,7 +86,7 @@
                 lambda: dispatcher.pool.endpoints["b0"].address[1] == int(full_listener.address.split(":")[1])
             )
             client.send(request(9))
-            await until(lambda: bool(dispatcher.pool.connecting))
+            await until(lambda: bool(dispatcher.pool.connecting_attempts))
         else:
             harness.backends[0].script = [reset_connection]
             client.send(request(9))
@@ -94,7 +94,7 @@
             await discovery.publish(discovery.entry("b1", full_listener.address))
             await until(lambda: "b1" in dispatcher.pool.endpoints)
             break_attempt.set()
-            await until(lambda: bool(dispatcher.pool.connecting))
+            await until(lambda: bool(dispatcher.pool.connecting_attempts))
         yield harness, client
     full_listener.close()
 
@@ -114,7 +114,7 @@
             client.writer.close()
         else:
             client.reset()
-        await until(lambda: not dispatcher.active_requests and not dispatcher.pool.connecting)
+        await until(lambda: not dispatcher.active_requests and not dispatcher.pool.connecting_attempts)
         harness.counter.replies_enabled.set()
         await until(lambda: not limiter.awaiting_reading)
         assert (
--- a/tests/test_connection_faults.py
+++ b/tests/test_connection_faults.py
@@ -119,7 +119,7 @@
         (idle,) = harness.process.pool.connections
         for writer in harness.backends[0].open_writers:
             writer.write(b"HTTP/1.1 2")
-        idle.endpoint.drop_idle()
+        idle.endpoint.close_all_idle()
         status, _, body = await client.exchange(request(2))
         assert (status, body) == (200, b"served 0000000000000002")
         assert harness.backends[0].connection_count == 2
--- a/tests/test_connection_pool.py
+++ b/tests/test_connection_pool.py
@@ -25,18 +25,18 @@
     async with connecting_forever() as sender:
         started = sender.start(0.05 if cause == "timed out" else 20.0)
         await asyncio.sleep(0)
-        assert sender.pool.connecting
+        assert sender.pool.connecting_attempts
         match cause:
             case "draining":
-                sender.pool.retire("b")
+                sender.pool.retire_endpoint("b")
             case "removed":
-                sender.pool.retain_only([])
+                sender.pool.retain_only_endpoints([])
             case "ended":
                 started.attempt.end(AttemptResult(Outcome.NOT_SENT))
         assert (await started.result).outcome.proves_not_executed
         await asyncio.sleep(0)
-        assert not sender.pool.connecting and not sender.pool.connections
-        assert not started.attempt.written
+        assert not sender.pool.connecting_attempts and not sender.pool.connections
+        assert not started.attempt.is_sending_started
 
 
 @pytest.mark.parametrize(("send_timeout", "outcome"), [(1.0, Outcome.CONNECT_FAILED), (3.0, Outcome.SUCCESS)])
@@ -51,7 +51,7 @@
         pool.clock = lambda: clock() + connect_time
         started = new_attempt(pool)
         started.attempt.send_deadline = started.attempt.started_at + send_timeout
-        pool.start(started.attempt)
+        pool.start_attempt(started.attempt)
         connect_time = 2.0
         assert (await started.result).outcome is outcome
         assert len(endpoint.requests) == (outcome is Outcome.SUCCESS)
@@ -73,7 +73,7 @@
         now = 10.0
         assert await sender.outcome() is Outcome.SUCCESS and endpoint.connection_count == 2
         now = 16.0
-        sender.pool.sweep()
+        sender.pool.close_expired_connections()
         await endpoint.wait_until(lambda: endpoint.closed_count == 2)
 
 
@@ -89,12 +89,12 @@
         await peer.wait_until(lambda: len(peer.requests) == 2)
         assert await sender.outcome() is Outcome.SUCCESS  # on a third connection, idle from now on
         endpoint = sender.pool.endpoints["b"]
-        assert len(endpoint.idle) == 1
+        assert len(endpoint.idle_connections) == 1
         attempt = next(c.attempt for c in sender.pool.connections if c.attempt is not None)
         attempt.time_out()
-        assert not endpoint.idle and (first.result.done() or second.result.done())
+        assert not endpoint.idle_connections and (first.result.done() or second.result.done())
         assert await sender.outcome() is Outcome.SUCCESS and peer.connection_count == 4
-        sender.pool.set_address("b", sender.pool.endpoints["b"].address, 7.0)
+        sender.pool.set_endpoint("b", sender.pool.endpoints["b"].address, 7.0)
         assert await sender.outcome() is Outcome.SUCCESS and peer.connection_count == 5
 
 
@@ -109,8 +109,8 @@
         first.attempt.end(AttemptResult(Outcome.CANCELLED))
         await endpoint.wait_until(lambda: endpoint.closed_count == 1)
         assert await sender.outcome() is Outcome.SUCCESS
-        sender.pool.set_address("c", sender.pool.endpoints["b"].address)
-        sender.pool.start(new_attempt(sender.pool, "c").attempt)
+        sender.pool.set_endpoint("c", sender.pool.endpoints["b"].address)
+        sender.pool.start_attempt(new_attempt(sender.pool, "c").attempt)
         await endpoint.wait_until(lambda: endpoint.closed_count >= 2)
 
 
@@ -128,7 +128,7 @@
         successor.script = [respond_with(http_response(200, b"new"))]
         started = sender.start()
         await former.wait_until(lambda: len(former.requests) == 1)
-        sender.pool.set_address("b", address_of(successor))
+        sender.pool.set_endpoint("b", address_of(successor))
         released.set()
         assert (await started.result).body == b"old"
         await former.wait_until(lambda: former.closed_count == 1)
@@ -149,6 +149,6 @@
         now = 9.0  # idle for less time than the stale connection was, but over the new timeout
         assert await sender.outcome() is Outcome.SUCCESS and endpoint.connection_count == 3
         now = 11.0
-        before = sender.pool.idle_timeout.seconds
+        before = sender.pool.idle_timeout.current
         assert await sender.outcome() is Outcome.SUCCESS and endpoint.connection_count == 3
-        assert before < sender.pool.idle_timeout.seconds < 30.0  # a live connection raises it again
+        assert before < sender.pool.idle_timeout.current < 30.0  # a live connection raises it again
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -114,17 +114,17 @@
         (connection,) = pool.connections
         attempt = new_attempt(pool).attempt
         now = pool.clock()
-        pool.check_send(attempt, endpoint, now)
+        pool.check_send_invariants(attempt, endpoint, now)
         assert not any(pool.invariants.violations.values())
         attempt.connection = connection
         assert attempt.owner is not None
         owner = attempt.owner
         owner.client_deadline = now - 1.0
         owner.attempt_start_deadline = now - 1.0
-        pool.retire(endpoint.endpoint_id)
-        pool.check_send(attempt, endpoint, now)
+        pool.retire_endpoint(endpoint.endpoint_id)
+        pool.check_send_invariants(attempt, endpoint, now)
         owner.answered = True
-        pool.check_send(attempt, endpoint, now)
+        pool.check_send_invariants(attempt, endpoint, now)
         counts = pool.invariants.violations
         assert {name for name, count in counts.items() if count} == {
             Invariant.SENT_ONCE,
--- a/tests/test_no_attempt_after_disconnect.py
+++ b/tests/test_no_attempt_after_disconnect.py
@@ -180,7 +180,7 @@
     """Send a request whose first attempt waits for a connection."""
     virtual_clock_loop().connect_delays = {port_of(b): connect_time for b in harness.backends}
     client.send(text)
-    await until(lambda: bool(harness.process.pool.connecting))
+    await until(lambda: bool(harness.process.pool.connecting_attempts))
 
 
 async def wait_for_backend(
@@ -195,7 +195,7 @@
     if state == "reconnecting":
         virtual_clock_loop().connect_delays = {port_of(b): connect_time for b in harness.backends}
         event.set()
-        await until(lambda: bool(harness.process.pool.connecting))
+        await until(lambda: bool(harness.process.pool.connecting_attempts))
     return event.set
 
 
@@ -243,7 +243,7 @@
                 delays.extend(t - disconnected_at for t in attempt_starts(case.harness))
                 dispatcher = case.harness.process.dispatcher
                 assert not dispatcher.engine.forwarder.requests and not dispatcher.active_requests
-                assert not case.harness.process.pool.connecting
+                assert not case.harness.process.pool.connecting_attempts
                 for limiter in dispatcher.engine.limiter_registry.limiters.values():
                     assert limiter.queued_units == 0 and not limiter.queue and not limiter.in_flight
             virtual_clock_loop().connect_delays = {}
--- a/tests/test_upstream_connections.py
+++ b/tests/test_upstream_connections.py
@@ -105,7 +105,7 @@
 
     server = await asyncio.start_server(read_a_little, HOST, 0, limit=16)
     async with sending() as (sender, _):
-        sender.pool.set_address("b", server.sockets[0].getsockname())
+        sender.pool.set_endpoint("b", server.sockets[0].getsockname())
         started = sender.start(body=b"x" * 30_000_000)
         assert (await started.result).outcome is Outcome.CONNECT_FAILED
     server.close()
@@ -208,13 +208,13 @@
 @pytest.mark.parametrize(
     ("response", "read_timeout"),
     [(response, 1000.0) for response in INVALID_RESPONSES]
-    + [(response, connection.READ_TIMEOUT) for response in STALLED_RESPONSES],
+    + [(response, connection.RESPONSE_READ_TIMEOUT) for response in STALLED_RESPONSES],
 )
 async def test_invalid_response_ends_the_attempt_long_before_its_deadline(
     response: bytes, read_timeout: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # The attempt waited for each of these until its deadline, and the request failed with it.
-    monkeypatch.setattr(connection, "READ_TIMEOUT", read_timeout)
+    monkeypatch.setattr(connection, "RESPONSE_READ_TIMEOUT", read_timeout)
     async with sending(respond_with(response)) as (sender, endpoint):
         assert await sender.outcome(1000.0) is Outcome.BROKEN_RESPONSE
         await endpoint.wait_until(lambda: endpoint.closed_count == 1)
--- a/tests/upstream_harness.py
+++ b/tests/upstream_harness.py
@@ -70,7 +70,7 @@
 
     def start(self, timeout: float = ATTEMPT_TIMEOUT, body: bytes = REQUEST_BODY) -> StartedAttempt:
         started = new_attempt(self.pool, timeout=timeout, body=body)
-        self.pool.start(started.attempt)
+        self.pool.start_attempt(started.attempt)
         return started
 
     async def result(self) -> AttemptResult:
@@ -121,7 +121,7 @@
     await endpoint.start()
     endpoint.script = list(script)
     pool = ConnectionPool(asyncio.get_running_loop().time, CONNECT_TIMEOUT, keepalive, MAX_CONNECTIONS)
-    pool.set_address(ENDPOINT_ID, address_of(endpoint))
+    pool.set_endpoint(ENDPOINT_ID, address_of(endpoint))
     yield AttemptSender(pool), endpoint
     pool.close()
     await endpoint.stop()
@@ -135,7 +135,7 @@
         listener.listen(0)
         filler.connect(listener.getsockname())
         pool = ConnectionPool(asyncio.get_running_loop().time, 30.0, KEEPALIVE_TIMEOUT, MAX_CONNECTIONS)
-        pool.set_address(ENDPOINT_ID, listener.getsockname())
+        pool.set_endpoint(ENDPOINT_ID, listener.getsockname())
         yield AttemptSender(pool)
         pool.close()
 
