--- a/quota_gateway/admin/server.py
+++ b/quota_gateway/admin/server.py
@@ -8,7 +8,7 @@
 from quota_gateway.admin.operations import AdminOperations
 from quota_gateway.sockets.acceptor import Acceptor
 from quota_gateway.sockets.addresses import Address
-from quota_gateway.sockets.listening import bind
+from quota_gateway.sockets.listening import bind_listener
 
 MAX_CONNECTIONS = 16  # concurrent connections; far more than operators' tools need
 ACCEPT_RETRY_DELAY = 0.02  # seconds before a retry after descriptors ran out; some are free by then
@@ -33,7 +33,7 @@
 
     def listen(self, address: Address) -> None:
         """Accept connections at a host and port; raises OSError if they can't be bound."""
-        self._acceptor.start(bind(address))
+        self._acceptor.start(bind_listener(address))
 
     def close(self) -> None:
         """Close the listening socket and abort all connections."""
--- a/quota_gateway/body_streaming.py
+++ b/quota_gateway/body_streaming.py
@@ -18,7 +18,7 @@
 LAST_CHUNK = b"0\r\n\r\n"  # final chunk of a body with chunked transfer coding
 
 
-def chunk(data: bytes) -> bytes:
+def encode_chunk(data: bytes) -> bytes:
     """Encode `data`, which must not be empty, as one chunk of the chunked transfer coding."""
     return b"%x\r\n%b\r\n" % (len(data), data)
 
@@ -31,9 +31,9 @@
     """Buffer between the client connection that receives a request body and the attempt that forwards it.
 
     Only one attempt can forward the body. The downstream side calls `feed` and `finish`; the upstream side
-    calls `next_chunk` and `take_end`. Three callbacks notify the other side: `on_capacity` when a full buffer
-    has space again, `on_data` when there is data to forward or the body is complete, and `on_first_read`
-    before the first data is taken, after which the body cannot be sent again.
+    calls `next_chunk` and `take_last_chunk`. Three callbacks notify the other side: `on_space_available` when
+    a full buffer has space again, `on_data` when there is data to forward or the body is complete, and
+    `on_first_read` before the first data is taken, after which the body cannot be sent again.
     """
 
     def __init__(self, length: int | None, budget: float) -> None:
@@ -49,18 +49,18 @@
         self.is_complete = False  # the client has sent the last byte of the body
         self.has_been_read = False  # the upstream side has taken some of the body
         self.last_chunk_taken = False  # the upstream side has taken the final chunk
-        self.on_capacity: Callable[[], None] = _ignore_notification
+        self.on_space_available: Callable[[], None] = _ignore_notification
         self.on_data: Callable[[], None] = _ignore_notification
         self.on_first_read: Callable[[], None] = _ignore_notification
 
     @property
-    def framing(self) -> bytes:
+    def framing_header(self) -> bytes:
         """The header line that tells the endpoint how the body is framed."""
         if self.length is None:
             return b"Transfer-Encoding: chunked\r\n"
         return b"Content-Length: %d\r\n" % self.length
 
-    def take_end(self) -> bytes:
+    def take_last_chunk(self) -> bytes:
         """Take the final chunk of a chunked body; empty if it was taken before or the body is not chunked."""
         if self.length is not None or self.last_chunk_taken:
             return b""
@@ -93,8 +93,8 @@
         data = self.chunks.popleft()
         self.buffered_bytes -= len(data)
         if was_full and not self.is_full():
-            self.on_capacity()
-        return chunk(data) if self.length is None else data
+            self.on_space_available()
+        return encode_chunk(data) if self.length is None else data
 
 
 @dataclass(frozen=True, slots=True)
--- a/quota_gateway/configuration/file.py
+++ b/quota_gateway/configuration/file.py
@@ -10,7 +10,7 @@
 
 from quota_gateway.configuration.connection_limits import ConnectionLimits, read_connection_limits
 from quota_gateway.configuration.settings_reader import read_settings
-from quota_gateway.discovery.endpoint_update import EndpointUpdate, read_endpoint_update
+from quota_gateway.discovery.endpoint_update import EndpointUpdate, parse_endpoint_update
 from quota_gateway.errors import ConfigurationError, EndpointListError
 from quota_gateway.model.endpoints import EndpointListKind
 from quota_gateway.model.settings import Settings
@@ -88,7 +88,7 @@
         shared_folder=environment.get(SHARED_FOLDER_VARIABLE) or None,
         seed=int(content["seed"], SEED_BASE),
         max_descriptors=_descriptor_limit(content),
-        cached_endpoints=read_endpoint_update(content["known"], EndpointListKind.CACHED),
+        cached_endpoints=parse_endpoint_update(content["known"], EndpointListKind.CACHED),
         settings=settings,
         connection_limits=read_connection_limits(content["settings"]),
     )
--- a/quota_gateway/configuration/reload.py
+++ b/quota_gateway/configuration/reload.py
@@ -88,11 +88,11 @@
         previous = self.addresses
         self.addresses = addresses
         if addresses.discovery is not None and addresses.discovery != previous.discovery:
-            self.discovery.move(addresses.discovery)
+            self.discovery.change_address(addresses.discovery)
         if self.counter is None or addresses.counter is None:
             return
         if addresses.counter != previous.counter:
-            self.counter.move(addresses.counter)
+            self.counter.change_address(addresses.counter)
 
 
 def reloadable_addresses(configuration: Configuration) -> ReloadableAddresses:
--- a/quota_gateway/counter/client.py
+++ b/quota_gateway/counter/client.py
@@ -49,7 +49,8 @@
         self.fastest_reply = 0.0  # seconds that the fastest reply took, late ones included; 0 before any
         self.loop = asyncio.get_running_loop()
         self.connections: list[CounterConnection | None] = [None] * CONNECTION_COUNT
-        self.closing: set[CounterConnection] = set()  # connections to a former address that are draining
+        # Connections to a former address that are draining
+        self.draining_connections: set[CounterConnection] = set()
         self.connect_tasks: set[asyncio.Task[None]] = set()
 
     @property
@@ -61,14 +62,14 @@
         """
         return max(self.timeout, REPLY_TIMEOUT_FACTOR * self.fastest_reply)
 
-    def add(self, name: str, amount: float, expire_after: float) -> None:
+    def increment(self, name: str, amount: float, expire_after: float) -> None:
         """Add `amount` to the total of `name`, which the counter may discard after `expire_after` seconds."""
         now = self.clock()
         call = CounterCall(name, _encode_add(name, amount, expire_after), now)
         call.timer = self.loop.call_later(self.reply_timeout, self.time_out, call)
         self._connection_for(name, now).send(call)
 
-    def move(self, address: Address) -> None:
+    def change_address(self, address: Address) -> None:
         """Send further calls to another address; calls in flight stay on their connections."""
         self.address = address
         self.fastest_reply = 0.0  # unknown for the new address
@@ -76,14 +77,14 @@
         self.connections = [None] * CONNECTION_COUNT
         for connection in former_connections:
             if connection is not None and not connection.closed:
-                self.closing.add(connection)
+                self.draining_connections.add(connection)
                 connection.drain()
                 # all its calls have timed out by then
                 self.loop.call_later(DRAIN_TIMEOUT_FACTOR * self.timeout, connection.close)
 
     def close(self) -> None:
         """Abort all connections, including those that are being opened."""
-        for connection in (*self.connections, *self.closing):
+        for connection in (*self.connections, *self.draining_connections):
             if connection is not None:
                 connection.close()
         for task in self.connect_tasks:
@@ -113,7 +114,7 @@
 
     def connection_ended(self, connection: CounterConnection) -> None:
         """Remove a closed connection from those to a former address."""
-        self.closing.discard(connection)
+        self.draining_connections.discard(connection)
 
     def _connection_for(self, name: str, now: float) -> CounterConnection:
         # the hash is of the customer, the first part of the name, so that a customer's calls stay in order
--- a/quota_gateway/discovery/client.py
+++ b/quota_gateway/discovery/client.py
@@ -39,7 +39,7 @@
         self.schedule = schedule
         self.on_descriptor_exhaustion = on_descriptor_exhaustion
         # set by the first update or rejection: after a rejection, waiting on would not bring a list sooner
-        self.answered = asyncio.Event()
+        self.first_response_received = asyncio.Event()
         self.pollers: list[EndpointPoller] = []  # the active poller, then its replacement, if any
 
     def start(self) -> None:
@@ -52,12 +52,12 @@
             self.handle_update,
             generation=known_generation,
             schedule=self.schedule,
-            on_unavailable=self.answered.set,
+            on_unavailable=self.first_response_received.set,
             on_descriptor_exhaustion=self.on_descriptor_exhaustion,
         )
         self.pollers.append(poller)
 
-    def move(self, address: Address) -> None:
+    def change_address(self, address: Address) -> None:
         """Switch to the agent at another address once it sends its first update."""
         self.address = address
         for superseded in self.pollers[1:]:
@@ -71,7 +71,7 @@
         for replaced in self.pollers[: self.pollers.index(poller)]:
             replaced.stop()
             self.pollers.remove(replaced)
-        self.answered.set()
+        self.first_response_received.set()
         self.on_update(update)
 
     def stop(self) -> None:
--- a/quota_gateway/discovery/endpoint_update.py
+++ b/quota_gateway/discovery/endpoint_update.py
@@ -46,14 +46,14 @@
 def decode_endpoint_update(body: bytes) -> EndpointUpdate:
     """Decode the body of a discovery response; raises EndpointListError if it is no valid list."""
     try:
-        return read_endpoint_update(json.loads(body))
+        return parse_endpoint_update(json.loads(body))
     except ValueError as error:
         raise EndpointListError(f"invalid JSON: {error}") from error
     except RecursionError as error:
         raise EndpointListError("the JSON is nested too deeply") from error
 
 
-def read_endpoint_update(document: Any, kind: EndpointListKind | None = None) -> EndpointUpdate:
+def parse_endpoint_update(document: Any, kind: EndpointListKind | None = None) -> EndpointUpdate:
     """Convert an endpoint list in discovery's JSON form; EndpointListError names the invalid field.
 
     Without a `kind`, the document's `reset` field tells the full list from changes to it.
@@ -66,7 +66,7 @@
     return EndpointUpdate(kind, _required_field(document, "generation", int), entries)
 
 
-def read_endpoint_entry(instance: Any) -> EndpointEntry:
+def parse_endpoint_entry(instance: Any) -> EndpointEntry:
     """Convert one element of `instances`; EndpointListError names the invalid field."""
     status = _required_field(instance, "lifecycle", ENDPOINT_STATUSES.__getitem__)
     endpoint = Endpoint(
@@ -85,7 +85,7 @@
 
 def _read_instance(instance: Any, index: int) -> EndpointEntry:
     try:
-        return read_endpoint_entry(instance)
+        return parse_endpoint_entry(instance)
     except EndpointListError as error:
         raise EndpointListError(f"instances[{index}]: {error}") from error
 
--- a/quota_gateway/dispatch/action_executor.py
+++ b/quota_gateway/dispatch/action_executor.py
@@ -130,7 +130,7 @@
         """Send a final response without a body, unless the request has already been answered."""
         active_request = self._registry.find_unanswered(request_id)
         if active_request is not None:
-            self._metrics.answers_without_endpoint[reason] += 1
+            self._metrics.local_responses[reason] += 1
             if self._request_log.enabled:
                 self._request_log.answered(active_request, status, reason)
             self._registry.finish(active_request, status, b"", headers)
@@ -145,4 +145,4 @@
         if counter is None:
             self._context.post(CounterReply(action.name, Outcome.CONNECT_FAILED, 0.0, 0.0))
         else:
-            counter.add(action.name, action.amount, action.expire_after)
+            counter.increment(action.name, action.amount, action.expire_after)
--- a/quota_gateway/dispatch/request_registry.py
+++ b/quota_gateway/dispatch/request_registry.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from quota_gateway.dispatch.active_request import ActiveRequest
-from quota_gateway.invariants import ANSWER_SLACK, Invariant, InvariantMonitor
+from quota_gateway.invariants import RESPONSE_SLACK, Invariant, InvariantMonitor
 from quota_gateway.metrics import Metrics
 
 
@@ -45,14 +45,14 @@
     ) -> None:
         """Answer a request; a status of None sends nothing, since the client has disconnected."""
         if active_request.answered:
-            self._invariants.violated(Invariant.ANSWERED_ONCE, active_request.request.call_id)
+            self._invariants.record_violation(Invariant.ANSWERED_ONCE, active_request.request.call_id)
             return
         active_request.answered = True
         self.unanswered_count -= 1
         if status is not None:
             self._check_response_time(active_request)
         if status is not None:
-            self._metrics.request_ended(active_request.request.request_class, status)
+            self._metrics.record_request(active_request.request.request_class, status)
         if not self.unanswered_count:
             self._all_answered.set()
         active_request.stop_watchdog()
@@ -62,14 +62,14 @@
     def _check_response_time(self, active_request: ActiveRequest) -> None:
         """Check that a response is in time.
 
-        It must be sent within ANSWER_SLACK of the client's deadline, or of when the request was read if that
-        was later. A streamed response has no deadline.
+        It must be sent within RESPONSE_SLACK of the client's deadline, or of when the request was read if
+        that was later. A streamed response has no deadline.
         """
-        missed_before = self._clock() - ANSWER_SLACK
+        missed_before = self._clock() - RESPONSE_SLACK
         if missed_before <= active_request.client_deadline or missed_before <= active_request.request.read_at:
             return
         if active_request.streaming_attempt is None:
-            self._invariants.violated(Invariant.ANSWERED_IN_TIME, active_request.request.call_id)
+            self._invariants.record_violation(Invariant.ANSWERED_IN_TIME, active_request.request.call_id)
 
     def remove_if_complete(self, active_request: ActiveRequest) -> None:
         """Remove a request that is answered and has no attempt in flight."""
--- a/quota_gateway/downstream/client_connection.py
+++ b/quota_gateway/downstream/client_connection.py
@@ -200,7 +200,7 @@
         """Check the invariant that a connection closes with no request unanswered."""
         unanswered = list(self.responses.unanswered())
         if unanswered:
-            self.listener.dispatcher.invariants.violated(Invariant.CLOSED_ANSWERED, unanswered)
+            self.listener.dispatcher.invariants.record_violation(Invariant.CLOSED_ANSWERED, unanswered)
 
     def is_idle(self) -> bool:
         """Return True if the connection is open and no request is in flight or partly read."""
--- a/quota_gateway/downstream/request_handler.py
+++ b/quota_gateway/downstream/request_handler.py
@@ -109,7 +109,7 @@
         connection.responses.append(writer)
         self.body_stream = request.body_stream
         if self.body_stream is not None:
-            self.body_stream.on_capacity = self.handle_body_capacity
+            self.body_stream.on_space_available = self.handle_body_capacity
             for data in self.body:
                 self.body_stream.feed(data)
         self.body = []
--- a/quota_gateway/downstream/response_writer.py
+++ b/quota_gateway/downstream/response_writer.py
@@ -5,7 +5,7 @@
 import asyncio
 from typing import Protocol
 
-from quota_gateway.body_streaming import LAST_CHUNK, ResponseHead, StreamSource, chunk
+from quota_gateway.body_streaming import LAST_CHUNK, ResponseHead, StreamSource, encode_chunk
 
 REASON_PHRASES = {
     200: b"OK",
@@ -115,7 +115,7 @@
 
     def write_body(self, data: bytes) -> None:
         """Send a part of a streamed body."""
-        self.write(chunk(data) if self.chunked else data)
+        self.write(encode_chunk(data) if self.chunked else data)
 
     def write(self, data: bytes) -> None:
         """Write to the transport, or buffer until all earlier responses are written."""
--- a/quota_gateway/gateway_process.py
+++ b/quota_gateway/gateway_process.py
@@ -26,7 +26,7 @@
 from quota_gateway.model.events import SetDraining, SetMaintenance
 from quota_gateway.shutdown import ACCEPT_WINDOW, GracefulShutdown, shutdown_timeout_for
 from quota_gateway.sockets.addresses import format_address
-from quota_gateway.sockets.listening import bind_when_possible, inherit
+from quota_gateway.sockets.listening import bind_with_retry, inherit_listener
 from quota_gateway.upstream.connection_pool import ConnectionPool
 
 BIND_TIMEOUT = 8.0  # seconds to retry binding the listening address; a gateway should be ready within 10 s
@@ -36,7 +36,7 @@
 log = logging.getLogger("quota_gateway")
 
 
-def start_clock() -> Callable[[], float]:
+def create_clock() -> Callable[[], float]:
     """Return a clock of Unix time in seconds that is not affected by changes of the system time.
 
     Gateways compare quota periods and endpoints' start times, so plain monotonic time cannot be used.
@@ -54,7 +54,7 @@
         settings = configuration.settings
         limits = configuration.connection_limits
         descriptors = divide_descriptors(configuration.max_descriptors)
-        clock = start_clock()
+        clock = create_clock()
         self.loop = asyncio.get_running_loop()
         self.listen_address = configuration.listen_address
         self.listen_descriptor = configuration.listen_descriptor
@@ -121,11 +121,11 @@
         """Return None if hot restart is unavailable: it needs an inherited socket and a shared folder."""
         if configuration.listen_descriptor is None or configuration.shared_folder is None:
             return None
-        self.dispatcher.report_units = self.forward_units
+        self.dispatcher.report_units = self.broadcast_charged_units
         return HotRestartCoordinator(
             configuration.shared_folder,
             self.dispatcher,
-            self.discovery.answered,
+            self.discovery.first_response_received,
             self.listener.set_superseded,
         )
 
@@ -157,7 +157,7 @@
         if self.hot_restart is not None:
             self.hot_restart.broadcast(SetDraining(enabled))
 
-    def forward_units(self, charged: UnitsCharged) -> None:
+    def broadcast_charged_units(self, charged: UnitsCharged) -> None:
         """Report units charged by this process to the other process of a hot restart."""
         if self.hot_restart is not None:
             self.hot_restart.broadcast(charged)
@@ -178,7 +178,7 @@
         """Start serving; raise OSError if the listening address or descriptor cannot be used."""
         self._start_admin_server()
         if self.listen_descriptor is None:
-            self.listener.listen(await bind_when_possible(self.listen_address, BIND_TIMEOUT))
+            self.listener.listen(await bind_with_retry(self.listen_address, BIND_TIMEOUT))
         self.discovery.start()
         restore_task = None
         if self.hot_restart is not None:
@@ -190,7 +190,7 @@
         if self.listen_descriptor is not None:
             # until now an older process accepted connections; if it still responds, it has emptied the queue
             has_acceptor = self.hot_restart is not None and self.hot_restart.is_older_alive()
-            self.listener.listen(inherit(self.listen_descriptor), is_queue_old=not has_acceptor)
+            self.listener.listen(inherit_listener(self.listen_descriptor), is_queue_old=not has_acceptor)
         if self.hot_restart is not None:
             self.hot_restart.announce_serving()
 
@@ -212,7 +212,7 @@
         """Wait for the first answer of discovery; the cached endpoint list is used if it is late."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(self.first_list_timeout):
-                await self.discovery.answered.wait()
+                await self.discovery.first_response_received.wait()
 
     async def stop(self, accept_window: float = ACCEPT_WINDOW, shutdown_timeout: float | None = None) -> None:
         """Shut down gracefully: wait until every received request has its response, then close everything.
--- a/quota_gateway/invariants.py
+++ b/quota_gateway/invariants.py
@@ -10,11 +10,11 @@
 from enum import StrEnum
 
 # Seconds by which the time budget sent to an endpoint may exceed what the client has left
-DEADLINE_SLACK = 0.15
+TIME_BUDGET_SLACK = 0.15
 # Seconds that may pass between the check for a half-closed client and the write of an attempt
-START_SLACK = 0.05
+HALF_CLOSE_SLACK = 0.05
 # Seconds after a client's deadline within which a final response still counts as in time
-ANSWER_SLACK = 0.5
+RESPONSE_SLACK = 0.5
 
 log = logging.getLogger("quota_gateway")
 
@@ -40,7 +40,7 @@
         """Initialize the counts to zero."""
         self.violations = dict.fromkeys(Invariant, 0)
 
-    def violated(self, invariant: Invariant, subject: object) -> None:
+    def record_violation(self, invariant: Invariant, subject: object) -> None:
         """Count and log a violation by `subject`, such as a request id or the head of an attempt."""
         self.violations[invariant] += 1
         log.error("invariant %s is violated by %s", invariant, subject)
--- a/quota_gateway/metrics.py
+++ b/quota_gateway/metrics.py
@@ -28,13 +28,13 @@
         self.success = dict.fromkeys(request_classes, 0)
         self.overload = dict.fromkeys(self.success, 0)
         self.error = dict.fromkeys(self.success, 0)
-        self.answers_without_endpoint = dict.fromkeys(Reason, 0)
+        self.local_responses = dict.fromkeys(Reason, 0)
         self.attempts_refused = dict.fromkeys(RefusalReason, 0)
         self.attempts_ended = dict.fromkeys(Outcome, 0)
         self.reload_success = 0
         self.reload_failure = 0
 
-    def request_ended(self, request_class: str, status: int) -> None:
+    def record_request(self, request_class: str, status: int) -> None:
         """Count a request, once, by the status of its final response; raise KeyError for an unknown class."""
         if status in SUCCESS_STATUSES:
             self.success[request_class] += 1
@@ -54,7 +54,7 @@
         """Return the counters and the current `gauges`, one `name=value` per line."""
         counters = {"success": self.success, "overload": self.overload, "error": self.error}
         lines = [line for name, counts in counters.items() for line in format_counters(name, counts)]
-        lines += format_counters("rejected", self.answers_without_endpoint)
+        lines += format_counters("rejected", self.local_responses)
         lines += format_counters("attempts_refused", self.attempts_refused)
         ended_counts = {outcome.name.lower(): count for outcome, count in self.attempts_ended.items()}
         lines += format_counters("attempts_ended", ended_counts)
--- a/quota_gateway/sockets/listening.py
+++ b/quota_gateway/sockets/listening.py
@@ -12,7 +12,7 @@
 BACKLOG = 1024  # connections that the kernel queues in a burst until the event loop accepts them
 
 
-def bind(address: Address) -> socket.socket:
+def bind_listener(address: Address) -> socket.socket:
     """Return a non-blocking socket that listens at `address`, over IPv6 if its host contains a colon.
 
     Raises OSError if the address is in use or does not belong to this machine.
@@ -29,8 +29,8 @@
     return listener
 
 
-async def bind_when_possible(address: Address, timeout: float) -> socket.socket:
-    """Return a listening socket as `bind` does; transient errors are retried for `timeout` seconds.
+async def bind_with_retry(address: Address, timeout: float) -> socket.socket:
+    """Return a listening socket as `bind_listener` does; transient errors are retried for `timeout` seconds.
 
     Raises OSError for an error that is not transient, or that persists until then.
     """
@@ -38,14 +38,14 @@
     retry_until = loop.time() + timeout
     while True:
         try:
-            return bind(address)
+            return bind_listener(address)
         except OSError as error:
             if not is_transient(error) or loop.time() >= retry_until:
                 raise
         await asyncio.sleep(RETRY_DELAY)
 
 
-def inherit(descriptor: int) -> socket.socket:
+def inherit_listener(descriptor: int) -> socket.socket:
     """Return the listening socket at `descriptor`, opened by the platform, as a non-blocking socket.
 
     Other processes accept from the same socket: closing it here leaves its queued connections to them.
--- a/quota_gateway/upstream/connection.py
+++ b/quota_gateway/upstream/connection.py
@@ -117,7 +117,7 @@
             transport.write(chunk)
         if self._is_writing_paused or body_stream.chunks or not body_stream.is_complete:
             return
-        if end := body_stream.take_end():
+        if end := body_stream.take_last_chunk():
             transport.write(end)
 
     def pause_writing(self) -> None:
@@ -250,7 +250,7 @@
         framing = b""
         time_budget = attempt.time_budget(now)
     else:
-        framing = body_stream.framing
+        framing = body_stream.framing_header
         time_budget = body_stream.time_budget
     return b"%b%bX-Budget: %.3f\r\n\r\n%b" % (attempt.head, framing, time_budget, attempt.body)
 
--- a/quota_gateway/upstream/connection_pool.py
+++ b/quota_gateway/upstream/connection_pool.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Iterable
 
 from quota_gateway.body_streaming import READ_BUFFER_BYTES
-from quota_gateway.invariants import DEADLINE_SLACK, START_SLACK, Invariant, InvariantMonitor
+from quota_gateway.invariants import HALF_CLOSE_SLACK, TIME_BUDGET_SLACK, Invariant, InvariantMonitor
 from quota_gateway.model.outcomes import Outcome
 from quota_gateway.sockets.addresses import Address
 from quota_gateway.sockets.dialing import connect_with_retry, ignore_descriptor_exhaustion
@@ -158,21 +158,21 @@
     ) -> None:
         """Check the invariants of an attempt that is about to be written."""
         owner = attempt.owner
-        violated = self.invariants.violated
+        record_violation = self.invariants.record_violation
         if attempt.connection is not None:
-            violated(Invariant.SENT_ONCE, attempt.head)
+            record_violation(Invariant.SENT_ONCE, attempt.head)
         if self.endpoints.get(endpoint.endpoint_id) is not endpoint:
-            violated(Invariant.SENT_TO_LISTED, attempt.head)
+            record_violation(Invariant.SENT_TO_LISTED, attempt.head)
         if owner is None or owner.answered:
-            violated(Invariant.SENT_UNANSWERED, attempt.head)
+            record_violation(Invariant.SENT_UNANSWERED, attempt.head)
             return
         client_deadline = owner.client_deadline
         if now >= client_deadline:
-            violated(Invariant.SENT_IN_TIME, attempt.head)
-        if attempt.body_stream is None and attempt.deadline > client_deadline + DEADLINE_SLACK:
-            violated(Invariant.TOLD_IN_TIME, attempt.head)
-        if owner.attempt_start_deadline is not None and now > owner.attempt_start_deadline + START_SLACK:
-            violated(Invariant.SENT_TO_PRESENT, attempt.head)
+            record_violation(Invariant.SENT_IN_TIME, attempt.head)
+        if attempt.body_stream is None and attempt.deadline > client_deadline + TIME_BUDGET_SLACK:
+            record_violation(Invariant.TOLD_IN_TIME, attempt.head)
+        if owner.attempt_start_deadline is not None and now > owner.attempt_start_deadline + HALF_CLOSE_SLACK:
+            record_violation(Invariant.SENT_TO_PRESENT, attempt.head)
 
     # Connections.
 
--- a/tests/test_arrival_bound.py
+++ b/tests/test_arrival_bound.py
@@ -16,7 +16,7 @@
 
 @pytest.fixture(autouse=True)
 def virtual_clock(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("quota_gateway.gateway_process.start_clock", virtual_unix_clock)
+    monkeypatch.setattr("quota_gateway.gateway_process.create_clock", virtual_unix_clock)
 
 
 @pytest.fixture
--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -364,7 +364,7 @@
 async def test_a_body_that_stalls_after_a_slow_head_is_answered_within_three_seconds(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr("quota_gateway.gateway_process.start_clock", virtual_unix_clock)
+    monkeypatch.setattr("quota_gateway.gateway_process.create_clock", virtual_unix_clock)
     async with running_gateway() as harness:
         connected_at = virtual_clock_loop().now
         client = await harness.connect_client()
--- a/tests/test_connection_faults.py
+++ b/tests/test_connection_faults.py
@@ -40,7 +40,7 @@
         assert (await client.exchange(request(1)))[0] == 200
         counter = harness.process.dispatcher.counter
         assert counter is not None
-        counter.add("name.1", 1.0, 4.0)
+        counter.increment("name.1", 1.0, 4.0)
         async with asyncio.timeout(5.0):
             while not (harness.counter.increments and harness.process.admin.connections):  # noqa: ASYNC110
                 await asyncio.sleep(0)  # no event marks the gateway's internal state
@@ -74,7 +74,7 @@
 async def test_connection_established_after_the_connect_timeout_is_not_used(
     connect_time: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("quota_gateway.gateway_process.start_clock", virtual_unix_clock)
+    monkeypatch.setattr("quota_gateway.gateway_process.create_clock", virtual_unix_clock)
     async with running_gateway(
         backends=1, settings=high_quota_settings(dial_timeout=1000 * CONNECT_TIMEOUT)
     ) as harness:
--- a/tests/test_counter_client.py
+++ b/tests/test_counter_client.py
@@ -51,7 +51,7 @@
     async with connected_client() as (client, replies, server):
         server.replies_enabled.clear()
         for amount in (1.5, 2.0, -0.5):
-            client.add("c1.7", amount, 4.0)
+            client.increment("c1.7", amount, 4.0)
         server.replies_enabled.set()
         assert [(await replies.next())[2] for _ in range(3)] == [1.5, 3.5, 3.0]
         assert server.connection_count == 1
@@ -61,10 +61,10 @@
     # without its place in the order its total would be taken for the next call's
     async with connected_client(0.02) as (client, replies, server):
         server.replies_enabled.clear()
-        client.add("c1.7", 40.0, 4.0)
+        client.increment("c1.7", 40.0, 4.0)
         assert await replies.next() == ("c1.7", Outcome.TIMED_OUT, 0.0)
         client.timeout = 5.0
-        client.add("c1.7", 2.0, 4.0)
+        client.increment("c1.7", 2.0, 4.0)
         server.replies_enabled.set()
         assert await replies.next() == ("c1.7", Outcome.SUCCESS, 42.0)
         assert replies.queue.empty() and server.connection_count == 1
@@ -73,14 +73,14 @@
 async def test_a_stalled_connection_is_replaced_for_later_calls() -> None:
     async with connected_client(0.02) as (client, replies, server):
         server.replies_enabled.clear()
-        client.add("c1.7", 1.0, 4.0)
+        client.increment("c1.7", 1.0, 4.0)
         assert (await replies.next())[1] is Outcome.TIMED_OUT
         replies.now += 1.1 * STALL_FACTOR * client.timeout
         server.replies_enabled = asyncio.Event()  # the first connection gets no reply
         server.replies_enabled.set()
         client.timeout = 5.0
         replies.now += STALL_FACTOR * client.timeout
-        client.add("c1.7", 2.0, 4.0)
+        client.increment("c1.7", 2.0, 4.0)
         assert await replies.next() == ("c1.7", Outcome.SUCCESS, 3.0)
         assert server.connection_count == 2
 
@@ -97,16 +97,16 @@
 async def test_error_and_unknown_replies_have_their_outcome(reply: bytes, outcome: Outcome) -> None:
     async with connected_client() as (client, replies, server):
         server.scripted_replies = [reply]
-        client.add("c1.7", 1.0, 4.0)
+        client.increment("c1.7", 1.0, 4.0)
         assert (await replies.next())[1] is outcome
-        client.add("c1.7", 1.0, 4.0)
+        client.increment("c1.7", 1.0, 4.0)
         assert await replies.next() == ("c1.7", Outcome.SUCCESS, 2.0)
 
 
 async def test_a_written_call_on_a_connection_that_breaks_times_out_as_it_may_have_been_added() -> None:
     async with connected_client() as (client, replies, server):
         server.replies_enabled.clear()
-        client.add("c1.7", 1.0, 4.0)
+        client.increment("c1.7", 1.0, 4.0)
         await until(lambda: server.increments)
         for writer in list(server.open_writers):
             writer.transport.abort()
@@ -116,19 +116,19 @@
 async def test_a_call_without_a_connection_fails_as_not_added() -> None:
     async with connected_client() as (client, replies, server):
         await server.stop()
-        client.add("c1.7", 1.0, 4.0)
+        client.increment("c1.7", 1.0, 4.0)
         assert (await replies.next())[1] is Outcome.CONNECT_FAILED
 
 
 async def test_a_call_that_times_out_while_connecting_is_never_written() -> None:
     async with connected_client() as (client, replies, server):
         client.timeout = 0.0
-        client.add("c1.7", 1.0, 4.0)
+        client.increment("c1.7", 1.0, 4.0)
         connection = next(c for c in client.connections if c is not None)
         client.time_out(connection.pending[0])
         assert (await replies.next())[1] is Outcome.CONNECT_FAILED
         client.timeout = 5.0
-        client.add("c1.7", 2.0, 4.0)
+        client.increment("c1.7", 2.0, 4.0)
         assert (await replies.next())[2] == 2.0
         assert server.increments == [("c1.7", 2.0)]
 
@@ -136,10 +136,10 @@
 async def test_an_idle_connection_is_replaced() -> None:
     # the counter closes idle connections without notice: a call sent at that moment may or may not be added
     async with connected_client() as (client, replies, server):
-        client.add("c1.7", 1.0, 4.0)
+        client.increment("c1.7", 1.0, 4.0)
         await replies.next()
         replies.now += IDLE_TIMEOUT + 0.1
-        client.add("c1.7", 1.0, 4.0)
+        client.increment("c1.7", 1.0, 4.0)
         assert (await replies.next())[2] == 2.0 and server.connection_count == 2
 
 
@@ -154,7 +154,7 @@
     replies = ReplyRecorder()
     address = server.sockets[0].getsockname()
     client = CounterClient(lambda: replies.now, address, 5.0, 5.0, replies.queue.put_nowait)
-    client.add("c1.7", -2.5, 4.0)
+    client.increment("c1.7", -2.5, 4.0)
     assert await received == b"*4\r\n$7\r\nCNT.ADD\r\n$4\r\nc1.7\r\n$4\r\n-2.5\r\n$4\r\n4000\r\n"
     client.close()
     server.close()
@@ -177,11 +177,11 @@
     # later replies may belong to other calls; nan once passed for a total and corrupted a quota level
     async with connected_client() as (client, replies, server):
         server.scripted_replies = [reply]
-        client.add("c1.7", 3.0, 4.0)
-        client.add("c1.7", 4.0, 4.0)
+        client.increment("c1.7", 3.0, 4.0)
+        client.increment("c1.7", 4.0, 4.0)
         assert await replies.next() == ("c1.7", Outcome.TIMED_OUT, 0.0)
         assert await replies.next() == ("c1.7", Outcome.TIMED_OUT, 0.0)
-        client.add("c1.8", 5.0, 4.0)
+        client.increment("c1.8", 5.0, 4.0)
         assert await replies.next() == ("c1.8", Outcome.SUCCESS, 5.0) and server.connection_count == 2
 
 
@@ -190,16 +190,16 @@
         new_server = FakeCounter()
         await new_server.start()
         server.replies_enabled.clear()
-        client.add("c1.7", 3.0, 4.0)
+        client.increment("c1.7", 3.0, 4.0)
         await until(lambda: server.increments)
-        client.move(parse_address(new_server.address))
-        client.add("c1.7", 4.0, 4.0)
+        client.change_address(parse_address(new_server.address))
+        client.increment("c1.7", 4.0, 4.0)
         assert await replies.next() == ("c1.7", Outcome.SUCCESS, 4.0)
         server.replies_enabled.set()
         assert await replies.next() == ("c1.7", Outcome.SUCCESS, 3.0)
         assert server.increments == [("c1.7", 3.0)] and new_server.increments == [("c1.7", 4.0)]
         # the former connection is closed when its last call has its reply
-        await until(lambda: not client.closing and not server.open_writers)
+        await until(lambda: not client.draining_connections and not server.open_writers)
         await new_server.stop()
 
 
@@ -255,10 +255,10 @@
     )
     assert client.reply_timeout == 0.03
     for outcome in outcomes:
-        client.add("c1.7", 1.0, 4.0)
+        client.increment("c1.7", 1.0, 4.0)
         assert (await replies.get()).outcome.value == outcome
         await asyncio.sleep(0.4)  # a late reply has arrived by then
-    client.move(parse_address(server.address))
+    client.change_address(parse_address(server.address))
     assert client.reply_timeout == 0.03  # the latency of the new address is unknown
     client.close()
     await server.stop()
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from quota_gateway.discovery.endpoint_update import read_endpoint_update
+from quota_gateway.discovery.endpoint_update import parse_endpoint_update
 from quota_gateway.discovery.poll_schedule import poll_schedule_for
 from quota_gateway.errors import EndpointListError
 from quota_gateway.model.endpoints import EndpointListKind, EndpointStatus
@@ -41,7 +41,7 @@
 
     peer = RejectingDiscovery()
     async with following(peer, 1, poll_schedule_for(40, False, drain_timeout=2.0)) as (client, updates):
-        await client.answered.wait()  # what the start of the process waits for
+        await client.first_response_received.wait()  # what the start of the process waits for
         assert len(peer.request_lines) == 1
         assert updates.empty()
 
@@ -92,7 +92,7 @@
         await old.wait_for_requests(2)
         (old_poller,) = client.pollers
         async with new.state_changed:  # delays the new agent's response
-            client.move(parse_address(new.address))
+            client.change_address(parse_address(new.address))
             await old.publish(old.entry("a", "127.0.0.1:9", "DRAINING"))
             assert first_status(await updates.get()) is EndpointStatus.DRAINING
             new.entries = {"b": new.entry("b", "127.0.0.1:8")}
@@ -114,8 +114,8 @@
     async with following(old) as (client, updates):
         await updates.get()
         await old.wait_for_requests(2)
-        client.move(parse_address(unreachable.address))
-        client.move(parse_address(old.address))  # reverted, as after a mistake
+        client.change_address(parse_address(unreachable.address))
+        client.change_address(parse_address(old.address))  # reverted, as after a mistake
         await old.publish(old.entry("a", "127.0.0.1:9"))
         assert first_id(await updates.get()) == "a"
         assert len(client.pollers) == 1
@@ -177,5 +177,5 @@
 )
 def test_a_malformed_list_is_rejected_with_the_name_of_the_field(document: object, problem: str) -> None:
     with pytest.raises(EndpointListError) as raised:
-        read_endpoint_update(document)
+        parse_endpoint_update(document)
     assert str(raised.value) == problem
--- a/tests/test_endpoint_updates.py
+++ b/tests/test_endpoint_updates.py
@@ -173,7 +173,7 @@
         await new.start_fault(DiscoveryFault.SILENT)
         moved_at = asyncio.get_running_loop().time()
         for observer in observers:
-            observer.client.move(parse_address(new.address))
+            observer.client.change_address(parse_address(new.address))
         await asyncio.sleep(0.05)
         await new.end_fault(new.entry("a", ENDPOINT_ADDRESS, "DRAINING"))
         delays.append(await propagation_delay(observers, moved_at))
@@ -246,7 +246,7 @@
         settings["membership_mode"] = "on_request"
         settings["balancers"] = LARGE_FLEET
         with pytest.MonkeyPatch.context() as patch:
-            patch.setattr("quota_gateway.gateway_process.start_clock", virtual_unix_clock)
+            patch.setattr("quota_gateway.gateway_process.create_clock", virtual_unix_clock)
             await harness.start(settings, 1024)
         draining, serving = harness.backends
         await peer.start_fault(DiscoveryFault.UNAVAILABLE)
--- a/tests/test_held_up_process.py
+++ b/tests/test_held_up_process.py
@@ -117,7 +117,7 @@
 async def test_the_grace_period_of_a_half_closed_client_counts_from_its_close(
     state: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("quota_gateway.gateway_process.start_clock", virtual_unix_clock)
+    monkeypatch.setattr("quota_gateway.gateway_process.create_clock", virtual_unix_clock)
     async with waiting_request(state, 0.0) as case:
         started = len(attempt_starts(case.harness))
         await asyncio.sleep(LOOP_SETTLE_TIME)
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -290,7 +290,10 @@
         async with running_gateway() as harness:
             process = harness.process
             restarting = coordinator.HotRestartCoordinator(
-                str(tmp_path), process.dispatcher, process.discovery.answered, lambda superseded: None
+                str(tmp_path),
+                process.dispatcher,
+                process.discovery.first_response_received,
+                lambda superseded: None,
             )
 
             class LoopWithoutMemory:
@@ -313,7 +316,10 @@
         process = harness.process
         listed = harness.discovery.entry("new", harness.backends[1].address)
         restarting = coordinator.HotRestartCoordinator(
-            str(tmp_path), process.dispatcher, process.discovery.answered, lambda superseded: None
+            str(tmp_path),
+            process.dispatcher,
+            process.discovery.first_response_received,
+            lambda superseded: None,
         )
         restarting.handle_message(ProcessLink(restarting), SetMaintenance("new", True))
         await harness.discovery.publish(listed)
@@ -354,7 +360,10 @@
             process = harness.process
             superseded: list[bool] = []
             restarting = coordinator.HotRestartCoordinator(
-                str(tmp_path), process.dispatcher, process.discovery.answered, superseded.append
+                str(tmp_path),
+                process.dispatcher,
+                process.discovery.first_response_received,
+                superseded.append,
             )
             await restarting.restore_from_older()
             assert len(restarting.links) == 1
--- a/tests/test_no_attempt_after_disconnect.py
+++ b/tests/test_no_attempt_after_disconnect.py
@@ -43,7 +43,7 @@
 
 @pytest.fixture(autouse=True)
 def virtual_clock(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("quota_gateway.gateway_process.start_clock", virtual_unix_clock)
+    monkeypatch.setattr("quota_gateway.gateway_process.create_clock", virtual_unix_clock)
 
 
 class TimedRequests(list[HttpMessage]):
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -102,7 +102,7 @@
     async def test() -> None:
         fleet, discovery = await start_peers(FLEET_SIZE, fault)
         with pytest.MonkeyPatch.context() as patch:
-            patch.setattr("quota_gateway.gateway_process.start_clock", virtual_unix_clock)
+            patch.setattr("quota_gateway.gateway_process.create_clock", virtual_unix_clock)
             await asyncio.gather(*(start(gateway) for gateway in fleet))
         for gateway in fleet:
             await gateway.harness.process.stop(0.0, 0.0)
@@ -161,7 +161,7 @@
     peer = harness.discovery = FaultyDiscovery()
     servers = (*harness.backends, peer, harness.counter)
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr("quota_gateway.gateway_process.start_clock", virtual_unix_clock)
+        patch.setattr("quota_gateway.gateway_process.create_clock", virtual_unix_clock)
         for server in servers:
             await server.start()
         await peer.start_fault(DiscoveryFault.UNAVAILABLE)
--- a/tests/test_recorded_messages.py
+++ b/tests/test_recorded_messages.py
@@ -47,7 +47,7 @@
     """Return a coordinator with a link whose other end is the test."""
     process = harness.process
     coordinator = HotRestartCoordinator(
-        str(folder), process.dispatcher, process.discovery.answered, lambda superseded: None
+        str(folder), process.dispatcher, process.discovery.first_response_received, lambda superseded: None
     )
     link, transport = ProcessLink(coordinator), RecordingTransport()
     link.connection_made(cast(asyncio.Transport, transport))
@@ -179,7 +179,7 @@
     async with running_gateway(2) as harness:
         coordinator, _, transport = open_link(harness, tmp_path)
         harness.process.hot_restart = coordinator
-        harness.process.forward_units(UnitsCharged("0000000000000006", "basis", 2, 1.0))
+        harness.process.broadcast_charged_units(UnitsCharged("0000000000000006", "basis", 2, 1.0))
         harness.process.set_draining(True)
         assert transport.lines() == [CHARGED, '{"drain": true}']
         coordinator.close()
--- a/tests/test_slow_readers.py
+++ b/tests/test_slow_readers.py
@@ -65,7 +65,7 @@
 async def test_a_last_response_is_not_cut_off_while_its_client_may_still_read(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr("quota_gateway.gateway_process.start_clock", virtual_unix_clock)
+    monkeypatch.setattr("quota_gateway.gateway_process.create_clock", virtual_unix_clock)
     async with running_gateway() as harness:
         limit_send_buffer(harness.process.listener.listener)
         client = await client_that_does_not_read(harness, 5.0)
