--- a/quota_gateway/discovery/poll_schedule.py
+++ b/quota_gateway/discovery/poll_schedule.py
@@ -22,7 +22,8 @@
 PUSHED_RESPONSE_TIMEOUT_RATIO = 0.375  # fraction of the drain timeout, into which two polls have to fit
 PUSHED_MAX_BACKOFF_RATIO = 0.125  # fraction of the drain timeout; with the two polls it leaves a margin
 
-MIN_JITTER = 0.5  # smallest fraction of a backoff that is waited; the rest is random, to spread retries
+# Smallest fraction of a backoff that is waited; the rest is random, to spread retries
+MIN_BACKOFF_FRACTION = 0.5
 
 
 @dataclass(frozen=True, slots=True)
@@ -30,7 +31,7 @@
     """Timeouts and backoff of one gateway's polls; times in seconds."""
 
     watch_timeout: float  # how long discovery may hold a watch before it answers that nothing changed
-    answer_timeout: float  # for connecting and the response, on top of the watch timeout
+    response_timeout: float  # for connecting and the response, on top of the watch timeout
     max_timeout_factor: int  # limit of the response timeout's growth after consecutive timeouts
     first_backoff: float  # backoff after the first failure of a series
     max_backoff: float  # limit of the backoff, whatever Retry-After says
@@ -42,21 +43,21 @@
         The poll in flight may have just started, as a watch or with the longest response timeout, and may
         get no response. The longest backoff follows it, and then a poll that takes as long as it may.
         """
-        longest_poll = self.max_timeout_factor * self.answer_timeout
-        lost_poll = max(self.watch_timeout + self.answer_timeout, longest_poll)
+        longest_poll = self.max_timeout_factor * self.response_timeout
+        lost_poll = max(self.watch_timeout + self.response_timeout, longest_poll)
         return lost_poll + self.max_backoff + longest_poll
 
     def response_timeout_after(self, consecutive_timeouts: int) -> float:
         """Return the next poll's response timeout in seconds, which grows with consecutive timeouts."""
-        return self.answer_timeout * min(1 + consecutive_timeouts, self.max_timeout_factor)
+        return self.response_timeout * min(1 + consecutive_timeouts, self.max_timeout_factor)
 
     def jittered_delay(self, backoff: float, retry_after: float) -> float:
         """Return a random delay in seconds before the next retry, at most the maximum backoff.
 
         It is at least `retry_after`, unless the maximum backoff leaves no room for jitter above that.
         """
-        longest_delay = min(max(backoff, retry_after / MIN_JITTER), self.max_backoff)
-        return longest_delay * random.uniform(MIN_JITTER, 1.0)
+        longest_delay = min(max(backoff, retry_after / MIN_BACKOFF_FRACTION), self.max_backoff)
+        return longest_delay * random.uniform(MIN_BACKOFF_FRACTION, 1.0)
 
 
 def poll_schedule_for(gateway_count: int, push_discovery_enabled: bool, drain_timeout: float) -> PollSchedule:
@@ -76,7 +77,7 @@
     max_backoff = PUSHED_MAX_BACKOFF_RATIO * available
     return PollSchedule(
         watch_timeout=PUSHED_WATCH_TIMEOUT,
-        answer_timeout=PUSHED_RESPONSE_TIMEOUT_RATIO * available,
+        response_timeout=PUSHED_RESPONSE_TIMEOUT_RATIO * available,
         max_timeout_factor=1,
         first_backoff=min(BACKOFF_PER_GATEWAY, max_backoff),
         max_backoff=max_backoff,
@@ -94,7 +95,7 @@
     max_backoff = MAX_PROPAGATION_DELAY - lost_poll - longest_poll
     return PollSchedule(
         watch_timeout=POLLED_WATCH_TIMEOUT,
-        answer_timeout=POLLED_RESPONSE_TIMEOUT,
+        response_timeout=POLLED_RESPONSE_TIMEOUT,
         max_timeout_factor=MAX_TIMEOUT_FACTOR,
         first_backoff=min(BACKOFF_PER_GATEWAY * gateway_count, MAX_FIRST_BACKOFF, max_backoff),
         max_backoff=max_backoff,
--- a/quota_gateway/dispatch/action_executor.py
+++ b/quota_gateway/dispatch/action_executor.py
@@ -39,8 +39,8 @@
     """What the executor needs from the dispatcher; the optional attributes may be set at any time."""
 
     counter: CounterClient | None
-    drain_clients: Callable[[bool], None] | None
-    report_units: Callable[[UnitsCharged], None] | None
+    set_client_draining: Callable[[bool], None] | None
+    report_charged_units: Callable[[UnitsCharged], None] | None
 
     def post(self, event: Event) -> None:
         """Report an event to the policy engine."""
@@ -89,11 +89,11 @@
             case CloseIdleConnections():
                 self._pool.retire_connections(action.endpoint_id)
             case DrainClientConnections():
-                if self._context.drain_clients is not None:
-                    self._context.drain_clients(action.enabled)
+                if self._context.set_client_draining is not None:
+                    self._context.set_client_draining(action.enabled)
             case UnitsCharged():
-                if self._context.report_units is not None:
-                    self._context.report_units(action)
+                if self._context.report_charged_units is not None:
+                    self._context.report_charged_units(action)
             case PollEndpoints():
                 pass  # the endpoint poller runs continuously
 
--- a/quota_gateway/dispatch/active_request.py
+++ b/quota_gateway/dispatch/active_request.py
@@ -59,9 +59,9 @@
         "observer",
         "request",
         "request_id",
-        "response",
+        "response_channel",
         "streaming_attempt",
-        "watchdog",
+        "watchdog_timer",
     )
 
     def __init__(
@@ -70,7 +70,7 @@
         """Initialize an unanswered request whose attempts report to `observer`."""
         self.request_id = request_id
         self.request = request
-        self.response: ResponseChannel | None = response  # None once the request is answered
+        self.response_channel: ResponseChannel | None = response  # None once the request is answered
         self.observer = observer
         timeout = self.time_budget if request.body_stream is None else BODY_UPLOAD_TIMEOUT
         self.deadline = request.received_at + timeout
@@ -86,7 +86,7 @@
         self.streaming_attempt: UpstreamAttempt | None = None  # the attempt whose response is streamed
         # When attempts may no longer start, in seconds. Set when the client half-closes its connection.
         self.attempt_start_deadline: float | None = None
-        self.watchdog: asyncio.TimerHandle | None = None
+        self.watchdog_timer: asyncio.TimerHandle | None = None
 
     @property
     def time_budget(self) -> float:
@@ -126,7 +126,7 @@
 
     def client_disconnected(self) -> bool:
         """Return whether the client has closed its side of the connection."""
-        return self.response is not None and self.response.client_disconnected()
+        return self.response_channel is not None and self.response_channel.client_disconnected()
 
     def find_refusal(self, send_deadline: float | None, now: float) -> RefusalReason | None:
         """Return why an attempt may not be sent at `now`, or None if it may."""
@@ -189,13 +189,13 @@
 
     def stop_watchdog(self) -> None:
         """Cancel the watchdog timer if it is set."""
-        if self.watchdog is not None:
-            self.watchdog.cancel()
+        if self.watchdog_timer is not None:
+            self.watchdog_timer.cancel()
 
     def respond(self, status: int | None, body: bytes, headers: bytes) -> None:
         """Send the final response, or end the streamed one; a status of None sends nothing."""
-        response = self.response
-        self.response = None
+        response = self.response_channel
+        self.response_channel = None
         if status is None or response is None:
             return
         if self.streaming_attempt is None:
--- a/quota_gateway/dispatch/attempt_handler.py
+++ b/quota_gateway/dispatch/attempt_handler.py
@@ -78,7 +78,7 @@
         self, active_request: ActiveRequest, attempt: UpstreamAttempt, head: ResponseHead
     ) -> StreamSink | None:
         """Start forwarding a long response and return its sink, or None if there is a response already."""
-        response = active_request.response
+        response = active_request.response_channel
         if active_request.answered or active_request.streaming_attempt is not None or response is None:
             return None
         if attempt.connection is None:
@@ -90,4 +90,4 @@
         response.begin_stream(head, attempt.connection)
         elapsed = max(self._clock() - attempt.waiting_since, MIN_TIME_TO_FIRST_BYTE)
         self._post(ResponseStreamStarted(active_request.request_id, attempt.index, elapsed))
-        return active_request.response
+        return active_request.response_channel
--- a/quota_gateway/dispatch/dispatcher.py
+++ b/quota_gateway/dispatch/dispatcher.py
@@ -60,10 +60,11 @@
         self.clock = clock
         self.pool = pool
         self.counter: CounterClient | None = None
-        self.drain_clients: Callable[[bool], None] | None = None  # starts or stops draining connections
-        self.report_units: Callable[[UnitsCharged], None] | None = None  # sends charges to the peer process
+        self.set_client_draining: Callable[[bool], None] | None = None  # starts or stops draining connections
+        # sends charges to the peer process
+        self.report_charged_units: Callable[[UnitsCharged], None] | None = None
         self.metrics = Metrics(request_class.name for request_class in engine.settings.request_classes)
-        self.submitted_count = 0
+        self.submitted_request_count = 0
         self._loop = asyncio.get_running_loop()
         self.invariants = pool.invariants
         self._request_log = RequestLog()
@@ -88,19 +89,19 @@
         return self._registry.active_requests
 
     @property
-    def open_call_ids(self) -> set[bytes]:
+    def active_call_ids(self) -> set[bytes]:
         """The call ids of the active requests."""
-        return self._registry.open_call_ids
+        return self._registry.active_call_ids
 
     @property
-    def unanswered_count(self) -> int:
+    def unanswered_request_count(self) -> int:
         """The number of requests that wait for their final response."""
-        return self._registry.unanswered_count
+        return self._registry.unanswered_request_count
 
     def submit(self, request: ClientRequest, response: ResponseChannel) -> int:
         """Start serving a client's request and return its request id."""
-        self.submitted_count += 1
-        active_request = ActiveRequest(self.submitted_count, request, response, self._attempt_handler)
+        self.submitted_request_count += 1
+        active_request = ActiveRequest(self.submitted_request_count, request, response, self._attempt_handler)
         self._registry.add(active_request)
         if self._request_log.enabled:
             self._request_log.received(active_request, self.clock())
@@ -126,7 +127,7 @@
         active_request.extend_attempt_deadlines(self.clock(), self._loop)
         self.post(RequestBodyReceived(request_id, active_request.deadline))
 
-    def abandon(self, request_id: int, status: int | None) -> None:
+    def end_request(self, request_id: int, status: int | None) -> None:
         """End an unanswered request early; a status of None sends no response."""
         active_request = self._registry.find_unanswered(request_id)
         if active_request is not None:
@@ -136,13 +137,13 @@
             self.post(ClientDisconnected(request_id))
             self._registry.remove_if_complete(active_request)
 
-    def is_call_open(self, call_id: bytes) -> bool:
+    def is_call_active(self, call_id: bytes) -> bool:
         """Return whether a request with this call id is active."""
-        return call_id in self._registry.open_call_ids
+        return call_id in self._registry.active_call_ids
 
     def client_disconnected(self, request_id: int) -> None:
         """End a request whose client's connection is lost."""
-        self.abandon(request_id, None)
+        self.end_request(request_id, None)
 
     def set_attempt_start_deadline(self, request_id: int, start_deadline: float) -> None:
         """Let attempts start only before `start_deadline` seconds, since the client has half-closed."""
@@ -214,7 +215,7 @@
         """Return the metrics that reflect current state, by name."""
         return {
             "dispatches": self.pool.attempts_written,
-            "concurrent": self.unanswered_count,
+            "concurrent": self.unanswered_request_count,
             "targets": len(self.engine.endpoints),
             "targets_disabled": self.engine.count_unavailable_endpoints(),
             "violations": sum(self.invariants.violations.values()),
@@ -232,9 +233,9 @@
 
     def _start_watchdog(self, active_request: ActiveRequest) -> None:
         delay = max(active_request.watchdog_deadline - self.clock(), 0.0)
-        active_request.watchdog = self._loop.call_later(delay, self._fail_unanswered, active_request)
+        active_request.watchdog_timer = self._loop.call_later(delay, self._fail_unanswered, active_request)
 
     def _fail_unanswered(self, active_request: ActiveRequest) -> None:
         if not active_request.answered:
             log.warning("request %d failed: no response within its timeout", active_request.request_id)
-            self.abandon(active_request.request_id, HTTPStatus.GATEWAY_TIMEOUT)
+            self.end_request(active_request.request_id, HTTPStatus.GATEWAY_TIMEOUT)
--- a/quota_gateway/dispatch/request_registry.py
+++ b/quota_gateway/dispatch/request_registry.py
@@ -16,8 +16,8 @@
     def __init__(self, clock: Callable[[], float], metrics: Metrics, invariants: InvariantMonitor) -> None:
         """Initialize an empty registry that counts finished requests in `metrics`."""
         self.active_requests: dict[int, ActiveRequest] = {}
-        self.open_call_ids: set[bytes] = set()  # the call ids of these requests, as set by the clients
-        self.unanswered_count = 0
+        self.active_call_ids: set[bytes] = set()  # the call ids of these requests, as set by the clients
+        self.unanswered_request_count = 0
         self._clock = clock
         self._metrics = metrics
         self._invariants = invariants
@@ -26,8 +26,8 @@
     def add(self, active_request: ActiveRequest) -> None:
         """Add an unanswered request."""
         self.active_requests[active_request.request_id] = active_request
-        self.open_call_ids.add(active_request.request.call_id)
-        self.unanswered_count += 1
+        self.active_call_ids.add(active_request.request.call_id)
+        self.unanswered_request_count += 1
 
     def find(self, request_id: int) -> ActiveRequest | None:
         """Return the request with this id, or None if it is not in progress."""
@@ -48,12 +48,12 @@
             self._invariants.record_violation(Invariant.ANSWERED_ONCE, active_request.request.call_id)
             return
         active_request.answered = True
-        self.unanswered_count -= 1
+        self.unanswered_request_count -= 1
         if status is not None:
             self._check_response_time(active_request)
         if status is not None:
             self._metrics.record_request(active_request.request.request_class, status)
-        if not self.unanswered_count:
+        if not self.unanswered_request_count:
             self._all_answered.set()
         active_request.stop_watchdog()
         active_request.respond(status, body, headers)
@@ -76,12 +76,12 @@
         if not active_request.answered or active_request.in_flight_count:
             return
         if self.active_requests.pop(active_request.request_id, None) is not None:
-            self.open_call_ids.discard(active_request.request.call_id)
+            self.active_call_ids.discard(active_request.request.call_id)
 
     async def wait_until_answered(self, timeout: float) -> bool:
         """Wait until every request is answered; return False after `timeout` seconds."""
         deadline = self._clock() + timeout
-        while self.unanswered_count:
+        while self.unanswered_request_count:
             self._all_answered.clear()
             try:
                 await asyncio.wait_for(self._all_answered.wait(), max(deadline - self._clock(), 0.0))
--- a/quota_gateway/downstream/request_handler.py
+++ b/quota_gateway/downstream/request_handler.py
@@ -177,7 +177,7 @@
             return
         connection.input_ended = True
         if self.streaming_writer is not None:
-            self.router.dispatcher.abandon(self.streaming_writer.request_id, error.status)
+            self.router.dispatcher.end_request(self.streaming_writer.request_id, error.status)
             return
         writer = ResponseWriter(connection, False, self.http_version)
         connection.responses.append(writer)
--- a/quota_gateway/downstream/request_router.py
+++ b/quota_gateway/downstream/request_router.py
@@ -62,5 +62,5 @@
 
     def check_call_id(self, request: ClientRequest) -> None:
         """Raise InvalidRequestError if the call id is in use: the end of either request would end both."""
-        if self.dispatcher.is_call_open(request.call_id):
+        if self.dispatcher.is_call_active(request.call_id):
             raise InvalidRequestError(409, "a request with this X-Call-Id is open")
--- a/quota_gateway/gateway_process.py
+++ b/quota_gateway/gateway_process.py
@@ -74,7 +74,7 @@
         self.listener = ClientListener(
             self.dispatcher, settings, clock, descriptors.downstream, self.is_serving
         )
-        self.dispatcher.drain_clients = self.listener.drain
+        self.dispatcher.set_client_draining = self.listener.drain
         self.discovery = self._create_discovery(configuration)
         self._connect_descriptor_exhaustion()
         self.hot_restart = self._create_hot_restart(configuration)
@@ -121,7 +121,7 @@
         """Return None if hot restart is unavailable: it needs an inherited socket and a shared folder."""
         if configuration.listen_descriptor is None or configuration.shared_folder is None:
             return None
-        self.dispatcher.report_units = self.broadcast_charged_units
+        self.dispatcher.report_charged_units = self.broadcast_charged_units
         return HotRestartCoordinator(
             configuration.shared_folder,
             self.dispatcher,
@@ -148,19 +148,19 @@
         """
         known = self.dispatcher.set_maintenance(endpoint_id, enabled)
         if known and self.hot_restart is not None:
-            self.hot_restart.broadcast(SetMaintenance(endpoint_id, enabled))
+            self.hot_restart.notify_peer(SetMaintenance(endpoint_id, enabled))
         return known
 
     def set_draining(self, enabled: bool) -> None:
         """Start or stop draining clients, in this process and in the other one of a hot restart."""
         self.dispatcher.set_draining(enabled)
         if self.hot_restart is not None:
-            self.hot_restart.broadcast(SetDraining(enabled))
+            self.hot_restart.notify_peer(SetDraining(enabled))
 
     def broadcast_charged_units(self, charged: UnitsCharged) -> None:
         """Report units charged by this process to the other process of a hot restart."""
         if self.hot_restart is not None:
-            self.hot_restart.broadcast(charged)
+            self.hot_restart.notify_peer(charged)
 
     async def run(self) -> None:
         """Serve until SIGTERM or SIGINT, then shut down gracefully; SIGHUP reloads the configuration."""
@@ -182,14 +182,14 @@
         self.discovery.start()
         restore_task = None
         if self.hot_restart is not None:
-            restore_task = self.loop.create_task(self.hot_restart.restore_from_older())
+            restore_task = self.loop.create_task(self.hot_restart.restore_from_older_process())
         await self._wait_for_first_list()
         if restore_task is not None:
             await restore_task
         self.is_endpoint_list_ready = True
         if self.listen_descriptor is not None:
             # until now an older process accepted connections; if it still responds, it has emptied the queue
-            has_acceptor = self.hot_restart is not None and self.hot_restart.is_older_alive()
+            has_acceptor = self.hot_restart is not None and self.hot_restart.is_older_process_linked()
             self.listener.listen(inherit_listener(self.listen_descriptor), is_queue_old=not has_acceptor)
         if self.hot_restart is not None:
             self.hot_restart.announce_serving()
--- a/quota_gateway/hot_restart/coordinator.py
+++ b/quota_gateway/hot_restart/coordinator.py
@@ -70,7 +70,7 @@
         # operators' commands to apply again after the restore; None once no more state can arrive
         self._deferred_commands: list[OperatorCommand] | None = []
 
-    async def restore_from_older(self) -> None:
+    async def restore_from_older_process(self) -> None:
         """Request and restore an older process's state; continue without it if it does not arrive in time."""
         self._search_task = self.loop.create_task(self._link_to_older_process())
         try:
@@ -81,7 +81,7 @@
         except TimeoutError:
             log.warning("the older process did not send its state in time")
 
-    def is_older_alive(self) -> bool:
+    def is_older_process_linked(self) -> bool:
         """Return whether an older process has sent its state and its link is still open."""
         return bool(self.links) and self._restore_finished.is_set()
 
@@ -156,7 +156,7 @@
         self._acceptor.close()
         self._acceptor.start(listener)
 
-    def broadcast(self, notification: Notification) -> None:
+    def notify_peer(self, notification: Notification) -> None:
         """Send an operator's command, or units charged here, to the other process if there is one."""
         if not isinstance(notification, UnitsCharged):
             self._defer_command(notification)
--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -150,7 +150,7 @@
         client = await harness.connect_client()
         response_status, _, body = await client.exchange(text)
         assert response_status == status and len(body.splitlines()) <= 1
-        assert harness.process.dispatcher.submitted_count == 0 and not harness.received_requests()
+        assert harness.process.dispatcher.submitted_request_count == 0 and not harness.received_requests()
         assert (await (await harness.connect_client()).exchange(request(2)))[
             0
         ] == 200  # the process still serves
@@ -173,7 +173,8 @@
         client.reset()
         await harness.backends[0].wait_until(lambda: harness.backends[0].closed_count == 1)
         assert (
-            not harness.process.dispatcher.unanswered_count and not harness.process.dispatcher.active_requests
+            not harness.process.dispatcher.unanswered_request_count
+            and not harness.process.dispatcher.active_requests
         )
 
 
@@ -204,7 +205,7 @@
         client.send(b"".join(request(n) for n in range(1000)))
         await until(lambda: any(c.write_paused for c in harness.process.listener.connections))
         await harness.process.dispatcher.wait_until_answered(EVENT_TIMEOUT)
-        assert harness.process.dispatcher.submitted_count < 1000
+        assert harness.process.dispatcher.submitted_request_count < 1000
         connection = next(c for c in harness.process.listener.connections if c.write_paused)
         assert connection.transport is not None
         assert connection.transport.get_write_buffer_size() < 3_000_000
@@ -305,7 +306,7 @@
         assert (await other.exchange(request(1)))[0] == 409
         release.set()
         assert (await client.read_response())[0] == 200
-        assert (await other.exchange(request(1)))[0] == 200 and not harness.process.dispatcher.open_call_ids
+        assert (await other.exchange(request(1)))[0] == 200 and not harness.process.dispatcher.active_call_ids
 
 
 async def test_invalid_requests_are_followed_by_a_pause_and_then_close_the_connection() -> None:
--- a/tests/test_connection_faults.py
+++ b/tests/test_connection_faults.py
@@ -109,7 +109,9 @@
         except ConnectionResetError:  # with no response unread that the reset could discard
             assert how == "idle"
         await asyncio.sleep(0.02)
-        assert len(harness.received_requests()) == 1 and harness.process.dispatcher.submitted_count == 1
+        assert (
+            len(harness.received_requests()) == 1 and harness.process.dispatcher.submitted_request_count == 1
+        )
 
 
 async def test_partial_response_line_on_a_closing_idle_connection_is_discarded() -> None:
@@ -141,7 +143,10 @@
             while len(harness.process.listener.connections) > 1:  # noqa: ASYNC110
                 await asyncio.sleep(0.01)  # no event marks the gateway's internal state
         assert (await valid.exchange(request(99)))[0] == 200
-        assert len(harness.received_requests()) == 21 and harness.process.dispatcher.submitted_count == 21
+        assert (
+            len(harness.received_requests()) == 21
+            and harness.process.dispatcher.submitted_request_count == 21
+        )
 
 
 async def test_flood_of_invalid_requests_gets_a_few_responses_per_connection() -> None:
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -304,7 +304,7 @@
                     raise OSError(errno.ENOMEM, "no memory")
 
             monkeypatch.setattr(restarting, "loop", LoopWithoutMemory())
-            await restarting.restore_from_older()
+            await restarting.restore_from_older_process()
             assert not restarting.links
             restarting.close()
 
@@ -365,10 +365,10 @@
                 process.discovery.first_response_received,
                 superseded.append,
             )
-            await restarting.restore_from_older()
+            await restarting.restore_from_older_process()
             assert len(restarting.links) == 1
             process.dispatcher.set_maintenance("b0", True)
-            restarting.broadcast(SetMaintenance("b0", True))
+            restarting.notify_peer(SetMaintenance("b0", True))
             older, _ = hanging.accept()
             state = {**process.dispatcher.state_snapshot().state, "banned": []}
             link = next(iter(restarting.links))
--- a/tests/test_poll_schedule.py
+++ b/tests/test_poll_schedule.py
@@ -7,7 +7,7 @@
 from quota_gateway.discovery.poll_schedule import (
     DEFAULT_POLL_SCHEDULE,
     MAX_PROPAGATION_DELAY,
-    MIN_JITTER,
+    MIN_BACKOFF_FRACTION,
     PollSchedule,
     poll_schedule_for,
 )
@@ -37,7 +37,7 @@
     # its answers are cheap, and what it knows when it returns, or at a start, has to be acted on at once
     for gateway_count in (1, 3, 40, 200):
         schedule = poll_schedule_for(gateway_count, True, drain_timeout)
-        assert 2 * schedule.answer_timeout + schedule.max_backoff < drain_timeout
+        assert 2 * schedule.response_timeout + schedule.max_backoff < drain_timeout
         assert schedule.max_timeout_factor == 1
         assert schedule == poll_schedule_for(1, True, drain_timeout)
 
@@ -71,5 +71,5 @@
     ]
     assert max(delays) <= schedule.max_backoff
     assert len(set(delays)) > 700  # gateways that were given the same Retry-After spread out
-    min_delay = min(0.1, schedule.max_backoff * MIN_JITTER)
+    min_delay = min(0.1, schedule.max_backoff * MIN_BACKOFF_FRACTION)
     assert min(schedule.jittered_delay(schedule.first_backoff, 0.1) for _ in range(200)) >= min_delay - 1e-9
