--- a/quota_gateway/downstream/client_connection.py
+++ b/quota_gateway/downstream/client_connection.py
@@ -54,7 +54,7 @@
 
     def data_received(self, data: bytes) -> None:
         """Parse received bytes; they are discarded once no further request is accepted."""
-        if self.ended:
+        if self.input_ended:
             return
         self.last_read_at = self.listener.clock()
         self.request_handler.received_at = self.last_read_at
@@ -65,7 +65,7 @@
     def process_unread(self) -> None:
         """Parse received bytes as far as the limits allow, then pause or resume reading."""
         request_handler = self.request_handler
-        while self.unread and not (self.ended or self.is_full() or request_handler.error_pause_timer):
+        while self.unread and not (self.input_ended or self.is_full() or request_handler.error_pause_timer):
             data = self.unread
             if len(data) > MAX_PARSE_BYTES:
                 data = data[:MAX_PARSE_BYTES]
@@ -83,7 +83,7 @@
     def update_reading(self) -> None:
         """Pause reading while a limit is reached, which bounds the memory that a client can use."""
         pause = self.is_full() or bool(self.unread) or self.request_handler.error_pause_timer is not None
-        if self.transport is None or pause == self.read_paused or self.ended:
+        if self.transport is None or pause == self.read_paused or self.input_ended:
             return
         if pause:
             self.pause_reading()
@@ -115,7 +115,7 @@
             return
         self.request_handler.send_continue()
         self.idle_since = self.listener.clock()
-        if self.ended and not self.responses:
+        if self.input_ended and not self.responses:
             self.close_gracefully()
         elif self.unread and not self.request_handler.parsing:
             self.process_unread()
@@ -134,7 +134,7 @@
         is_last = bool(self.responses) and self.responses[-1] is writer  # empty once the connection is lost
         if not is_last or self.has_unread_input():
             return False
-        self.ended = True
+        self.input_ended = True
         return True
 
     def eof_received(self) -> bool:
@@ -144,7 +144,7 @@
         """
         if self.request_handler.streaming_writer is not None:
             self.request_handler.abort_request(InvalidRequestError(400, "the body is not whole"))
-        self.ended = True
+        self.input_ended = True
         if self.closing or not self.responses:
             return False
         self.half_close.start(self.earliest_close())
@@ -167,7 +167,7 @@
         self.listener.disconnect_monitor.unwatch(self.descriptor, self.handle_disconnect)
         self.request_handler.close()
         self.transport = None
-        self.ended = True
+        self.input_ended = True
         self.half_close.cancel()
         for request_id in self.responses.pop_incomplete():
             self.listener.dispatcher.client_disconnected(request_id)
--- a/tests/test_body_streaming.py
+++ b/tests/test_body_streaming.py
@@ -304,7 +304,7 @@
         (connection,) = connections
         for idle_time, times_out in ((stall_timeout - 0.1, False), (stall_timeout + 0.1, True)):
             enforce_timeouts(connection, connection.last_read_at + idle_time, 100.0)
-            assert connection.ended == times_out
+            assert connection.input_ended == times_out
         assert (await client.read_response())[0] == 408
 
 
