--- a/quota_gateway/dispatch/action_executor.py
+++ b/quota_gateway/dispatch/action_executor.py
@@ -39,14 +39,14 @@
     """What the executor needs from the dispatcher; the optional attributes may be set at any time."""
 
     counter: CounterClient | None
-    drain_clients: Callable[[bool], None] | None
-    report_units: Callable[[UnitsCharged], None] | None
+    set_client_draining: Callable[[bool], None] | None
+    report_charged_units: Callable[[UnitsCharged], None] | None
 
     def post(self, event: Event) -> None:
         """Report an event to the policy engine."""
 
-    def timer_fired(self, timer: Timer, due: float) -> None:
-        """Report that a timer which was due at `due` seconds has fired."""
+    def timer_fired(self, timer: Timer, due_at: float) -> None:
+        """Report that a timer which was due at `due_at` seconds has fired."""
 
 
 class ActionExecutor:
@@ -87,13 +87,13 @@
             case IncrementCounter():
                 self._increment_counter(action)
             case CloseIdleConnections():
-                self._pool.close_idle(action.endpoint_id)
+                self._pool.retire_connections(action.endpoint_id)
             case DrainClientConnections():
-                if self._context.drain_clients is not None:
-                    self._context.drain_clients(action.enabled)
+                if self._context.set_client_draining is not None:
+                    self._context.set_client_draining(action.enabled)
             case UnitsCharged():
-                if self._context.report_units is not None:
-                    self._context.report_units(action)
+                if self._context.report_charged_units is not None:
+                    self._context.report_charged_units(action)
             case PollEndpoints():
                 pass  # the endpoint poller runs continuously
 
@@ -104,7 +104,7 @@
             return
         now = self._clock()
         attempt = active_request.add_attempt(action, now)
-        refusal = active_request.refusal(None, now)
+        refusal = active_request.find_refusal(None, now)
         if refusal is not None:
             self._metrics.attempts_refused[refusal] += 1
             if self._request_log.enabled:
@@ -113,7 +113,7 @@
             return
         if self._request_log.enabled:
             self._request_log.started(active_request, attempt, now)
-        self._pool.start(attempt)
+        self._pool.start_attempt(attempt)
 
     def _cancel_attempt(self, action: CancelAttempt) -> None:
         active_request = self._registry.find(action.request_id)
@@ -130,19 +130,19 @@
         """Send a final response without a body, unless the request has already been answered."""
         active_request = self._registry.find_unanswered(request_id)
         if active_request is not None:
-            self._metrics.answers_without_endpoint[reason] += 1
+            self._metrics.local_responses[reason] += 1
             if self._request_log.enabled:
                 self._request_log.answered(active_request, status, reason)
             self._registry.finish(active_request, status, b"", headers)
             self._registry.remove_if_complete(active_request)
 
     def _set_timer(self, action: SetTimer) -> None:
-        due = self._clock() + action.delay
-        self._loop.call_later(action.delay, self._context.timer_fired, action.timer, due)
+        due_at = self._clock() + action.delay
+        self._loop.call_later(action.delay, self._context.timer_fired, action.timer, due_at)
 
     def _increment_counter(self, action: IncrementCounter) -> None:
         counter = self._context.counter
         if counter is None:
             self._context.post(CounterReply(action.name, Outcome.CONNECT_FAILED, 0.0, 0.0))
         else:
-            counter.add(action.name, action.amount, action.expire_after)
+            counter.increment(action.name, action.amount, action.expire_after)
--- a/quota_gateway/dispatch/active_request.py
+++ b/quota_gateway/dispatch/active_request.py
@@ -12,7 +12,7 @@
 from quota_gateway.model.actions import StartAttempt
 from quota_gateway.model.events import RequestReceived
 from quota_gateway.model.outcomes import Outcome
-from quota_gateway.policy.permissions import Refusal, attempt_refusal
+from quota_gateway.policy.permissions import RefusalReason, attempt_refusal
 from quota_gateway.upstream.attempt import AttemptResult, UpstreamAttempt
 
 # Seconds by which the policy engine's deadline precedes the client's timeout. The timeout starts when the
@@ -51,17 +51,17 @@
     __slots__ = (
         "answered",
         "arrived_at",
-        "attempt_start_limit",
+        "attempt_start_deadline",
         "attempts",
         "client_deadline",
         "deadline",
-        "in_flight",
+        "in_flight_count",
         "observer",
         "request",
         "request_id",
-        "response",
+        "response_channel",
         "streaming_attempt",
-        "watchdog",
+        "watchdog_timer",
     )
 
     def __init__(
@@ -70,7 +70,7 @@
         """Initialize an unanswered request whose attempts report to `observer`."""
         self.request_id = request_id
         self.request = request
-        self.response: ResponseChannel | None = response  # None once the request is answered
+        self.response_channel: ResponseChannel | None = response  # None once the request is answered
         self.observer = observer
         timeout = self.time_budget if request.body_stream is None else BODY_UPLOAD_TIMEOUT
         self.deadline = request.received_at + timeout
@@ -78,28 +78,28 @@
         self.arrived_at = request.received_at
         # When the client stops waiting, in seconds. Infinite while a streamed body is incomplete.
         self.client_deadline = (
-            math.inf if request.body_stream is not None else self.arrived_at + request.budget
+            math.inf if request.body_stream is not None else self.arrived_at + request.client_timeout
         )
         self.attempts: list[UpstreamAttempt] = []
-        self.in_flight = 0  # number of attempts that have not ended
+        self.in_flight_count = 0  # number of attempts that have not ended
         self.answered = False
         self.streaming_attempt: UpstreamAttempt | None = None  # the attempt whose response is streamed
         # When attempts may no longer start, in seconds. Set when the client half-closes its connection.
-        self.attempt_start_limit: float | None = None
-        self.watchdog: asyncio.TimerHandle | None = None
+        self.attempt_start_deadline: float | None = None
+        self.watchdog_timer: asyncio.TimerHandle | None = None
 
     @property
     def time_budget(self) -> float:
         """Seconds from the request's last byte to the policy engine's deadline."""
-        budget = self.request.budget
+        budget = self.request.client_timeout
         return budget - min(RESPONSE_MARGIN, MAX_MARGIN_FRACTION * budget)
 
     @property
-    def watchdog_due(self) -> float:
+    def watchdog_deadline(self) -> float:
         """When the watchdog fails the request, in seconds."""
         request = self.request
-        margin = min(WATCHDOG_MARGIN, MAX_MARGIN_FRACTION * request.budget / 2)
-        return request.received_at + request.budget - margin
+        margin = min(WATCHDOG_MARGIN, MAX_MARGIN_FRACTION * request.client_timeout / 2)
+        return request.received_at + request.client_timeout - margin
 
     def received_event(self) -> RequestReceived:
         """Return the event that reports the request to the policy engine."""
@@ -112,9 +112,9 @@
             request.received_at + self.time_budget,
             request.units,
             request.quota_spread,
-            request.first_gateway,
+            request.first_gateway_index,
             request.is_retry,
-            request.budget,
+            request.client_timeout,
             request.body_stream is not None,
         )
 
@@ -122,13 +122,13 @@
         """Restart the client's time budget at the arrival of a streamed body's last byte, in seconds."""
         self.request.received_at = received_at
         self.arrived_at = received_at
-        self.client_deadline = received_at + self.request.budget
+        self.client_deadline = received_at + self.request.client_timeout
 
     def client_disconnected(self) -> bool:
         """Return whether the client has closed its side of the connection."""
-        return self.response is not None and self.response.client_disconnected()
+        return self.response_channel is not None and self.response_channel.client_disconnected()
 
-    def refusal(self, send_deadline: float | None, now: float) -> Refusal | None:
+    def find_refusal(self, send_deadline: float | None, now: float) -> RefusalReason | None:
         """Return why an attempt may not be sent at `now`, or None if it may."""
         return attempt_refusal(self, send_deadline, now)
 
@@ -147,33 +147,33 @@
             self,
         )
         attempt.body_stream = self.request.body_stream
-        attempt.start_stream = self.start_stream
+        attempt.sink_factory = self.open_response_stream
         if action.send_within > 0:
             attempt.send_deadline = now + action.send_within
         self.attempts.append(attempt)
-        self.in_flight += 1
+        self.in_flight_count += 1
         return attempt
 
     def attempt_ended(self, attempt: UpstreamAttempt, result: AttemptResult) -> None:
         """Report the end of an attempt to the observer; called once by the attempt itself."""
         self.observer.attempt_ended(self, attempt, result)
 
-    def start_stream(self, attempt: UpstreamAttempt, head: ResponseHead) -> StreamSink | None:
+    def open_response_stream(self, attempt: UpstreamAttempt, head: ResponseHead) -> StreamSink | None:
         """Return the sink for a response too long to buffer, or None if it can't be forwarded."""
         return self.observer.start_response_stream(self, attempt, head)
 
     def extend_attempt_deadlines(self, now: float, loop: asyncio.AbstractEventLoop) -> None:
         """Apply the request's new deadline to its attempts in flight."""
         for attempt in self.attempts:
-            if not attempt.ended:
+            if not attempt.has_ended:
                 attempt.extend_deadline(self.deadline, now, loop)
 
     def cancel_unsent_attempts(self) -> None:
         """End the attempts that have not been sent; one that is sending a streamed body may finish."""
         for attempt in list(self.attempts):
-            is_streaming_body = attempt.written and attempt.body_stream is not None
+            is_streaming_body = attempt.is_sending_started and attempt.body_stream is not None
             is_sent = attempt.written_at is not None or is_streaming_body
-            if not attempt.ended and not is_sent:
+            if not attempt.has_ended and not is_sent:
                 attempt.end(AttemptResult(Outcome.NOT_SENT))
 
     def cancel_obsolete_attempts(self) -> None:
@@ -184,18 +184,18 @@
         """
         for attempt in self.attempts:
             is_unwritten = attempt.written_at is None
-            if not attempt.ended and (is_unwritten or attempt is self.streaming_attempt):
+            if not attempt.has_ended and (is_unwritten or attempt is self.streaming_attempt):
                 attempt.end(AttemptResult(Outcome.NOT_SENT if is_unwritten else Outcome.CANCELLED))
 
     def stop_watchdog(self) -> None:
         """Cancel the watchdog timer if it is set."""
-        if self.watchdog is not None:
-            self.watchdog.cancel()
+        if self.watchdog_timer is not None:
+            self.watchdog_timer.cancel()
 
     def respond(self, status: int | None, body: bytes, headers: bytes) -> None:
         """Send the final response, or end the streamed one; a status of None sends nothing."""
-        response = self.response
-        self.response = None
+        response = self.response_channel
+        self.response_channel = None
         if status is None or response is None:
             return
         if self.streaming_attempt is None:
--- a/quota_gateway/dispatch/attempt_handler.py
+++ b/quota_gateway/dispatch/attempt_handler.py
@@ -42,14 +42,14 @@
         self, active_request: ActiveRequest, attempt: UpstreamAttempt, result: AttemptResult
     ) -> None:
         """Answer the request if the result determines its response; report the end to the policy engine."""
-        active_request.in_flight -= 1
+        active_request.in_flight_count -= 1
         self._metrics.attempts_ended[result.outcome] += 1
         if self._request_log.enabled:
             self._request_log.ended(active_request, attempt, result)
         self._answer(active_request, attempt, result)
         elapsed = self._clock() - attempt.waiting_since
         # no request has more units than the maximum, so an endpoint that bills more is in error
-        units = result.units if result.units <= self._max_request_units else 0.0
+        units = result.billed_units if result.billed_units <= self._max_request_units else 0.0
         self._post(
             AttemptEnded(
                 active_request.request_id,
@@ -78,16 +78,16 @@
         self, active_request: ActiveRequest, attempt: UpstreamAttempt, head: ResponseHead
     ) -> StreamSink | None:
         """Start forwarding a long response and return its sink, or None if there is a response already."""
-        response = active_request.response
+        response = active_request.response_channel
         if active_request.answered or active_request.streaming_attempt is not None or response is None:
             return None
         if attempt.connection is None:
             return None
         active_request.streaming_attempt = attempt
         active_request.stop_watchdog()
-        if attempt.timer is not None:
-            attempt.timer.cancel()
+        if attempt.deadline_timer is not None:
+            attempt.deadline_timer.cancel()
         response.begin_stream(head, attempt.connection)
         elapsed = max(self._clock() - attempt.waiting_since, MIN_TIME_TO_FIRST_BYTE)
         self._post(ResponseStreamStarted(active_request.request_id, attempt.index, elapsed))
-        return active_request.response
+        return active_request.response_channel
--- a/quota_gateway/dispatch/dispatcher.py
+++ b/quota_gateway/dispatch/dispatcher.py
@@ -48,7 +48,7 @@
     """An event that waits until the actions of another event are executed."""
 
     event: Event
-    due: float  # the earliest time in seconds that the engine may be given for it
+    not_before: float  # the earliest time in seconds at which the engine may see the event
 
 
 class RequestDispatcher:
@@ -60,10 +60,11 @@
         self.clock = clock
         self.pool = pool
         self.counter: CounterClient | None = None
-        self.drain_clients: Callable[[bool], None] | None = None  # starts or stops draining connections
-        self.report_units: Callable[[UnitsCharged], None] | None = None  # sends charges to the peer process
+        self.set_client_draining: Callable[[bool], None] | None = None  # starts or stops draining connections
+        # sends charges to the peer process
+        self.report_charged_units: Callable[[UnitsCharged], None] | None = None
         self.metrics = Metrics(request_class.name for request_class in engine.settings.request_classes)
-        self.submitted_count = 0
+        self.submitted_request_count = 0
         self._loop = asyncio.get_running_loop()
         self.invariants = pool.invariants
         self._request_log = RequestLog()
@@ -88,19 +89,19 @@
         return self._registry.active_requests
 
     @property
-    def open_call_ids(self) -> set[bytes]:
+    def active_call_ids(self) -> set[bytes]:
         """The call ids of the active requests."""
-        return self._registry.open_call_ids
+        return self._registry.active_call_ids
 
     @property
-    def unanswered_count(self) -> int:
+    def unanswered_request_count(self) -> int:
         """The number of requests that wait for their final response."""
-        return self._registry.unanswered_count
+        return self._registry.unanswered_request_count
 
     def submit(self, request: ClientRequest, response: ResponseChannel) -> int:
         """Start serving a client's request and return its request id."""
-        self.submitted_count += 1
-        active_request = ActiveRequest(self.submitted_count, request, response, self._attempt_handler)
+        self.submitted_request_count += 1
+        active_request = ActiveRequest(self.submitted_request_count, request, response, self._attempt_handler)
         self._registry.add(active_request)
         if self._request_log.enabled:
             self._request_log.received(active_request, self.clock())
@@ -126,7 +127,7 @@
         active_request.extend_attempt_deadlines(self.clock(), self._loop)
         self.post(RequestBodyReceived(request_id, active_request.deadline))
 
-    def abandon(self, request_id: int, status: int | None) -> None:
+    def end_request(self, request_id: int, status: int | None) -> None:
         """End an unanswered request early; a status of None sends no response."""
         active_request = self._registry.find_unanswered(request_id)
         if active_request is not None:
@@ -136,21 +137,21 @@
             self.post(ClientDisconnected(request_id))
             self._registry.remove_if_complete(active_request)
 
-    def is_call_open(self, call_id: bytes) -> bool:
+    def is_call_active(self, call_id: bytes) -> bool:
         """Return whether a request with this call id is active."""
-        return call_id in self._registry.open_call_ids
+        return call_id in self._registry.active_call_ids
 
     def client_disconnected(self, request_id: int) -> None:
         """End a request whose client's connection is lost."""
-        self.abandon(request_id, None)
+        self.end_request(request_id, None)
 
-    def limit_attempt_start(self, request_id: int, start_limit: float) -> None:
-        """Let attempts start only before `start_limit` seconds, since the client has half-closed."""
+    def set_attempt_start_deadline(self, request_id: int, start_deadline: float) -> None:
+        """Let attempts start only before `start_deadline` seconds, since the client has half-closed."""
         active_request = self._registry.find(request_id)
-        if active_request is not None and active_request.attempt_start_limit is None:
-            active_request.attempt_start_limit = start_limit
+        if active_request is not None and active_request.attempt_start_deadline is None:
+            active_request.attempt_start_deadline = start_deadline
             if self._request_log.enabled:
-                self._request_log.half_closed(active_request, start_limit, self.clock())
+                self._request_log.half_closed(active_request, start_deadline, self.clock())
 
     def client_half_closed(self, request_id: int) -> None:
         """Start no further attempts for a request; those already sent may still provide its response."""
@@ -179,29 +180,29 @@
         """Report the result of a counter call to the engine."""
         self.post(reply)
 
-    def timer_fired(self, timer: Timer, due: float) -> None:
-        """Report that a timer of the engine which was due at `due` seconds has fired."""
+    def timer_fired(self, timer: Timer, due_at: float) -> None:
+        """Report that a timer of the engine which was due at `due_at` seconds has fired."""
         # the event loop rounds to milliseconds and may call early; the engine relies on this never happening
-        self.post(TimerFired(timer), due)
+        self.post(TimerFired(timer), due_at)
 
-    def post(self, event: Event, due: float = 0.0) -> None:
+    def post(self, event: Event, not_before: float = 0.0) -> None:
         """Handle an event, or queue it while another event is being handled."""
         if self._is_handling_events:
-            self._event_queue.append(QueuedEvent(event, due))
+            self._event_queue.append(QueuedEvent(event, not_before))
             return
         self._is_handling_events = True
         try:
-            self.handle(event, due)
+            self.handle(event, not_before)
             while self._event_queue:
                 queued = self._event_queue.popleft()
-                self.handle(queued.event, queued.due)
+                self.handle(queued.event, queued.not_before)
         finally:
             self._is_handling_events = False
 
-    def handle(self, event: Event, due: float) -> None:
-        """Pass an event to the engine at the later of `due` and now, and execute the resulting actions."""
+    def handle(self, event: Event, not_before: float) -> None:
+        """Pass an event to the engine at the later of `not_before` and now, and execute its actions."""
         try:
-            for action in self.engine.handle(event, max(self.clock(), due)):
+            for action in self.engine.handle(event, max(self.clock(), not_before)):
                 self._executor.execute(action)
         except Exception:  # a failure on one event must not affect other requests
             log.exception("failed to handle the event %r", event)
@@ -214,9 +215,9 @@
         """Return the metrics that reflect current state, by name."""
         return {
             "dispatches": self.pool.attempts_written,
-            "concurrent": self.unanswered_count,
+            "concurrent": self.unanswered_request_count,
             "targets": len(self.engine.endpoints),
-            "targets_disabled": self.engine.unavailable_endpoints(),
+            "targets_disabled": self.engine.count_unavailable_endpoints(),
             "violations": sum(self.invariants.violations.values()),
             **{f"violations.{name}": count for name, count in self.invariants.violations.items()},
         }
@@ -231,10 +232,10 @@
         return await self._registry.wait_until_answered(timeout)
 
     def _start_watchdog(self, active_request: ActiveRequest) -> None:
-        delay = max(active_request.watchdog_due - self.clock(), 0.0)
-        active_request.watchdog = self._loop.call_later(delay, self._fail_unanswered, active_request)
+        delay = max(active_request.watchdog_deadline - self.clock(), 0.0)
+        active_request.watchdog_timer = self._loop.call_later(delay, self._fail_unanswered, active_request)
 
     def _fail_unanswered(self, active_request: ActiveRequest) -> None:
         if not active_request.answered:
             log.warning("request %d failed: no response within its timeout", active_request.request_id)
-            self.abandon(active_request.request_id, HTTPStatus.GATEWAY_TIMEOUT)
+            self.end_request(active_request.request_id, HTTPStatus.GATEWAY_TIMEOUT)
--- a/quota_gateway/engine/state_snapshot.py
+++ b/quota_gateway/engine/state_snapshot.py
@@ -15,7 +15,7 @@
 from quota_gateway.policy.latency_estimates import LatencyEstimates
 from quota_gateway.policy.quota_sync import CounterHealth
 from quota_gateway.policy.retries import RetryBudget
-from quota_gateway.policy.start_times import KnownStart
+from quota_gateway.policy.start_times import ObservedStart
 from quota_gateway.state.context import EngineContext
 from quota_gateway.state.limiter_registry import LimiterRegistry
 from quota_gateway.state.records import Limiter
@@ -24,7 +24,7 @@
     SavedLimiter,
     SavedStart,
     SavedState,
-    newest_time,
+    latest_time,
 )
 
 UNKNOWN_SAVE_TIME = 0.0  # seconds; stands for the save time, which older versions do not save
@@ -37,43 +37,43 @@
     """The parts of a policy engine whose state is saved and restored."""
 
     context: EngineContext
-    limiters: LimiterRegistry
-    registry: EndpointRegistry
-    latency: LatencyEstimates
+    limiter_registry: LimiterRegistry
+    endpoint_registry: EndpointRegistry
+    latency_estimates: LatencyEstimates
     admission: AdmissionController
     retry_budget: RetryBudget
-    counter: CounterHealth
+    counter_health: CounterHealth
     fine_grained: FineGrainedQuota
     draining: bool
 
 
 def save_state(engine: StatefulEngine, now: float) -> StateSnapshot:
     """Return the state at `now` as plain values, to be sent to the next process."""
-    limiters = [list(_saved_limiter(limiter)) for limiter in engine.limiters.limiters.values()]
+    limiters = [list(_saved_limiter(limiter)) for limiter in engine.limiter_registry.limiters.values()]
     return StateSnapshot(
         {
             "born": engine.context.started_at,
             "throttles": limiters,
-            "servers": _endpoint_rows(engine.registry),
-            "banned": sorted(engine.registry.under_maintenance),
-            "returned": engine.registry.returned_at,
-            "kinds": engine.latency.machine_type_factors,
-            "patience": engine.latency.client_timeouts,
-            "usual": [[*key, value] for key, value in engine.latency.durations.items()],
+            "servers": _endpoint_rows(engine.endpoint_registry),
+            "banned": sorted(engine.endpoint_registry.under_maintenance),
+            "returned": engine.endpoint_registry.maintenance_ended_at,
+            "kinds": engine.latency_estimates.relative_response_times,
+            "patience": engine.latency_estimates.average_client_timeouts,
+            "usual": [[*key, value] for key, value in engine.latency_estimates.response_times.items()],
             "granted": [[*key, value] for key, value in engine.fine_grained.grant_ratios.items()],
             "fleet_fails": engine.admission.fleet_failure_rate,
             "retry_credit": engine.retry_budget.balance,
             "passed": engine.admission.admit_ratio,
             "limit": engine.admission.concurrency_limit,
-            "quiet_until": engine.counter.paused_until,
-            "count_fails": engine.counter.consecutive_failures,
-            "shortest": engine.counter.fastest_reply,
-            "counted_part": engine.counter.sampling_ratio,
+            "quiet_until": engine.counter_health.backoff_until,
+            "count_fails": engine.counter_health.consecutive_failures,
+            "shortest": engine.counter_health.fastest_reply_time,
+            "counted_part": engine.counter_health.sampling_ratio,
             "draining": engine.draining,
             # older versions do not save the values below
             "now": now,
             "quota_time": now + engine.context.quota_time_offset,
-            "starts": _start_rows(engine.registry),
+            "starts": _start_rows(engine.endpoint_registry),
         }
     )
 
@@ -82,7 +82,7 @@
     return [
         [
             state.id,
-            registry.saved_start(state),
+            registry.start_identifier(state),
             state.concurrency_limit,
             state.failure_score,
             state.decayed_at,
@@ -93,8 +93,8 @@
 
 def _start_rows(registry: EndpointRegistry) -> list[list[object]]:
     return [
-        [key, start.listed_at, start.counts_from]
-        for key, start in registry.start_times.known.items()
+        [key, start.listed_at, start.effective_at]
+        for key, start in registry.start_times.starts.items()
         if key in registry.endpoints
     ]
 
@@ -109,11 +109,11 @@
         limiter.rate,
         limiter.capacity,
         limiter.balance,
-        limiter.updated_at,
+        limiter.refilled_at,
         limiter.local_demand,
         limiter.fleet_demand,
         limiter.reading_valid_until,
-        limiter.reading_fresh_until,
+        limiter.reading_reusable_until,
         limiter.hard_limit_balance,
     )
 
@@ -128,22 +128,22 @@
         limiters=[SavedLimiter(*row) for row in state["throttles"]],
         endpoints=[SavedEndpoint(*row) for row in state["servers"]],
         under_maintenance=state["banned"],
-        returned_at=state["returned"],
-        machine_type_factors=state["kinds"],
-        client_timeouts=state["patience"],
-        durations={(request_class, units): value for request_class, units, value in state["usual"]},
+        maintenance_ended_at=state["returned"],
+        relative_response_times=state["kinds"],
+        average_client_timeouts=state["patience"],
+        response_times={(request_class, units): value for request_class, units, value in state["usual"]},
         grant_ratios={tuple(key): value for *key, value in state["granted"]},
         fleet_failure_rate=state["fleet_fails"],
-        retry_budget=state["retry_credit"],
+        retry_budget_balance=state["retry_credit"],
         admit_ratio=state["passed"],
         concurrency_limit=state["limit"],
-        counter_paused_until=state["quiet_until"],
-        counter_failures=state["count_fails"],
-        fastest_reply=state["shortest"],
-        sampling_ratio=state["counted_part"],
+        counter_backoff_until=state["quiet_until"],
+        counter_consecutive_failures=state["count_fails"],
+        counter_fastest_reply_time=state["shortest"],
+        counter_sampling_ratio=state["counted_part"],
         draining=state["draining"],
     )
-    return saved._replace(saved_at=newest_time(saved)) if saved.saved_at == UNKNOWN_SAVE_TIME else saved
+    return saved._replace(saved_at=latest_time(saved)) if saved.saved_at == UNKNOWN_SAVE_TIME else saved
 
 
 def restore_state(engine: StatefulEngine, saved: SavedState) -> None:
@@ -154,20 +154,20 @@
     clock_difference = engine.context.now - saved.saved_at
     if saved.quota_time is not None:
         _restore_quota_time(engine.context, saved.quota_time, saved.saved_at)
-    saved = saved.moved_by(clock_difference)
+    saved = saved.shifted_by(clock_difference)
     engine.context.started_at = min(engine.context.started_at, saved.started_at)
     _restore_estimates(engine, saved)
-    engine.registry.under_maintenance.update(saved.under_maintenance)
+    engine.endpoint_registry.under_maintenance.update(saved.under_maintenance)
     for start in saved.starts:
-        known_start = KnownStart(start.listed_at, start.counts_from)
-        engine.registry.start_times.merge(start.endpoint_id, known_start)
-    engine.registry.merge_returns(saved.returned_at)
+        observed_start = ObservedStart(start.listed_at, start.effective_at)
+        engine.endpoint_registry.start_times.merge(start.endpoint_id, observed_start)
+    engine.endpoint_registry.merge_maintenance_ends(saved.maintenance_ended_at)
     for endpoint in saved.endpoints:
-        engine.registry.restore(endpoint)
+        engine.endpoint_registry.restore(endpoint)
     for limiter in saved.limiters:
         if limiter.plan in engine.context.plans:
             _restore_limiter(engine, limiter)
-    engine.registry.refresh_serving()
+    engine.endpoint_registry.refresh_serving()
 
 
 def _restore_quota_time(context: EngineContext, quota_time: float, saved_at: float) -> None:
@@ -180,35 +180,35 @@
     engine.admission.fleet_failure_rate = saved.fleet_failure_rate
     engine.admission.admit_ratio = saved.admit_ratio
     engine.admission.concurrency_limit = saved.concurrency_limit
-    engine.retry_budget.balance = saved.retry_budget
-    engine.counter.paused_until = saved.counter_paused_until
-    engine.counter.consecutive_failures = saved.counter_failures
-    engine.counter.fastest_reply = saved.fastest_reply
-    engine.counter.sampling_ratio = saved.sampling_ratio
-    engine.latency.machine_type_factors.update(saved.machine_type_factors)
-    engine.latency.client_timeouts.update(saved.client_timeouts)
-    engine.latency.durations.update(saved.durations)
+    engine.retry_budget.balance = saved.retry_budget_balance
+    engine.counter_health.backoff_until = saved.counter_backoff_until
+    engine.counter_health.consecutive_failures = saved.counter_consecutive_failures
+    engine.counter_health.fastest_reply_time = saved.counter_fastest_reply_time
+    engine.counter_health.sampling_ratio = saved.counter_sampling_ratio
+    engine.latency_estimates.relative_response_times.update(saved.relative_response_times)
+    engine.latency_estimates.average_client_timeouts.update(saved.average_client_timeouts)
+    engine.latency_estimates.response_times.update(saved.response_times)
     grant_ratios = engine.fine_grained.grant_ratios
     for key, ratio in grant_ratios.items():
         grant_ratios[key] = saved.grant_ratios.get(key, ratio)
 
 
 def _restore_limiter(engine: StatefulEngine, saved: SavedLimiter) -> None:
-    existing = engine.limiters.limiters.get(saved.customer)
+    existing = engine.limiter_registry.limiters.get(saved.customer)
     balance = saved.balance + saved.queued_units
     if existing is not None:
         existing.merge_balance(balance, engine.context.now)
         return
     plan = engine.context.plans[saved.plan]
-    limiter = engine.limiters.get(saved.customer, saved.quota_spread, plan)
+    limiter = engine.limiter_registry.get_or_create(saved.customer, saved.quota_spread, plan)
     limiter.quota_fraction = saved.quota_fraction
     limiter.rate = saved.rate
     limiter.capacity = saved.capacity
     limiter.balance = balance
-    limiter.updated_at = saved.updated_at
+    limiter.refilled_at = saved.refilled_at
     limiter.local_demand = saved.local_demand
     limiter.fleet_demand = saved.fleet_demand
     limiter.reading_valid_until = saved.reading_valid_until
-    limiter.reading_fresh_until = saved.reading_fresh_until
+    limiter.reading_reusable_until = saved.reading_reusable_until
     limiter.hard_limit_balance = saved.hard_limit_balance
     limiter.refill(engine.context.now)
--- a/quota_gateway/state/saved_state.py
+++ b/quota_gateway/state/saved_state.py
@@ -23,11 +23,11 @@
     rate: float
     capacity: float
     balance: float
-    updated_at: float
+    refilled_at: float
     local_demand: float
     fleet_demand: float
     reading_valid_until: float
-    reading_fresh_until: float
+    reading_reusable_until: float
     hard_limit_balance: float
 
 
@@ -46,7 +46,7 @@
 
     endpoint_id: str
     listed_at: float | None
-    counts_from: float | None
+    effective_at: float | None
 
 
 class SavedState(NamedTuple):
@@ -59,62 +59,62 @@
     limiters: list[SavedLimiter]
     endpoints: list[SavedEndpoint]
     under_maintenance: list[str]
-    returned_at: dict[str, float]
-    machine_type_factors: dict[str, float]
-    client_timeouts: dict[str, float]
-    durations: dict[tuple[str, float], float]
+    maintenance_ended_at: dict[str, float]
+    relative_response_times: dict[str, float]
+    average_client_timeouts: dict[str, float]
+    response_times: dict[tuple[str, float], float]
     grant_ratios: dict[tuple[object, ...], float]  # keys saved by an older version may be shorter
     fleet_failure_rate: float
-    retry_budget: float
+    retry_budget_balance: float
     admit_ratio: float
     concurrency_limit: float
-    counter_paused_until: float
-    counter_failures: int
-    fastest_reply: float
-    sampling_ratio: float
+    counter_backoff_until: float
+    counter_consecutive_failures: int
+    counter_fastest_reply_time: float
+    counter_sampling_ratio: float
     draining: bool
 
-    def moved_by(self, seconds: float) -> SavedState:
+    def shifted_by(self, seconds: float) -> SavedState:
         """Return the state with its times shifted by `seconds`, to the clock of the restoring process."""
-        returned_at = {key: time + seconds for key, time in self.returned_at.items()}
+        maintenance_ended_at = {key: time + seconds for key, time in self.maintenance_ended_at.items()}
         return self._replace(
             saved_at=self.saved_at + seconds,
             starts=[_shifted_start(start, seconds) for start in self.starts],
             started_at=self.started_at + seconds,
             limiters=[_shifted_limiter(limiter, seconds) for limiter in self.limiters],
             endpoints=[self._shifted_endpoint(endpoint, seconds) for endpoint in self.endpoints],
-            returned_at=returned_at,
-            counter_paused_until=self.counter_paused_until + seconds,
+            maintenance_ended_at=maintenance_ended_at,
+            counter_backoff_until=self.counter_backoff_until + seconds,
         )
 
     def _shifted_endpoint(self, endpoint: SavedEndpoint, seconds: float) -> SavedEndpoint:
         """Shift an endpoint's times, except a listed start, which is not by this gateway's clock."""
         started_at = endpoint.started_at
-        if started_at is not None and started_at == self.returned_at.get(endpoint.endpoint_id):
+        if started_at is not None and started_at == self.maintenance_ended_at.get(endpoint.endpoint_id):
             started_at += seconds
         return endpoint._replace(started_at=started_at, decayed_at=endpoint.decayed_at + seconds)
 
 
 def _shifted_start(start: SavedStart, seconds: float) -> SavedStart:
-    if start.counts_from is None:
+    if start.effective_at is None:
         return start
-    return start._replace(counts_from=start.counts_from + seconds)
+    return start._replace(effective_at=start.effective_at + seconds)
 
 
 def _shifted_limiter(limiter: SavedLimiter, seconds: float) -> SavedLimiter:
     return limiter._replace(
-        updated_at=limiter.updated_at + seconds,
+        refilled_at=limiter.refilled_at + seconds,
         reading_valid_until=limiter.reading_valid_until + seconds,
-        reading_fresh_until=limiter.reading_fresh_until + seconds,
+        reading_reusable_until=limiter.reading_reusable_until + seconds,
     )
 
 
-def newest_time(state: SavedState) -> float:
+def latest_time(state: SavedState) -> float:
     """Return the latest time of a past event in the state, for versions that do not save `saved_at`.
 
     All these events precede the save, so the result is a lower bound of its time.
     """
-    times = [state.started_at, *state.returned_at.values()]
-    times += [limiter.updated_at for limiter in state.limiters]
+    times = [state.started_at, *state.maintenance_ended_at.values()]
+    times += [limiter.refilled_at for limiter in state.limiters]
     times += [endpoint.decayed_at for endpoint in state.endpoints]
     return max(times)
--- a/quota_gateway/upstream/attempt.py
+++ b/quota_gateway/upstream/attempt.py
@@ -13,7 +13,7 @@
 
 from quota_gateway.body_streaming import RequestBodyStream, ResponseHead, StreamSink, StreamSource
 from quota_gateway.model.outcomes import Outcome
-from quota_gateway.policy.permissions import Refusal
+from quota_gateway.policy.permissions import RefusalReason
 
 # Smallest time budget that is sent to an endpoint, in seconds. X-Budget has three decimals, and 0 would mean
 # that no time is left.
@@ -26,14 +26,14 @@
 
     outcome: Outcome
     body: bytes = b""
-    units: float = 0.0  # units billed by the endpoint; 0 if it reported none
+    billed_units: float = 0.0  # units billed by the endpoint; 0 if it reported none
     headers: bytes = b""  # header lines to forward with the body
 
 
-def refused_result(refusal: Refusal) -> AttemptResult:
+def refused_result(refusal: RefusalReason) -> AttemptResult:
     """Return the result of an attempt that may not be sent."""
     # only the time in which a retry may be sent is over; the client may still be waiting
-    outcome = Outcome.CONNECT_FAILED if refusal is Refusal.WINDOW_OVER else Outcome.NOT_SENT
+    outcome = Outcome.CONNECT_FAILED if refusal is RefusalReason.WINDOW_OVER else Outcome.NOT_SENT
     return AttemptResult(outcome)
 
 
@@ -41,13 +41,13 @@
     """The request that an attempt belongs to. Times are in seconds."""
 
     answered: bool
-    attempt_start_limit: float | None  # when attempts may no longer start; set when the client half-closes
+    attempt_start_deadline: float | None  # when attempts may no longer start; set when the client half-closes
     client_deadline: float  # when the client stops waiting; infinite while a streamed body is incomplete
 
     def attempt_ended(self, attempt: UpstreamAttempt, result: AttemptResult) -> None:
         """Handle the result; called exactly once per attempt."""
 
-    def refusal(self, send_deadline: float | None, now: float) -> Refusal | None:
+    def find_refusal(self, send_deadline: float | None, now: float) -> RefusalReason | None:
         """Return why an attempt may not be sent at `now`, or None if it may; repeated after a connect."""
 
 
@@ -79,19 +79,19 @@
     send_deadline: float | None = None  # for sending after a connect; None if only `deadline` applies
     # Opens a sink for a response that is too long to buffer. If it is None or returns None, such a response
     # is an error.
-    start_stream: Callable[[UpstreamAttempt, ResponseHead], StreamSink | None] | None = None
+    sink_factory: Callable[[UpstreamAttempt, ResponseHead], StreamSink | None] | None = None
     connection: AttemptConnection | None = None  # set when sending starts
     written_at: float | None = None  # when the kernel accepted the request's last byte
     connect_task: asyncio.Task[None] | None = None
-    timer: asyncio.TimerHandle | None = None  # fires at `deadline`
+    deadline_timer: asyncio.TimerHandle | None = None  # fires at `deadline`
 
     @property
-    def ended(self) -> bool:
+    def has_ended(self) -> bool:
         """Whether the attempt has ended."""
         return self.owner is None
 
     @property
-    def written(self) -> bool:
+    def is_sending_started(self) -> bool:
         """Whether sending has started, so that the endpoint may have begun to execute the request."""
         return self.connection is not None
 
@@ -109,7 +109,7 @@
 
     def open_stream(self, head: ResponseHead) -> StreamSink | None:
         """Return the sink for a long response, or None if it can't be forwarded."""
-        return self.start_stream(self, head) if self.start_stream is not None else None
+        return self.sink_factory(self, head) if self.sink_factory is not None else None
 
     def end(self, result: AttemptResult) -> None:
         """End the attempt: cancel its connect, close its connection and pass the result to the owner.
@@ -120,8 +120,8 @@
         if owner is None:
             return
         self.owner = None  # also breaks the reference cycle between attempt and owner
-        if self.timer is not None:
-            self.timer.cancel()
+        if self.deadline_timer is not None:
+            self.deadline_timer.cancel()
         if self.connect_task is not None:
             self.connect_task.cancel()
         if self.connection is not None:
@@ -131,13 +131,13 @@
     def extend_deadline(self, deadline: float, now: float, loop: asyncio.AbstractEventLoop) -> None:
         """Replace the deadline of an attempt in flight."""
         self.deadline = deadline
-        if self.timer is not None:
-            self.timer.cancel()
+        if self.deadline_timer is not None:
+            self.deadline_timer.cancel()
         self.start_timer(now, loop)
 
     def start_timer(self, now: float, loop: asyncio.AbstractEventLoop) -> None:
         """Start the timer that ends the attempt at its deadline."""
-        self.timer = loop.call_later(max(self.deadline - now, 0.0), self.time_out)
+        self.deadline_timer = loop.call_later(max(self.deadline - now, 0.0), self.time_out)
 
     def time_out(self) -> None:
         """End the attempt at its deadline; before it has a connection it can't have been executed."""
--- a/quota_gateway/upstream/connection_pool.py
+++ b/quota_gateway/upstream/connection_pool.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Iterable
 
 from quota_gateway.body_streaming import READ_BUFFER_BYTES
-from quota_gateway.invariants import DEADLINE_SLACK, START_SLACK, Invariant, InvariantMonitor
+from quota_gateway.invariants import HALF_CLOSE_SLACK, TIME_BUDGET_SLACK, Invariant, InvariantMonitor
 from quota_gateway.model.outcomes import Outcome
 from quota_gateway.sockets.addresses import Address
 from quota_gateway.sockets.dialing import connect_with_retry, ignore_descriptor_exhaustion
@@ -47,23 +47,23 @@
         self.attempts_written = 0  # number of attempts whose last byte the kernel has accepted
         self.endpoints: dict[str, EndpointConnections] = {}  # by endpoint id
         self.connections: set[UpstreamConnection] = set()  # all that are established
-        self.connecting: dict[UpstreamAttempt, EndpointConnections] = {}  # by attempt that waits
-        self._sweep_timer = self.loop.call_later(SWEEP_INTERVAL, self.sweep)
+        self.connecting_attempts: dict[UpstreamAttempt, EndpointConnections] = {}  # by attempt that waits
+        self._sweep_timer = self.loop.call_later(SWEEP_INTERVAL, self.close_expired_connections)
 
     # Endpoints.
 
-    def set_address(self, endpoint_id: str, address: Address, started_at: float | None = None) -> None:
+    def set_endpoint(self, endpoint_id: str, address: Address, started_at: float | None = None) -> None:
         """Set an endpoint's address and start time in Unix seconds; a change retires its connections."""
         endpoint = self.endpoints.get(endpoint_id)
         if endpoint is None or (endpoint.address, endpoint.started_at) != (address, started_at):
-            self.retire(endpoint_id)
+            self.retire_endpoint(endpoint_id)
             self.endpoints[endpoint_id] = EndpointConnections(endpoint_id, address, started_at)
 
-    def endpoints_at(self, address: Address) -> list[str]:
+    def endpoint_ids_at(self, address: Address) -> list[str]:
         """Return the ids of the endpoints that listen at `address`."""
         return [endpoint.endpoint_id for endpoint in self.endpoints.values() if endpoint.address == address]
 
-    def retire(self, endpoint_id: str) -> None:
+    def retire_endpoint(self, endpoint_id: str) -> None:
         """Stop sending to an endpoint that drains or was removed, and end its attempts that are connecting.
 
         Attempts that were sent continue, and their connections are closed afterwards.
@@ -71,28 +71,28 @@
         endpoint = self.endpoints.pop(endpoint_id, None)
         if endpoint is None:
             return
-        endpoint.drop_idle()
-        attempts = [attempt for attempt, target in self.connecting.items() if target is endpoint]
+        endpoint.close_all_idle()
+        attempts = [attempt for attempt, target in self.connecting_attempts.items() if target is endpoint]
         for attempt in attempts:
             attempt.end(AttemptResult(Outcome.CONNECT_FAILED))
 
-    def close_idle(self, endpoint_id: str) -> None:
+    def retire_connections(self, endpoint_id: str) -> None:
         """Retire the connections to an endpoint that remains available at its address."""
         endpoint = self.endpoints.get(endpoint_id)
         if endpoint is not None:
-            self.retire(endpoint_id)
+            self.retire_endpoint(endpoint_id)
             self.endpoints[endpoint_id] = EndpointConnections(
                 endpoint_id, endpoint.address, endpoint.started_at
             )
 
-    def retain_only(self, endpoint_ids: Iterable[str]) -> None:
+    def retain_only_endpoints(self, endpoint_ids: Iterable[str]) -> None:
         """Retire all endpoints except those in `endpoint_ids`."""
         for endpoint_id in self.endpoints.keys() - set(endpoint_ids):
-            self.retire(endpoint_id)
+            self.retire_endpoint(endpoint_id)
 
     # Attempts.
 
-    def start(self, attempt: UpstreamAttempt) -> None:
+    def start_attempt(self, attempt: UpstreamAttempt) -> None:
         """Send an attempt on an idle connection, or on a new one once it is established.
 
         The attempt ends at once if the endpoint is unknown or no more connections are allowed.
@@ -103,23 +103,26 @@
         if endpoint is None:
             attempt.end(AttemptResult(Outcome.CONNECT_FAILED))
             return
-        connection = endpoint.acquire_idle(now, self.idle_timeout.seconds)
+        connection = endpoint.acquire_idle(now, self.idle_timeout.current)
         if connection is not None:
             connection.send_attempt(attempt, now)
         elif self._ensure_capacity():
-            self.connecting[attempt] = endpoint
+            self.connecting_attempts[attempt] = endpoint
             attempt.connect_task = self.loop.create_task(self._connect(attempt, endpoint))
         else:
             attempt.end(AttemptResult(Outcome.CONNECT_FAILED))
 
     def _ensure_capacity(self) -> bool:
         """Return whether another connection may be opened; at the limit, close an idle one to allow it."""
-        if len(self.connections) + len(self.connecting) < self.capacity_fraction * self.max_connections:
+        if (
+            len(self.connections) + len(self.connecting_attempts)
+            < self.capacity_fraction * self.max_connections
+        ):
             return True
         endpoint = min(
-            (endpoint for endpoint in self.endpoints.values() if endpoint.idle),
+            (endpoint for endpoint in self.endpoints.values() if endpoint.idle_connections),
             default=None,
-            key=lambda endpoint: endpoint.idle[0].idle_since,
+            key=lambda endpoint: endpoint.idle_connections[0].idle_since,
         )
         if endpoint is None:
             return False
@@ -137,37 +140,39 @@
         except (OSError, TimeoutError):
             pass  # refused, unreachable or not established in time: the attempt ends below
         finally:
-            self.connecting.pop(attempt, None)
+            self.connecting_attempts.pop(attempt, None)
             attempt.connect_task = None
-            if not is_ready or attempt.ended:
+            if not is_ready or attempt.has_ended:
                 connection.close()  # also if the attempt ended just as the connection was established
         owner = attempt.owner
         if not is_ready or owner is None:
             attempt.end(AttemptResult(Outcome.CONNECT_FAILED))
-        elif (refusal := owner.refusal(attempt.send_deadline, self.clock())) is not None:
+        elif (refusal := owner.find_refusal(attempt.send_deadline, self.clock())) is not None:
             connection.close()
             attempt.end(refused_result(refusal))
         else:
             connection.send_attempt(attempt, self.clock())
 
-    def check_send(self, attempt: UpstreamAttempt, endpoint: EndpointConnections, now: float) -> None:
+    def check_send_invariants(
+        self, attempt: UpstreamAttempt, endpoint: EndpointConnections, now: float
+    ) -> None:
         """Check the invariants of an attempt that is about to be written."""
         owner = attempt.owner
-        violated = self.invariants.violated
+        record_violation = self.invariants.record_violation
         if attempt.connection is not None:
-            violated(Invariant.SENT_ONCE, attempt.head)
+            record_violation(Invariant.SENT_ONCE, attempt.head)
         if self.endpoints.get(endpoint.endpoint_id) is not endpoint:
-            violated(Invariant.SENT_TO_LISTED, attempt.head)
+            record_violation(Invariant.SENT_TO_LISTED, attempt.head)
         if owner is None or owner.answered:
-            violated(Invariant.SENT_UNANSWERED, attempt.head)
+            record_violation(Invariant.SENT_UNANSWERED, attempt.head)
             return
         client_deadline = owner.client_deadline
         if now >= client_deadline:
-            violated(Invariant.SENT_IN_TIME, attempt.head)
-        if attempt.body_stream is None and attempt.deadline > client_deadline + DEADLINE_SLACK:
-            violated(Invariant.TOLD_IN_TIME, attempt.head)
-        if owner.attempt_start_limit is not None and now > owner.attempt_start_limit + START_SLACK:
-            violated(Invariant.SENT_TO_PRESENT, attempt.head)
+            record_violation(Invariant.SENT_IN_TIME, attempt.head)
+        if attempt.body_stream is None and attempt.deadline > client_deadline + TIME_BUDGET_SLACK:
+            record_violation(Invariant.TOLD_IN_TIME, attempt.head)
+        if owner.attempt_start_deadline is not None and now > owner.attempt_start_deadline + HALF_CLOSE_SLACK:
+            record_violation(Invariant.SENT_TO_PRESENT, attempt.head)
 
     # Connections.
 
@@ -187,14 +192,14 @@
             connection.close()
             return
         connection.idle_since = self.clock()
-        endpoint.idle.append(connection)
+        endpoint.idle_connections.append(connection)
 
-    def sweep(self) -> None:
+    def close_expired_connections(self) -> None:
         """Close the connections that exceed the idle timeout, now and every SWEEP_INTERVAL seconds."""
-        idle_since_limit = self.clock() - self.idle_timeout.seconds
+        cutoff = self.clock() - self.idle_timeout.current
         for endpoint in self.endpoints.values():
-            endpoint.close_idle_before(idle_since_limit)
-        self._sweep_timer = self.loop.call_later(SWEEP_INTERVAL, self.sweep)
+            endpoint.close_idle_before(cutoff)
+        self._sweep_timer = self.loop.call_later(SWEEP_INTERVAL, self.close_expired_connections)
 
     def close(self) -> None:
         """Close all connections at once and stop the checks for idle ones."""
--- a/tests/process_pair.py
+++ b/tests/process_pair.py
@@ -259,7 +259,7 @@
             outcome=outcome,
             elapsed=self.now - attempt.sent_at,
             request_answered=outcome is Outcome.SUCCESS,
-            actual_units=units,
+            billed_units=units,
             load_report=(),
         )
         self.handle(process, event)
@@ -293,5 +293,5 @@
     def write_status(self, process: int) -> None:
         """Record a process's unavailable endpoints, and whether it accepts clients."""
         engine = self.engines[process]
-        unavailable = engine.unavailable_endpoints()
-        self.write(f"  avoided {unavailable} takes clients {engine.accepts_clients()}")
+        unavailable = engine.count_unavailable_endpoints()
+        self.write(f"  avoided {unavailable} takes clients {engine.is_accepting_clients()}")
--- a/tests/test_admin_api.py
+++ b/tests/test_admin_api.py
@@ -190,7 +190,7 @@
         client.send(request(1))
         await harness.backends[0].wait_until(lambda: len(harness.received_requests()) == 1)
         await harness.call_admin("POST", "/healthcheck/fail")
-        harness.process.listener.drained_since -= 10.0
+        harness.process.listener.draining_since -= 10.0
         harness.process.listener.sweep()
         released.set()
         status, headers, _ = await client.read_response()
--- a/tests/test_arrival_bound.py
+++ b/tests/test_arrival_bound.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from quota_gateway.downstream.arrival_bound import TURN_INTERVAL, ArrivalBound, EventLoopMonitor
+from quota_gateway.downstream.arrival_bound import RECORDING_INTERVAL, ArrivalBound, EventLoopMonitor
 from quota_gateway.downstream.flow_control import ARRIVAL_TOLERANCE, FlowControlledConnection
 from tests.harness import Client, GatewayHarness, request, running_gateway
 from tests.virtual_clock import virtual_clock_loop, virtual_unix_clock
@@ -16,7 +16,7 @@
 
 @pytest.fixture(autouse=True)
 def virtual_clock(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("quota_gateway.gateway_process.start_clock", virtual_unix_clock)
+    monkeypatch.setattr("quota_gateway.gateway_process.create_clock", virtual_unix_clock)
 
 
 @pytest.fixture
@@ -38,13 +38,13 @@
     bound = ArrivalBound(monitor, loop.now, loop.now)
     for _ in range(50):
         await asyncio.sleep(0.0071)
-        assert loop.now - bound.earliest() <= 2 * TURN_INTERVAL + 0.0071 <= ARRIVAL_TOLERANCE
+        assert loop.now - bound.earliest() <= 2 * RECORDING_INTERVAL + 0.0071 <= ARRIVAL_TOLERANCE
     stalled_at = loop.now
     loop.now += LOOP_STALL
     assert bound.earliest() <= stalled_at
     await asyncio.sleep(0)  # the iteration that reports input from the stall
     assert bound.earliest() <= stalled_at
-    await asyncio.sleep(3 * TURN_INTERVAL)
+    await asyncio.sleep(3 * RECORDING_INTERVAL)
     assert bound.earliest() >= stalled_at + LOOP_STALL
     monitor.close()
 
@@ -56,10 +56,10 @@
     bound = ArrivalBound(monitor, loop.now, loop.now)
     await asyncio.sleep(1.0)
     paused_at = loop.now
-    bound.leave_unread(paused_at)
+    bound.mark_unread(paused_at)
     await asyncio.sleep(2.0)
     bound.watch(loop.now)
-    assert paused_at - 3 * TURN_INTERVAL <= bound.earliest() <= paused_at
+    assert paused_at - 3 * RECORDING_INTERVAL <= bound.earliest() <= paused_at
     await asyncio.sleep(1.0)
     assert bound.earliest() >= paused_at + 2.0
     monitor.close()
--- a/tests/test_body_streaming.py
+++ b/tests/test_body_streaming.py
@@ -123,7 +123,7 @@
         client.send(request(1))
         await wait_for(lambda: any(c.write_paused for c in harness.process.listener.connections))
         (upstream,) = harness.process.pool.connections
-        assert upstream.paused and upstream.stall is None
+        assert upstream.is_reading_paused and upstream.read_timer is None
         (connection,) = harness.process.listener.connections
         assert connection.transport is not None
         unread_bytes = connection.transport.get_write_buffer_size()
@@ -230,11 +230,11 @@
         client.send(long_request(1, LONG_BODY * 40))
         await wait_for(lambda: any(c.read_paused for c in harness.process.listener.connections))
         (connection,) = harness.process.listener.connections
-        assert connection.requests.body_stream is not None
-        assert connection.requests.body_stream.buffered_bytes <= MAX_BUFFERED_BYTES + READ_BUFFER_BYTES
+        assert connection.request_handler.body_stream is not None
+        assert connection.request_handler.body_stream.buffered_bytes <= MAX_BUFFERED_BYTES + READ_BUFFER_BYTES
         assert len(connection.unread) <= READ_BUFFER_BYTES
         assert not is_body_stalled(
-            connection.requests, connection.last_read_at, connection.last_read_at + 0.1
+            connection.request_handler, connection.last_read_at, connection.last_read_at + 0.1
         )
         may_read.set()
         assert (await client.read_response())[0] == 200
@@ -300,12 +300,15 @@
         client = await harness.connect_client()
         client.send(long_request(1)[:sent])
         await wait_for(
-            lambda: any(not c.requests.in_head and c.requests.body_size > sent - 2000 for c in connections)
+            lambda: any(
+                not c.request_handler.in_head and c.request_handler.body_size > sent - 2000
+                for c in connections
+            )
         )
         (connection,) = connections
         for idle_time, times_out in ((stall_timeout - 0.1, False), (stall_timeout + 0.1, True)):
             enforce_timeouts(connection, connection.last_read_at + idle_time, 100.0)
-            assert connection.ended == times_out
+            assert connection.input_ended == times_out
         assert (await client.read_response())[0] == 408
 
 
--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -8,7 +8,7 @@
 import pytest
 
 from quota_gateway.body_streaming import MAX_BODY_BYTES, MAX_BUFFERED_BYTES
-from quota_gateway.downstream.connection_eviction import UNUSED_AFTER
+from quota_gateway.downstream.connection_eviction import UNUSED_TIMEOUT
 from quota_gateway.downstream.request_handler import MAX_INVALID_REQUESTS
 from quota_gateway.downstream.request_reader import MAX_HEAD_SIZE
 from quota_gateway.upstream.endpoint_connections import MIN_IDLE_BEFORE_REUSE
@@ -148,7 +148,7 @@
         client = await harness.connect_client()
         response_status, _, body = await client.exchange(text)
         assert response_status == status and len(body.splitlines()) <= 1
-        assert harness.process.dispatcher.submitted_count == 0 and not harness.received_requests()
+        assert harness.process.dispatcher.submitted_request_count == 0 and not harness.received_requests()
         # The process still serves other clients.
         assert (await (await harness.connect_client()).exchange(request(2)))[0] == 200
 
@@ -170,7 +170,8 @@
         client.reset()
         await harness.backends[0].wait_until(lambda: harness.backends[0].closed_count == 1)
         assert (
-            not harness.process.dispatcher.unanswered_count and not harness.process.dispatcher.active_requests
+            not harness.process.dispatcher.unanswered_request_count
+            and not harness.process.dispatcher.active_requests
         )
 
 
@@ -201,7 +202,7 @@
         client.send(b"".join(request(n) for n in range(1000)))
         await wait_for(lambda: any(c.write_paused for c in harness.process.listener.connections))
         await harness.process.dispatcher.wait_until_answered(EVENT_TIMEOUT)
-        assert harness.process.dispatcher.submitted_count < 1000
+        assert harness.process.dispatcher.submitted_request_count < 1000
         connection = next(c for c in harness.process.listener.connections if c.write_paused)
         assert connection.transport is not None
         assert connection.transport.get_write_buffer_size() < 3_000_000
@@ -221,7 +222,7 @@
         listener.max_connections = len(listener.connections)
         assert not listener.has_capacity()
         assert not any(c.closing for c in listener.connections)
-        listener.clock = lambda: now + 2 * UNUSED_AFTER
+        listener.clock = lambda: now + 2 * UNUSED_TIMEOUT
         other = await harness.connect_client()
         assert (await other.exchange(READY_REQUEST))[0] == 200
         assert (await client.read_response())[0] == 408 and await client.wait_closed()
@@ -262,8 +263,8 @@
         client.send(sent)
         await wait_for(lambda: len(listener.connections) == 1)
         (connection,) = listener.connections
-        await wait_for(lambda: (connection.requests.received_at > 0) == bool(sent))
-        assert connection.in_request == connection.requests.any_request_started == (status > 0)
+        await wait_for(lambda: (connection.request_handler.received_at > 0) == bool(sent))
+        assert connection.in_request == connection.request_handler.any_request_started == (status > 0)
         listener.clock = lambda: now + 1.9
         listener.sweep()
         assert not connection.closing
@@ -301,7 +302,7 @@
         assert (await other.exchange(request(1)))[0] == 409
         release.set()
         assert (await client.read_response())[0] == 200
-        assert (await other.exchange(request(1)))[0] == 200 and not harness.process.dispatcher.open_call_ids
+        assert (await other.exchange(request(1)))[0] == 200 and not harness.process.dispatcher.active_call_ids
 
 
 async def test_repeated_invalid_requests_close_the_connection() -> None:
@@ -312,7 +313,7 @@
         invalid = request(1, Plan="gold")
         assert (await client.exchange(invalid))[0] == 400
         (connection,) = harness.process.listener.connections
-        assert connection.requests.error_pause is not None and connection.read_paused
+        assert connection.request_handler.error_pause_timer is not None and connection.read_paused
         client.send(invalid * 300)
         for _ in range(MAX_INVALID_REQUESTS - 1):
             assert (await client.read_response())[0] == 400
@@ -360,7 +361,7 @@
 @pytest.mark.virtual_clock
 async def test_stalled_body_after_slow_head_times_out(monkeypatch: pytest.MonkeyPatch) -> None:
     """The error comes within three seconds of the connect."""
-    monkeypatch.setattr("quota_gateway.gateway_process.start_clock", virtual_unix_clock)
+    monkeypatch.setattr("quota_gateway.gateway_process.create_clock", virtual_unix_clock)
     async with running_gateway() as harness:
         connected_at = virtual_clock_loop().now
         client = await harness.connect_client()
--- a/tests/test_client_disconnect.py
+++ b/tests/test_client_disconnect.py
@@ -88,7 +88,7 @@
                 lambda: dispatcher.pool.endpoints["b0"].address[1] == int(full_listener.address.split(":")[1])
             )
             client.send(request(9))
-            await wait_for(lambda: bool(dispatcher.pool.connecting))
+            await wait_for(lambda: bool(dispatcher.pool.connecting_attempts))
         else:
             harness.backends[0].script = [reset_connection]
             client.send(request(9))
@@ -96,7 +96,7 @@
             await discovery.publish(discovery.entry("b1", full_listener.address))
             await wait_for(lambda: "b1" in dispatcher.pool.endpoints)
             break_attempt.set()
-            await wait_for(lambda: bool(dispatcher.pool.connecting))
+            await wait_for(lambda: bool(dispatcher.pool.connecting_attempts))
         yield harness, client
     full_listener.close()
 
@@ -110,13 +110,13 @@
     # A close looks like a half-close at first.
     async with waiting_request(state) as (harness, client):
         dispatcher, received_before = harness.process.dispatcher, len(harness.received_requests())
-        limiter = next(iter(dispatcher.engine.limiters.limiters.values()))
+        limiter = next(iter(dispatcher.engine.limiter_registry.limiters.values()))
         balance_before = limiter.balance
         if disconnect_kind == "closes":
             client.writer.close()
         else:
             client.reset()
-        await wait_for(lambda: not dispatcher.active_requests and not dispatcher.pool.connecting)
+        await wait_for(lambda: not dispatcher.active_requests and not dispatcher.pool.connecting_attempts)
         harness.counter.replies_enabled.set()
         await wait_for(lambda: not limiter.awaiting_reading)
         assert (
--- a/tests/test_connection_faults.py
+++ b/tests/test_connection_faults.py
@@ -40,7 +40,7 @@
         assert (await client.exchange(request(1)))[0] == 200
         counter = harness.process.dispatcher.counter
         assert counter is not None
-        counter.add("name.1", 1.0, 4.0)
+        counter.increment("name.1", 1.0, 4.0)
         async with asyncio.timeout(5.0):
             while not (harness.counter.increments and harness.process.admin.connections):  # noqa: ASYNC110
                 await asyncio.sleep(0)  # no event marks the gateway's internal state
@@ -74,7 +74,7 @@
 async def test_connection_after_connect_timeout_is_not_used(
     connect_time: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("quota_gateway.gateway_process.start_clock", virtual_unix_clock)
+    monkeypatch.setattr("quota_gateway.gateway_process.create_clock", virtual_unix_clock)
     async with running_gateway(
         backends=1, settings=high_quota_settings(dial_timeout=1000 * CONNECT_TIMEOUT)
     ) as harness:
@@ -97,9 +97,9 @@
         assert (await client.exchange(request(1)))[0] == 200
         (connection,) = listener.connections
         if close_reason == "idle":
-            connection.drop()
+            connection.close_immediately()
         elif close_reason == "drain":
-            connection.end()
+            connection.close_gracefully()
         else:
             listener.stopping = True
             listener.close_idle()
@@ -109,7 +109,9 @@
         except ConnectionResetError:  # the reset discards no unread response
             assert close_reason == "idle"
         await asyncio.sleep(0.02)
-        assert len(harness.received_requests()) == 1 and harness.process.dispatcher.submitted_count == 1
+        assert (
+            len(harness.received_requests()) == 1 and harness.process.dispatcher.submitted_request_count == 1
+        )
 
 
 async def test_partial_response_on_idle_connection_is_discarded() -> None:
@@ -119,7 +121,7 @@
         (idle,) = harness.process.pool.connections
         for writer in harness.backends[0].open_writers:
             writer.write(b"HTTP/1.1 2")
-        idle.endpoint.drop_idle()
+        idle.endpoint.close_all_idle()
         status, _, body = await client.exchange(request(2))
         assert (status, body) == (200, b"served 0000000000000002")
         assert harness.backends[0].connection_count == 2
@@ -141,7 +143,10 @@
             while len(harness.process.listener.connections) > 1:  # noqa: ASYNC110
                 await asyncio.sleep(0.01)  # no event marks the gateway's internal state
         assert (await valid.exchange(request(99)))[0] == 200
-        assert len(harness.received_requests()) == 21 and harness.process.dispatcher.submitted_count == 21
+        assert (
+            len(harness.received_requests()) == 21
+            and harness.process.dispatcher.submitted_request_count == 21
+        )
 
 
 async def test_invalid_request_flood_gets_few_responses() -> None:
--- a/tests/test_counter_client.py
+++ b/tests/test_counter_client.py
@@ -51,7 +51,7 @@
     async with connected_client() as (client, replies, server):
         server.replies_enabled.clear()
         for amount in (1.5, 2.0, -0.5):
-            client.add("c1.7", amount, 4.0)
+            client.increment("c1.7", amount, 4.0)
         server.replies_enabled.set()
         assert [(await replies.next())[2] for _ in range(3)] == [1.5, 3.5, 3.0]
         assert server.connection_count == 1
@@ -61,10 +61,10 @@
     # Replies are matched in order: if the call was dropped, its total would be taken for that of the next.
     async with connected_client(0.02) as (client, replies, server):
         server.replies_enabled.clear()
-        client.add("c1.7", 40.0, 4.0)
+        client.increment("c1.7", 40.0, 4.0)
         assert await replies.next() == ("c1.7", Outcome.TIMED_OUT, 0.0)
         client.timeout = 5.0
-        client.add("c1.7", 2.0, 4.0)
+        client.increment("c1.7", 2.0, 4.0)
         server.replies_enabled.set()
         assert await replies.next() == ("c1.7", Outcome.SUCCESS, 42.0)
         assert replies.queue.empty() and server.connection_count == 1
@@ -73,14 +73,14 @@
 async def test_stalled_connection_is_replaced_for_later_calls() -> None:
     async with connected_client(0.02) as (client, replies, server):
         server.replies_enabled.clear()
-        client.add("c1.7", 1.0, 4.0)
+        client.increment("c1.7", 1.0, 4.0)
         assert (await replies.next())[1] is Outcome.TIMED_OUT
         replies.now += 1.1 * STALL_FACTOR * client.timeout
         server.replies_enabled = asyncio.Event()  # the first connection gets no reply
         server.replies_enabled.set()
         client.timeout = 5.0
         replies.now += STALL_FACTOR * client.timeout
-        client.add("c1.7", 2.0, 4.0)
+        client.increment("c1.7", 2.0, 4.0)
         assert await replies.next() == ("c1.7", Outcome.SUCCESS, 3.0)
         assert server.connection_count == 2
 
@@ -97,9 +97,9 @@
 async def test_error_and_unknown_replies_determine_outcome(reply: bytes, outcome: Outcome) -> None:
     async with connected_client() as (client, replies, server):
         server.scripted_replies = [reply]
-        client.add("c1.7", 1.0, 4.0)
+        client.increment("c1.7", 1.0, 4.0)
         assert (await replies.next())[1] is outcome
-        client.add("c1.7", 1.0, 4.0)
+        client.increment("c1.7", 1.0, 4.0)
         assert await replies.next() == ("c1.7", Outcome.SUCCESS, 2.0)
 
 
@@ -107,7 +107,7 @@
     """The call may have been added."""
     async with connected_client() as (client, replies, server):
         server.replies_enabled.clear()
-        client.add("c1.7", 1.0, 4.0)
+        client.increment("c1.7", 1.0, 4.0)
         await wait_for(lambda: server.increments)
         for writer in list(server.open_writers):
             writer.transport.abort()
@@ -117,19 +117,19 @@
 async def test_call_without_connection_counts_as_not_added() -> None:
     async with connected_client() as (client, replies, server):
         await server.stop()
-        client.add("c1.7", 1.0, 4.0)
+        client.increment("c1.7", 1.0, 4.0)
         assert (await replies.next())[1] is Outcome.CONNECT_FAILED
 
 
 async def test_call_timed_out_while_connecting_is_not_written() -> None:
     async with connected_client() as (client, replies, server):
         client.timeout = 0.0
-        client.add("c1.7", 1.0, 4.0)
+        client.increment("c1.7", 1.0, 4.0)
         connection = next(c for c in client.connections if c is not None)
         client.time_out(connection.pending[0])
         assert (await replies.next())[1] is Outcome.CONNECT_FAILED
         client.timeout = 5.0
-        client.add("c1.7", 2.0, 4.0)
+        client.increment("c1.7", 2.0, 4.0)
         assert (await replies.next())[2] == 2.0
         assert server.increments == [("c1.7", 2.0)]
 
@@ -137,10 +137,10 @@
 async def test_idle_connection_is_replaced() -> None:
     # The counter closes idle connections without notice: a call sent at that moment may or may not be added.
     async with connected_client() as (client, replies, server):
-        client.add("c1.7", 1.0, 4.0)
+        client.increment("c1.7", 1.0, 4.0)
         await replies.next()
         replies.now += IDLE_TIMEOUT + 0.1
-        client.add("c1.7", 1.0, 4.0)
+        client.increment("c1.7", 1.0, 4.0)
         assert (await replies.next())[2] == 2.0 and server.connection_count == 2
 
 
@@ -155,7 +155,7 @@
     replies = ReplyRecorder()
     address = server.sockets[0].getsockname()
     client = CounterClient(lambda: replies.now, address, 5.0, 5.0, replies.queue.put_nowait)
-    client.add("c1.7", -2.5, 4.0)
+    client.increment("c1.7", -2.5, 4.0)
     assert await received == b"*4\r\n$7\r\nCNT.ADD\r\n$4\r\nc1.7\r\n$4\r\n-2.5\r\n$4\r\n4000\r\n"
     client.close()
     server.close()
@@ -179,11 +179,11 @@
     # Later replies may belong to other calls. A total of nan was once accepted and corrupted a quota level.
     async with connected_client() as (client, replies, server):
         server.scripted_replies = [reply]
-        client.add("c1.7", 3.0, 4.0)
-        client.add("c1.7", 4.0, 4.0)
+        client.increment("c1.7", 3.0, 4.0)
+        client.increment("c1.7", 4.0, 4.0)
         assert await replies.next() == ("c1.7", Outcome.TIMED_OUT, 0.0)
         assert await replies.next() == ("c1.7", Outcome.TIMED_OUT, 0.0)
-        client.add("c1.8", 5.0, 4.0)
+        client.increment("c1.8", 5.0, 4.0)
         assert await replies.next() == ("c1.8", Outcome.SUCCESS, 5.0) and server.connection_count == 2
 
 
@@ -193,16 +193,16 @@
         new_server = FakeCounter()
         await new_server.start()
         server.replies_enabled.clear()
-        client.add("c1.7", 3.0, 4.0)
+        client.increment("c1.7", 3.0, 4.0)
         await wait_for(lambda: server.increments)
-        client.move(parse_address(new_server.address))
-        client.add("c1.7", 4.0, 4.0)
+        client.change_address(parse_address(new_server.address))
+        client.increment("c1.7", 4.0, 4.0)
         assert await replies.next() == ("c1.7", Outcome.SUCCESS, 4.0)
         server.replies_enabled.set()
         assert await replies.next() == ("c1.7", Outcome.SUCCESS, 3.0)
         assert server.increments == [("c1.7", 3.0)] and new_server.increments == [("c1.7", 4.0)]
         # The former connection is closed after the reply to its last call.
-        await wait_for(lambda: not client.closing and not server.open_writers)
+        await wait_for(lambda: not client.draining_connections and not server.open_writers)
         await new_server.stop()
 
 
@@ -256,10 +256,10 @@
     )
     assert client.reply_timeout == 0.03
     for outcome in outcomes:
-        client.add("c1.7", 1.0, 4.0)
+        client.increment("c1.7", 1.0, 4.0)
         assert (await replies.get()).outcome.value == outcome
         await asyncio.sleep(0.4)  # a late reply has arrived by then
-    client.move(parse_address(server.address))
+    client.change_address(parse_address(server.address))
     assert client.reply_timeout == 0.03  # the latency at the new address is unknown
     client.close()
     await server.stop()
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from quota_gateway.discovery.endpoint_update import read_endpoint_update
+from quota_gateway.discovery.endpoint_update import parse_endpoint_update
 from quota_gateway.discovery.poll_schedule import poll_schedule_for
 from quota_gateway.errors import EndpointListError
 from quota_gateway.model.endpoints import EndpointListKind, EndpointStatus
@@ -43,7 +43,7 @@
 
     peer = RejectingDiscovery()
     async with running_client(peer, 1, poll_schedule_for(40, False, drain_timeout=2.0)) as (client, updates):
-        await client.answered.wait()  # the event that startup waits for
+        await client.first_response_received.wait()  # the event that startup waits for
         assert len(peer.request_lines) == 1
         assert updates.empty()
 
@@ -94,7 +94,7 @@
         await old.wait_for_requests(2)
         (old_poller,) = client.pollers
         async with new.state_changed:  # delays the new agent's response
-            client.move(parse_address(new.address))
+            client.change_address(parse_address(new.address))
             await old.publish(old.entry("a", "127.0.0.1:9", "DRAINING"))
             assert first_status(await updates.get()) is EndpointStatus.DRAINING
             new.entries = {"b": new.entry("b", "127.0.0.1:8")}
@@ -116,8 +116,8 @@
     async with running_client(old) as (client, updates):
         await updates.get()
         await old.wait_for_requests(2)
-        client.move(parse_address(unreachable.address))
-        client.move(parse_address(old.address))  # as if an operator reverted a mistake
+        client.change_address(parse_address(unreachable.address))
+        client.change_address(parse_address(old.address))  # as if an operator reverted a mistake
         await old.publish(old.entry("a", "127.0.0.1:9"))
         assert first_id(await updates.get()) == "a"
         assert len(client.pollers) == 1
@@ -179,5 +179,5 @@
 )
 def test_malformed_list_error_names_the_field(document: object, message: str) -> None:
     with pytest.raises(EndpointListError) as raised:
-        read_endpoint_update(document)
+        parse_endpoint_update(document)
     assert str(raised.value) == message
--- a/tests/test_endpoint_updates.py
+++ b/tests/test_endpoint_updates.py
@@ -175,7 +175,7 @@
         await new.start_fault(DiscoveryFault.SILENT)
         moved_at = asyncio.get_running_loop().time()
         for observer in observers:
-            observer.client.move(parse_address(new.address))
+            observer.client.change_address(parse_address(new.address))
         await asyncio.sleep(0.05)
         await new.end_fault(new.entry("a", ENDPOINT_ADDRESS, "DRAINING"))
         delays.append(await propagation_delay(observers, moved_at))
@@ -249,7 +249,7 @@
         settings["membership_mode"] = "on_request"
         settings["balancers"] = LARGE_FLEET
         with pytest.MonkeyPatch.context() as patch:
-            patch.setattr("quota_gateway.gateway_process.start_clock", virtual_unix_clock)
+            patch.setattr("quota_gateway.gateway_process.create_clock", virtual_unix_clock)
             await harness.start(settings, 1024)
         draining, serving = harness.backends
         await peer.start_fault(DiscoveryFault.UNAVAILABLE)
--- a/tests/test_held_up_process.py
+++ b/tests/test_held_up_process.py
@@ -116,7 +116,7 @@
 @pytest.mark.virtual_clock
 async def test_half_close_grace_period_includes_pause(state: str, monkeypatch: pytest.MonkeyPatch) -> None:
     """The grace period starts at the half-close, not when the event loop notices it after a pause."""
-    monkeypatch.setattr("quota_gateway.gateway_process.start_clock", virtual_unix_clock)
+    monkeypatch.setattr("quota_gateway.gateway_process.create_clock", virtual_unix_clock)
     async with waiting_request(state, 0.0) as case:
         started = len(attempt_starts(case.harness))
         await asyncio.sleep(LOOP_SETTLE_TIME)
@@ -125,7 +125,7 @@
         half_closed_at = virtual_clock_loop().now - PAUSE_DURATION
         connections = case.harness.process.listener.connections
         # No event announces that the gateway noticed the half-close.
-        while not any(c.half_close.begun for c in connections):  # noqa: ASYNC110
+        while not any(c.half_close.is_started for c in connections):  # noqa: ASYNC110
             await asyncio.sleep(0)
         case.release()
         await asyncio.sleep(SETTLE_TIME)
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -53,15 +53,15 @@
     capacity = 4.0  # units; half of the plan's burst, as the fleet has two gateways
     assert len(forward_request(old, 1, capacity)) == 1
     new.handle(transferred_state(old), 100.0)
-    assert new.limiters.limiters["c"].balance == 0.0 and not forward_request(new, 2, 1.0)
+    assert new.limiter_registry.limiters["c"].balance == 0.0 and not forward_request(new, 2, 1.0)
 
 
 def test_restored_state_includes_units_of_queued_requests() -> None:
     old, new = make_engine(), make_engine()
     forward_request(old, 1, 4.0)
-    assert not forward_request(old, 2, 0.5) and old.limiters.limiters["c"].queued_units == 0.5
+    assert not forward_request(old, 2, 0.5) and old.limiter_registry.limiters["c"].queued_units == 0.5
     new.handle(transferred_state(old), 100.0)
-    assert new.limiters.limiters["c"].balance == 0.0
+    assert new.limiter_registry.limiters["c"].balance == 0.0
 
 
 def test_peer_process_applies_reported_charges() -> None:
@@ -76,11 +76,11 @@
     charge = next(a for a in actions if isinstance(a, UnitsCharged))
     assert charge == UnitsCharged("c", "small", 2, 2.0)
     new.handle(charge, 100.0)
-    assert new.limiters.limiters["c"].balance == 2.0
+    assert new.limiter_registry.limiters["c"].balance == 2.0
     endpoint_id = next(a.endpoint_id for a in actions if isinstance(a, StartAttempt))
-    settled = old.handle(make_attempt_ended(2, 0, endpoint_id, Outcome.SUCCESS, actual_units=3.0), 100.0)
+    settled = old.handle(make_attempt_ended(2, 0, endpoint_id, Outcome.SUCCESS, billed_units=3.0), 100.0)
     new.handle(next(a for a in settled if isinstance(a, UnitsCharged)), 100.0)
-    assert new.limiters.limiters["c"].balance == 1.0
+    assert new.limiter_registry.limiters["c"].balance == 1.0
 
 
 def test_restored_state_includes_maintenance_and_draining() -> None:
@@ -92,11 +92,11 @@
     old.handle(SetDraining(True), 100.0)
     new.handle(transferred_state(old, 101.0), 101.0)
     assert (
-        new.registry.under_maintenance == {"a"}
-        and [s.endpoint.endpoint_id for s in new.registry.serving] == ["b"]
+        new.endpoint_registry.under_maintenance == {"a"}
+        and [s.endpoint.endpoint_id for s in new.endpoint_registry.serving_endpoints] == ["b"]
         and new.draining
     )
-    assert new.slow_start.factor(new.endpoints["b"]) < 0.5
+    assert new.slow_start.capacity_fraction(new.endpoints["b"]) < 0.5
 
 
 def test_restore_keeps_later_return_from_maintenance() -> None:
@@ -294,7 +294,10 @@
         async with running_gateway() as harness:
             process = harness.process
             hot_restart = coordinator.HotRestartCoordinator(
-                str(tmp_path), process.dispatcher, process.discovery.answered, lambda superseded: None
+                str(tmp_path),
+                process.dispatcher,
+                process.discovery.first_response_received,
+                lambda superseded: None,
             )
 
             class LoopWithoutMemory:
@@ -305,7 +308,7 @@
                     raise OSError(errno.ENOMEM, "no memory")
 
             monkeypatch.setattr(hot_restart, "loop", LoopWithoutMemory())
-            await hot_restart.restore_from_older()
+            await hot_restart.restore_from_older_process()
             assert not hot_restart.links
             hot_restart.close()
 
@@ -316,7 +319,10 @@
         process = harness.process
         listed = harness.discovery.entry("new", harness.backends[1].address)
         hot_restart = coordinator.HotRestartCoordinator(
-            str(tmp_path), process.dispatcher, process.discovery.answered, lambda superseded: None
+            str(tmp_path),
+            process.dispatcher,
+            process.discovery.first_response_received,
+            lambda superseded: None,
         )
         hot_restart.handle_message(ProcessLink(hot_restart), SetMaintenance("new", True))
         await harness.discovery.publish(listed)
@@ -324,7 +330,9 @@
             # No event announces a change of the engine's endpoints.
             while "new" not in process.dispatcher.engine.endpoints:  # noqa: ASYNC110
                 await asyncio.sleep(0.01)
-        assert "new" not in [endpoint.id for endpoint in process.dispatcher.engine.registry.serving]
+        assert "new" not in [
+            endpoint.id for endpoint in process.dispatcher.engine.endpoint_registry.serving_endpoints
+        ]
         hot_restart.close()
 
 
@@ -356,18 +364,21 @@
             process = harness.process
             superseded: list[bool] = []
             hot_restart = coordinator.HotRestartCoordinator(
-                str(tmp_path), process.dispatcher, process.discovery.answered, superseded.append
+                str(tmp_path),
+                process.dispatcher,
+                process.discovery.first_response_received,
+                superseded.append,
             )
-            await hot_restart.restore_from_older()
+            await hot_restart.restore_from_older_process()
             assert len(hot_restart.links) == 1
             process.dispatcher.set_maintenance("b0", True)
-            hot_restart.broadcast(SetMaintenance("b0", True))
+            hot_restart.notify_peer(SetMaintenance("b0", True))
             older, _ = hanging.accept()
             state = {**process.dispatcher.state_snapshot().state, "banned": []}
             link = next(iter(hot_restart.links))
             link.data_received(json.dumps({"estate": state, "list": []}).encode() + b"\n")
             # A maintenance command that preceded the state still applies after the restore.
-            assert process.dispatcher.engine.registry.under_maintenance == {"b0"}
+            assert process.dispatcher.engine.endpoint_registry.under_maintenance == {"b0"}
             link.data_received(b"[nonsense\n")
             hot_restart.close()
             older.close()
--- a/tests/test_hot_restart_clock.py
+++ b/tests/test_hot_restart_clock.py
@@ -71,16 +71,16 @@
     count_forwarded(old, "small", NOW, 8)
     old.handle(SetMaintenance("b", True), NOW)
     assert old.handle(SetMaintenance("b", False), NOW) != [CloseIdleConnections("b")]
-    old.counter.paused_until = NOW + 2.0
+    old.counter_health.backoff_until = NOW + 2.0
     old.endpoints["a"].failure_score = 4.0
     new = make_engine(now=NOW + step)
     new.handle(saved_state(old, by_older_version), NOW + step)
-    assert new.slow_start.factor(new.endpoints["b"]) == pytest.approx(SETTINGS.slow_start_minimum)
-    assert new.counter.paused_until == pytest.approx(NOW + step + 2.0)
+    assert new.slow_start.capacity_fraction(new.endpoints["b"]) == pytest.approx(SETTINGS.slow_start_minimum)
+    assert new.counter_health.backoff_until == pytest.approx(NOW + step + 2.0)
     assert new.endpoints["a"].decayed_at == pytest.approx(NOW + step)
     assert new.context.started_at <= NOW + step
-    (limiter,) = new.limiters.limiters.values()
-    assert limiter.updated_at == pytest.approx(NOW + step)
+    (limiter,) = new.limiter_registry.limiters.values()
+    assert limiter.refilled_at == pytest.approx(NOW + step)
 
 
 @pytest.mark.parametrize("step", [-HOUR, -2.0, 2.0, HOUR])
@@ -90,11 +90,11 @@
     old.handle(endpoint_list_update(started, kind=EndpointListKind.DELTA), NOW)
     new = make_engine(now=NOW + step + 3.0, endpoint_list=endpoint_list_update(make_endpoint("a"), started))
     new.handle(saved_state(old, False, NOW + 3.0), NOW + step + 3.0)
-    expected = old.slow_start.factor(old.endpoints["b"])
+    expected = old.slow_start.capacity_fraction(old.endpoints["b"])
     old.context.now = NOW + 3.0
-    assert expected < old.slow_start.factor(old.endpoints["b"])
-    assert new.slow_start.factor(new.endpoints["b"]) == pytest.approx(
-        old.slow_start.factor(old.endpoints["b"])
+    assert expected < old.slow_start.capacity_fraction(old.endpoints["b"])
+    assert new.slow_start.capacity_fraction(new.endpoints["b"]) == pytest.approx(
+        old.slow_start.capacity_fraction(old.endpoints["b"])
     )
 
 
@@ -115,9 +115,9 @@
     """A limiter that was last refilled at a later time than now keeps its balances."""
     engine = make_engine(now=NOW)
     count_forwarded(engine, "capped", NOW, 2)
-    (limiter,) = engine.limiters.limiters.values()
+    (limiter,) = engine.limiter_registry.limiters.values()
     before = (limiter.balance, limiter.hard_limit_balance)
-    limiter.updated_at = NOW + HOUR
+    limiter.refilled_at = NOW + HOUR
     limiter.refill(NOW)
     assert (limiter.balance, limiter.hard_limit_balance) == before
     limiter.refill(NOW + 1.0)
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -49,7 +49,7 @@
     assert used_endpoints(engine, range(20)) == {"b"}
     engine.handle(endpoint_list_update(make_endpoint("a", started_at=99.0), make_endpoint("b")), 100.0)
     assert used_endpoints(engine, range(100, 120)) == {"b"}
-    assert engine.unavailable_endpoints() == 1
+    assert engine.count_unavailable_endpoints() == 1
     assert engine.knows_endpoint("a")
 
 
@@ -58,7 +58,7 @@
     engine = make_engine()
     for endpoint_id in ("a", "b"):
         engine.handle(SetMaintenance(endpoint_id, True), 100.0)
-    assert not engine.accepts_clients()
+    assert not engine.is_accepting_clients()
     assert used_endpoints(engine, range(3)) == set()
 
 
@@ -75,7 +75,7 @@
 
 def test_endpoint_warms_up_after_maintenance() -> None:
     engine = engine_after_maintenance()
-    factor = engine.slow_start.factor(engine.endpoints["a"])
+    factor = engine.slow_start.capacity_fraction(engine.endpoints["a"])
     assert factor == engine.settings.slow_start_minimum
 
 
@@ -108,7 +108,7 @@
 def test_draining_gateway_still_admits_requests() -> None:
     engine = make_engine()
     assert engine.handle(SetDraining(True), 100.0) == [DrainClientConnections(True)]
-    assert not engine.accepts_clients()
+    assert not engine.is_accepting_clients()
     assert used_endpoints(engine, range(4))
 
 
@@ -116,4 +116,4 @@
     engine = make_engine()
     engine.handle(SetDraining(True), 100.0)
     assert engine.handle(SetDraining(False), 100.0) == [DrainClientConnections(False)]
-    assert engine.accepts_clients()
+    assert engine.is_accepting_clients()
--- a/tests/test_no_attempt_after_disconnect.py
+++ b/tests/test_no_attempt_after_disconnect.py
@@ -43,7 +43,7 @@
 
 @pytest.fixture(autouse=True)
 def virtual_clock(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("quota_gateway.gateway_process.start_clock", virtual_unix_clock)
+    monkeypatch.setattr("quota_gateway.gateway_process.create_clock", virtual_unix_clock)
 
 
 class TimedRequests(list[HttpMessage]):
@@ -163,7 +163,7 @@
     for number, units in enumerate(("8", "4")):  # the entire burst
         assert (await client.exchange(request(number, plan="pro", units=units)))[0] == 200
     client.send(request(9, plan="pro"))
-    (limiter,) = dispatcher.engine.limiters.limiters.values()
+    (limiter,) = dispatcher.engine.limiter_registry.limiters.values()
     await wait_for(lambda: bool(limiter.queue))
 
     def release() -> None:
@@ -180,7 +180,7 @@
     """Send a request whose first attempt waits for a connection."""
     virtual_clock_loop().connect_delays = {port_of(b): connect_time for b in harness.backends}
     client.send(text)
-    await wait_for(lambda: bool(harness.process.pool.connecting))
+    await wait_for(lambda: bool(harness.process.pool.connecting_attempts))
 
 
 async def wait_for_backend(
@@ -195,7 +195,7 @@
     if state == "reconnecting":
         virtual_clock_loop().connect_delays = {port_of(b): connect_time for b in harness.backends}
         event.set()
-        await wait_for(lambda: bool(harness.process.pool.connecting))
+        await wait_for(lambda: bool(harness.process.pool.connecting_attempts))
     return event.set
 
 
@@ -243,8 +243,8 @@
                 delays.extend(t - disconnected_at for t in attempt_starts(waiting.harness))
                 dispatcher = waiting.harness.process.dispatcher
                 assert not dispatcher.engine.forwarder.requests and not dispatcher.active_requests
-                assert not waiting.harness.process.pool.connecting
-                for limiter in dispatcher.engine.limiters.limiters.values():
+                assert not waiting.harness.process.pool.connecting_attempts
+                for limiter in dispatcher.engine.limiter_registry.limiters.values():
                     assert limiter.queued_units == 0 and not limiter.queue and not limiter.in_flight
             virtual_clock_loop().connect_delays = {}
 
@@ -260,7 +260,7 @@
 async def test_disconnected_clients_units_are_refunded_once(disconnect_kind: str) -> None:
     for state in ("counter", "connecting"):
         async with waiting_request(state, 0.2) as waiting:
-            (limiter,) = waiting.harness.process.dispatcher.engine.limiters.limiters.values()
+            (limiter,) = waiting.harness.process.dispatcher.engine.limiter_registry.limiters.values()
             limiter.rate = 0.0  # no refill
             balance_before = limiter.balance + (1.0 if state == "connecting" else limiter.queued_units)
             disconnect(waiting.client, disconnect_kind)
@@ -284,21 +284,21 @@
     """On a busy core the last disconnect is read 0.2 s late, when the requests have been released."""
     busy = False
     detected_at: list[float] = []
-    handle, begin_grace_period = RequestDispatcher.handle, HalfClose.begin
+    handle, start_grace_period = RequestDispatcher.handle, HalfClose.start
 
     def handle_slowly(dispatcher: RequestDispatcher, event: Any, due: float) -> None:
         if busy:
             virtual_clock_loop().now += EVENT_COST
         handle(dispatcher, event, due)
 
-    def begin_slowly(half_close: HalfClose, earliest_close: float) -> None:
+    def start_slowly(half_close: HalfClose, earliest_close: float) -> None:
         if busy:
             virtual_clock_loop().now += EVENT_COST
         detected_at.append(virtual_clock_loop().now)
-        begin_grace_period(half_close, earliest_close)
+        start_grace_period(half_close, earliest_close)
 
     monkeypatch.setattr(RequestDispatcher, "handle", handle_slowly)
-    monkeypatch.setattr(HalfClose, "begin", begin_slowly)
+    monkeypatch.setattr(HalfClose, "start", start_slowly)
     loop = virtual_clock_loop()
     async with recording_gateway(
         2, example_settings() if state == "counter" else high_quota_settings()
--- a/tests/test_policy_invariants.py
+++ b/tests/test_policy_invariants.py
@@ -117,9 +117,9 @@
         answered = number not in harness.open_requests or outcome is Outcome.SUCCESS
         endpoint_id, sent_at = harness.sent[number][index]
         elapsed = harness.now - sent_at
-        actual_units = 1.0 + step.pick % 5
+        billed_units = 1.0 + step.pick % 5
         harness.handle(
-            make_attempt_ended(number, index, endpoint_id, outcome, elapsed, answered, actual_units)
+            make_attempt_ended(number, index, endpoint_id, outcome, elapsed, answered, billed_units)
         )
 
     def change_endpoint(self, step: Step) -> None:
@@ -154,7 +154,7 @@
     for customer, forwarded in harness.first_attempts.items():
         if customer.startswith("capped"):
             assert_hard_limit_held(forwarded)
-    for limiter in harness.engine.limiters.limiters.values():
+    for limiter in harness.engine.limiter_registry.limiters.values():
         assert limiter.balance <= limiter.capacity + TOLERANCE
         assert not limiter.queue
         assert abs(limiter.queued_units) < TOLERANCE
@@ -222,4 +222,4 @@
         )
         for attempt in attempts:
             engine.handle(make_attempt_ended(number, 0, attempt.endpoint_id, Outcome.SUCCESS), 100.0)
-    assert 0 < len(engine.latency.durations) <= 3
+    assert 0 < len(engine.latency_estimates.response_times) <= 3
--- a/tests/test_rate_limiting.py
+++ b/tests/test_rate_limiting.py
@@ -78,14 +78,14 @@
 def test_settled_units_may_make_balance_negative() -> None:
     engine = make_engine(settles_actual_units=True)
     attempt = first_attempt(engine.handle(make_request(1, units=4.0), 100.0))
-    engine.handle(make_attempt_ended(1, 0, attempt.endpoint_id, Outcome.SUCCESS, actual_units=7.0), 100.0)
+    engine.handle(make_attempt_ended(1, 0, attempt.endpoint_id, Outcome.SUCCESS, billed_units=7.0), 100.0)
     assert limiter_of(engine).balance == pytest.approx(-3.0)  # the capacity of 4 less the 7 actual units
 
 
 def test_unused_quota_is_split_evenly() -> None:
     limiter: Limiter = TokenBucketLimiter("c", SMALL_PLAN, quota_spread=2, now=0.0, started_at=0.0)
     limiter.local_demand = 1.0
-    make_engine().quota.apply_reading(limiter, 4.0)
+    make_engine().quota_synchronizer.apply_reading(limiter, 4.0)
     # Fleet demand is smoothed from 0 to 2 of the quota of 4: the rate is the local demand of 1 unit/s and
     # half of the unused 2 units/s.
     assert limiter.rate == pytest.approx(2.0)
@@ -95,7 +95,7 @@
     limiter: Limiter = TokenBucketLimiter("c", SMALL_PLAN, quota_spread=2, now=0.0, started_at=0.0)
     limiter.local_demand = 3.0
     limiter.fleet_demand = 2.0
-    make_engine().quota.apply_reading(limiter, 14.0)
+    make_engine().quota_synchronizer.apply_reading(limiter, 14.0)
     # Fleet demand is smoothed from 2 to 8, above the quota of 4: the rate is 3/8 of the quota.
     assert limiter.rate == pytest.approx(1.5)
 
@@ -103,7 +103,7 @@
 def test_quota_split_is_even_after_reading_expires() -> None:
     engine = make_engine()
     engine.handle(make_request(1), 100.0)
-    engine.quota.apply_reading(limiter_of(engine), 14.0)
+    engine.quota_synchronizer.apply_reading(limiter_of(engine), 14.0)
     # Without local demand the rate is the minimum, a tenth of 2 units/s.
     assert limiter_of(engine).rate == pytest.approx(0.2)
     engine.handle(TimerFired(ReportDemandTimer("c")), 103.0)  # a reading is valid for 2.5 s
@@ -116,7 +116,7 @@
     limiter.reported_demand = 3.0
     limiter.fleet_demand = 6.0
     # The reading is less than this gateway alone added, so the counter has lost data.
-    make_engine().quota.apply_reading(limiter, 0.0)
+    make_engine().quota_synchronizer.apply_reading(limiter, 0.0)
     assert limiter.fleet_demand == 6.0
 
 
@@ -153,13 +153,13 @@
 def test_limiter_is_evicted_when_idle_and_full() -> None:
     engine = make_engine()
     attempt = first_attempt(engine.handle(make_request(1), 100.0))
-    assert "c" in engine.limiters.limiters
+    assert "c" in engine.limiter_registry.limiters
     engine.handle(make_attempt_ended(1, 0, attempt.endpoint_id, Outcome.SUCCESS), 100.1)
     for second in range(101, 106):
         engine.handle(TimerFired(ReportDemandTimer("c")), float(second))
     for number in range(2, 5):  # each new limiter causes up to two others to be checked for eviction
         engine.handle(make_request(number, customer=f"other{number}", deadline=204.0), 200.0)
-    assert "c" not in engine.limiters.limiters
+    assert "c" not in engine.limiter_registry.limiters
 
 
 def test_concurrency_limit_is_split_among_gateways() -> None:
--- a/tests/test_slow_readers.py
+++ b/tests/test_slow_readers.py
@@ -63,7 +63,7 @@
 
 @pytest.mark.virtual_clock
 async def test_slowly_read_response_outlasts_linger_timeout(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("quota_gateway.gateway_process.start_clock", virtual_unix_clock)
+    monkeypatch.setattr("quota_gateway.gateway_process.create_clock", virtual_unix_clock)
     async with running_gateway() as harness:
         limit_send_buffer(harness.process.listener.listener)
         client = await non_reading_client(harness, 5.0)
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -35,7 +35,7 @@
     new_endpoints = [make_endpoint(f"c{number}", started_at=95.0) for number in range(warming_up)]
     engine = make_engine(now=100.0, endpoint_list=endpoint_list_update(*warm_endpoints, *new_endpoints))
     endpoint = engine.endpoints["c0"]
-    factor = engine.slow_start.factor(endpoint)
+    factor = engine.slow_start.capacity_fraction(endpoint)
     for number in range(outliers):
         engine.endpoints[f"w{number}"].failure_score = OUTLIER_THRESHOLD
     budget = engine.settings.slow_start_overload_ratio * BUDGET_FRACTION * factor
@@ -43,7 +43,9 @@
     # The share is in proportion to the capacity of each healthy endpoint.
     proportional_share = factor * 5 / healthy_capacity
     # The budget is an upper bound, which is reached only where the others lack the capacity.
-    assert engine.slow_start.probability(endpoint) == pytest.approx(min(proportional_share, budget))
+    assert engine.slow_start.acceptance_probability(endpoint) == pytest.approx(
+        min(proportional_share, budget)
+    )
     assert (proportional_share > budget) == (outliers > 0)
 
 
@@ -56,10 +58,10 @@
         endpoint_list=endpoint_list_update(make_endpoint("a"), replace(make_endpoint("b"), started_at=98.0))
     )
     endpoint = engine.endpoints["b"]
-    factor = engine.slow_start.factor(endpoint)
+    factor = engine.slow_start.capacity_fraction(endpoint)
     assert 0.2 < factor < 1.0
     engine.admission.fleet_failure_rate = 0.9
-    assert engine.slow_start.probability(endpoint) > 0.5 * factor
+    assert engine.slow_start.acceptance_probability(endpoint) > 0.5 * factor
 
 
 @pytest.mark.parametrize("gateway_count", [2, 300])
@@ -107,25 +109,25 @@
     @property
     def is_assigned(self) -> bool:
         """Whether the endpoint that is warming up is in the gateway's own subset."""
-        return self.engine.endpoints[WARMING_UP] in self.engine.registry.assigned_subset
+        return self.engine.endpoints[WARMING_UP] in self.engine.endpoint_registry.assigned_subset
 
     @property
     def even_rate(self) -> float:
         """Attempts per second to each endpoint of the gateway's own subset, if all are warm."""
-        return self.rate / len(self.engine.registry.assigned_subset)
+        return self.rate / len(self.engine.endpoint_registry.assigned_subset)
 
     @property
     def selection_rate(self) -> float:
         """Selections per second of each candidate, including those of a widened subset."""
-        return self.rate / len(self.engine.registry.candidates)
+        return self.rate / len(self.engine.endpoint_registry.candidates)
 
     @property
     def budget(self) -> float:
-        return self.engine.slow_start.budget(self.engine.endpoints[WARMING_UP])
+        return self.engine.slow_start.max_acceptance_probability(self.engine.endpoints[WARMING_UP])
 
     @property
     def probability(self) -> float:
-        return self.engine.slow_start.probability(self.engine.endpoints[WARMING_UP])
+        return self.engine.slow_start.acceptance_probability(self.engine.endpoints[WARMING_UP])
 
 
 def make_fleet_member(
@@ -144,9 +146,9 @@
     engine = PolicyEngine(settings, gateway_index, 100.0)
     engine.handle(listed, 100.0)
     if gateway_index % 3 > 0:
-        for endpoint in engine.registry.candidates:
+        for endpoint in engine.endpoint_registry.candidates:
             endpoint.failure_score = 0.0 if endpoint.id == WARMING_UP else OUTLIER_THRESHOLD
-        engine.registry.refresh_candidates()
+        engine.endpoint_registry.refresh_candidates()
     return FleetMember(engine, rate=10.0 if gateway_index % 7 == 0 else 1.0)
 
 
@@ -167,7 +169,7 @@
         make_fleet_member(index, gateway_count, overload_ratio, listed) for index in range(gateway_count)
     ]
     first_engine = fleet[0].engine
-    factor = first_engine.slow_start.factor(first_engine.endpoints[WARMING_UP])
+    factor = first_engine.slow_start.capacity_fraction(first_engine.endpoints[WARMING_UP])
     even_rate = sum(member.even_rate for member in fleet if member.is_assigned)
     allowed_rate = sum(member.selection_rate * member.budget for member in fleet)
     expected_rate = sum(member.selection_rate * member.probability for member in fleet)
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -44,10 +44,10 @@
         engine.context.now = NOW + age
         lowest = minimum + slope * age
         # The upper bound is for a start right after discovery's last response without it.
-        assert lowest - 1e-6 <= engine.slow_start.factor(listed) <= lowest + slope * 0.2 + 1e-6
+        assert lowest - 1e-6 <= engine.slow_start.capacity_fraction(listed) <= lowest + slope * 0.2 + 1e-6
         assert engine.slow_start.is_warming_up(listed)
     engine.context.now = NOW + WINDOW + 0.01
-    assert engine.slow_start.factor(listed) == 1.0 and not engine.slow_start.is_warming_up(listed)
+    assert engine.slow_start.capacity_fraction(listed) == 1.0 and not engine.slow_start.is_warming_up(listed)
 
 
 @pytest.mark.parametrize("step", CLOCK_STEPS)
@@ -56,11 +56,11 @@
     first = make_endpoint("c", started_at=NOW - 500.0)
     engine.handle(endpoint_list_update(first, kind=EndpointListKind.DELTA), NOW)
     engine.context.now = NOW + 50.0
-    assert engine.slow_start.factor(engine.endpoints["c"]) == 1.0
+    assert engine.slow_start.capacity_fraction(engine.endpoints["c"]) == 1.0
     confirm_list(engine, NOW + 99.9)
     restarted = replace(first, started_at=NOW + 99.95 + step)
     engine.handle(endpoint_list_update(restarted, kind=EndpointListKind.DELTA), NOW + 100.0)
-    factor = engine.slow_start.factor(engine.endpoints["c"])
+    factor = engine.slow_start.capacity_fraction(engine.endpoints["c"])
     assert factor == pytest.approx(SETTINGS.slow_start_minimum, abs=0.01)
 
 
@@ -71,9 +71,9 @@
     )
     engine = make_engine(now=NOW, endpoint_list=update)
     expected = SETTINGS.slow_start_minimum + (1 - SETTINGS.slow_start_minimum) * 5.0 / WINDOW
-    assert engine.slow_start.factor(engine.endpoints["old"]) == pytest.approx(expected)
+    assert engine.slow_start.capacity_fraction(engine.endpoints["old"]) == pytest.approx(expected)
     engine.context.now = NOW + WINDOW + 0.01
-    assert engine.slow_start.factor(engine.endpoints["ahead"]) == 1.0
+    assert engine.slow_start.capacity_fraction(engine.endpoints["ahead"]) == 1.0
 
 
 def test_relisted_start_is_not_new() -> None:
@@ -83,4 +83,4 @@
     engine.handle(endpoint_list_update(WARM), NOW + 3.0)  # a full list without it
     engine.handle(endpoint_list_update(WARM, listed), NOW + 4.0)
     expected = SETTINGS.slow_start_minimum + (1 - SETTINGS.slow_start_minimum) * 4.0 / WINDOW
-    assert engine.slow_start.factor(engine.endpoints["c"]) == pytest.approx(expected)
+    assert engine.slow_start.capacity_fraction(engine.endpoints["c"]) == pytest.approx(expected)
--- a/tests/test_subsetting.py
+++ b/tests/test_subsetting.py
@@ -9,7 +9,7 @@
 import pytest
 
 from quota_gateway.model.endpoints import Endpoint, EndpointListKind, EndpointStatus
-from quota_gateway.policy.subsetting import MIN_SIZE, SubsetRing, subset_size
+from quota_gateway.policy.subsetting import MIN_SUBSET_SIZE, SubsetRing, subset_size
 from quota_gateway.state.records import EndpointState
 from tests.policy_assertions import started_attempts
 from tests.policy_harness import endpoint_list_update, make_engine, make_request
@@ -57,7 +57,7 @@
 def test_subset_is_balanced_across_zones() -> None:
     for subset in subsets(endpoint_states(range(ENDPOINTS))):
         zones = Counter(int(name[1:]) % 3 for name in subset)
-        assert MIN_SIZE <= len(subset) <= 18
+        assert MIN_SUBSET_SIZE <= len(subset) <= 18
         assert max(zones.values()) - min(zones.values()) <= 1
 
 
@@ -106,7 +106,7 @@
     """A gateway of a large fleet sends only to its subset, and to other endpoints once the subset drains."""
     listed = [endpoint(number) for number in range(ENDPOINTS)]
     engine = make_engine(endpoint_list=endpoint_list_update(*listed), gateway_count=GATEWAYS, gateway_index=3)
-    subset = ids(engine.registry.candidates)
+    subset = ids(engine.endpoint_registry.candidates)
     assert len(subset) == subset_size(ENDPOINTS, GATEWAYS)
     used = {
         attempt.endpoint_id
@@ -118,6 +118,6 @@
         replace(entry, status=EndpointStatus.DRAINING) for entry in listed if entry.endpoint_id in subset
     ]
     engine.handle(endpoint_list_update(*draining, kind=EndpointListKind.DELTA), 100.2)
-    candidates = ids(engine.registry.candidates)
-    assert len(candidates) >= MIN_SIZE
+    candidates = ids(engine.endpoint_registry.candidates)
+    assert len(candidates) >= MIN_SUBSET_SIZE
     assert not candidates & subset
--- a/tests/test_upstream_connections.py
+++ b/tests/test_upstream_connections.py
@@ -106,7 +106,7 @@
 
     server = await asyncio.start_server(read_a_little, HOST, 0, limit=16)
     async with running_pool() as (sender, _):
-        sender.pool.set_address("b", server.sockets[0].getsockname())
+        sender.pool.set_endpoint("b", server.sockets[0].getsockname())
         started = sender.start(body=b"x" * 30_000_000)
         assert (await started.result).outcome is Outcome.CONNECT_FAILED
     server.close()
@@ -147,7 +147,7 @@
     ):
         started = sender.start()
         result = await started.result
-        assert (result.outcome, result.body, result.units) == (Outcome.SUCCESS, b"mine", 2.0)
+        assert (result.outcome, result.body, result.billed_units) == (Outcome.SUCCESS, b"mine", 2.0)
         await asyncio.sleep(2 * MIN_IDLE_BEFORE_REUSE)
         assert (await sender.result()).body == b"next"
         assert endpoint.connection_count == 2  # the first connection isn't reused
@@ -207,13 +207,13 @@
 @pytest.mark.parametrize(
     ("response", "read_timeout"),
     [(response, 1000.0) for response in INVALID_RESPONSES]
-    + [(response, connection.READ_TIMEOUT) for response in STALLED_RESPONSES],
+    + [(response, connection.RESPONSE_READ_TIMEOUT) for response in STALLED_RESPONSES],
 )
 async def test_invalid_response_ends_attempt_before_deadline(
     response: bytes, read_timeout: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # The attempt waited until its deadline for each of these responses, and then the request failed.
-    monkeypatch.setattr(connection, "READ_TIMEOUT", read_timeout)
+    monkeypatch.setattr(connection, "RESPONSE_READ_TIMEOUT", read_timeout)
     async with running_pool(respond_with(response)) as (sender, endpoint):
         assert await sender.outcome(1000.0) is Outcome.BROKEN_RESPONSE
         await endpoint.wait_until(lambda: endpoint.closed_count == 1)
--- a/tests/upstream_harness.py
+++ b/tests/upstream_harness.py
@@ -10,7 +10,7 @@
 from typing import NamedTuple
 
 from quota_gateway.model.outcomes import Outcome
-from quota_gateway.policy.permissions import Refusal
+from quota_gateway.policy.permissions import RefusalReason
 from quota_gateway.upstream.attempt import AttemptResult, UpstreamAttempt
 from quota_gateway.upstream.connection_pool import ConnectionPool
 from tests.fakes import HOST, FakeBackend, HttpMessage, ResponseStep
@@ -27,7 +27,7 @@
     """Owns an attempt and provides its result as a future."""
 
     answered = False
-    attempt_start_limit: float | None = None
+    attempt_start_deadline: float | None = None
     client_deadline = math.inf
 
     def __init__(self) -> None:
@@ -36,9 +36,9 @@
     def attempt_ended(self, attempt: UpstreamAttempt, result: AttemptResult) -> None:
         self.result.set_result(result)
 
-    def refusal(self, send_deadline: float | None, now: float) -> Refusal | None:
+    def find_refusal(self, send_deadline: float | None, now: float) -> RefusalReason | None:
         is_over = send_deadline is not None and now >= send_deadline
-        return Refusal.WINDOW_OVER if is_over else None
+        return RefusalReason.WINDOW_OVER if is_over else None
 
 
 class StartedAttempt(NamedTuple):
@@ -70,7 +70,7 @@
 
     def start(self, timeout: float = ATTEMPT_TIMEOUT, body: bytes = REQUEST_BODY) -> StartedAttempt:
         started = new_attempt(self.pool, timeout=timeout, body=body)
-        self.pool.start(started.attempt)
+        self.pool.start_attempt(started.attempt)
         return started
 
     async def result(self) -> AttemptResult:
@@ -121,7 +121,7 @@
     await endpoint.start()
     endpoint.script = list(script)
     pool = ConnectionPool(asyncio.get_running_loop().time, CONNECT_TIMEOUT, keepalive, MAX_CONNECTIONS)
-    pool.set_address(ENDPOINT_ID, address_of(endpoint))
+    pool.set_endpoint(ENDPOINT_ID, address_of(endpoint))
     yield AttemptSender(pool), endpoint
     pool.close()
     await endpoint.stop()
@@ -135,7 +135,7 @@
         listener.listen(0)
         filler.connect(listener.getsockname())
         pool = ConnectionPool(asyncio.get_running_loop().time, 30.0, KEEPALIVE_TIMEOUT, MAX_CONNECTIONS)
-        pool.set_address(ENDPOINT_ID, listener.getsockname())
+        pool.set_endpoint(ENDPOINT_ID, listener.getsockname())
         yield AttemptSender(pool)
         pool.close()
 
