--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -66,7 +66,7 @@
 
 def test_peer_process_applies_reported_charges() -> None:
     """A charge and its correction to the actual units reach the peer process."""
-    old, new = make_engine(settles_actual_units=True), make_engine(settles_actual_units=True)
+    old, new = make_engine(charges_billed_units=True), make_engine(charges_billed_units=True)
     new.handle(transferred_state(old), 100.0)
     # Without a peer process, no charge is reported.
     assert not [a for a in forward_request(old, 1, 1.0) if isinstance(a, UnitsCharged)]
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -43,8 +43,8 @@
         ({}, None, 110.0, RefusalReason.PAST_DEADLINE),
         ({}, 101.0, 101.0, RefusalReason.WINDOW_OVER),
         ({}, 101.1, 101.0, None),
-        ({"attempt_start_limit": 101.0}, None, 100.9, None),
-        ({"attempt_start_limit": 101.0}, None, 101.0, RefusalReason.CLIENT_GONE),
+        ({"attempt_start_deadline": 101.0}, None, 100.9, None),
+        ({"attempt_start_deadline": 101.0}, None, 101.0, RefusalReason.CLIENT_GONE),
         ({"is_gone": True}, None, 100.02, RefusalReason.CLIENT_GONE),
         ({"is_gone": True}, None, 100.005, None),  # the request arrived just now
     ],
--- a/tests/test_rate_limiting.py
+++ b/tests/test_rate_limiting.py
@@ -76,7 +76,7 @@
 
 
 def test_settled_units_may_make_balance_negative() -> None:
-    engine = make_engine(settles_actual_units=True)
+    engine = make_engine(charges_billed_units=True)
     attempt = first_attempt(engine.handle(make_request(1, units=4.0), 100.0))
     engine.handle(make_attempt_ended(1, 0, attempt.endpoint_id, Outcome.SUCCESS, billed_units=7.0), 100.0)
     assert limiter_of(engine).balance == pytest.approx(-3.0)  # the capacity of 4 less the 7 actual units
